--- a/emulator/src/main/java/dillcross/emulator/world/Instance.java
+++ b/emulator/src/main/java/dillcross/emulator/world/Instance.java
@@ -1,5 +1,6 @@
 package dillcross.emulator.world;
 
+import dillcross.balancer.LoadBalancer;
 import dillcross.config.Given;
 import dillcross.emulator.chance.Chance;
 import dillcross.emulator.oracle.Violation.Rule;
@@ -9,7 +10,7 @@
 import dillcross.emulator.wire.Host;
 import dillcross.net.Node;
 import dillcross.net.Roster;
-import dillcross.sidecar.Core;
+import dillcross.sidecar.RequestCoordinator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -116,9 +117,9 @@
         Scenario.Fleet is = world.scenario().sidecars();
         Given given = given();
         Given limits = Given.pairs(Map.of("limits.memory_mb", String.valueOf(is.memoryMb())));
-        Core core = new Core(given.instance(chance.named("start " + starts).any(), true));
+        RequestCoordinator core = new RequestCoordinator(new LoadBalancer(chance.named("start " + starts).any(), given.balancerSettings(true)));
         Roster known = Roster.of(list.known());
-        core.list(world.now(), known.version(), true, known.entries(), false);
+        core.onEndpointList(world.now(), known.version(), true, known.entries(), false);
         list.knows(process());
         world.oracle().begun(process());
         network = new EmulatedNetwork(world.time(), world.fabric(), host, address.substring(0, address.indexOf(':')), is.turnUs(), this::turned);
@@ -234,7 +235,7 @@
             listAt = listAt.equals(Directory.ADDRESS) ? Directory.OTHER_ADDRESS : Directory.ADDRESS;
             node.look();
             node.moveDiscovery(listAt);
-            node.settings((logic, nowUs) -> given.tell(logic, nowUs, true), given.categories(), given.mostTtlUs(), given.connectUs(), given.keepUs());
+            node.settings(given.balancerSettings(true), given.categories(), given.mostTtlUs(), given.connectUs(), given.keepUs());
             network.wake();
         }
     }
--- a/emulator/src/test/java/dillcross/emulator/Changed.java
+++ b/emulator/src/test/java/dillcross/emulator/Changed.java
@@ -11,6 +11,9 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import javax.tools.JavaCompiler;
 import javax.tools.StandardJavaFileManager;
 import javax.tools.ToolProvider;
@@ -19,16 +22,24 @@
 final class Changed {
     private static final Path SOURCES = Path.of("../sidecar/src/main/java/dillcross");
 
+    private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
+
     private Changed() {
     }
 
     static URLClassLoader loader(Path folder, String file, String text, String instead) throws IOException {
         String source = Files.readString(SOURCES.resolve(file));
-        assertEquals(2, source.split(java.util.regex.Pattern.quote(text), -1).length, "the text that the fault changes stands once in " + file);
-        compile(folder, file, source.replace(text, instead));
+        Pattern pattern = withAnyLineBreaks(text);
+        assertEquals(1, pattern.matcher(source).results().count(), "the text that the fault changes stands once in " + file);
+        compile(folder, file, pattern.matcher(source).replaceFirst(Matcher.quoteReplacement(instead)));
         return loader(folder);
     }
 
+    /** The same tokens in the same order, however the formatter breaks the lines between them. */
+    private static Pattern withAnyLineBreaks(String text) {
+        return Pattern.compile(TOKEN.matcher(text.trim()).results().map(token -> Pattern.quote(token.group())).collect(Collectors.joining("\\s*")));
+    }
+
     private static void compile(Path folder, String file, String text) throws IOException {
         Path changed = folder.resolve("text").resolve(file);
         Files.createDirectories(changed.getParent());
--- a/emulator/src/test/java/dillcross/emulator/PackagesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PackagesTest.java
@@ -11,7 +11,7 @@
 class PackagesTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("dillcross.emulator");
-    private static final String[] SIDECAR = {"dillcross", "dillcross.model..", "dillcross.sidecar..", "dillcross.net..", "dillcross.config.."};
+    private static final String[] SIDECAR = {"dillcross.balancer..", "dillcross.model..", "dillcross.sidecar..", "dillcross.net..", "dillcross.config.."};
 
     @Test
     void theOracleSeesTheWorldsSideAlone() {
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -0,0 +1,63 @@
+package dillcross.balancer;
+
+import dillcross.model.BalancerSettings;
+
+/**
+ * Bounds what is in flight. By Little's law the answers of a second times their baseline latency
+ * would be in flight without a queue; a multiple bounds the queue, and falls as answers slow down, so
+ * that overloaded endpoints can rest.
+ */
+final class AdmissionControl {
+  /** In flight at an endpoint by all sidecars together, before anything is known. */
+  static final double INITIAL_LIMIT_PER_ENDPOINT = 3;
+
+  private static final double QUEUE_FACTOR = 3.6; // times what is in flight without a queue
+  private static final double SMALL_LIMIT = 3; // a larger one lets bursts pass at any time
+  private static final double KNOWN_COVERAGE = 0.6;
+
+  private final TrafficMeter traffic;
+  private final InFlightTracker inFlight;
+  private final SlowdownEstimator slowdown;
+  private final EndpointSets endpoints;
+  private int instances;
+
+  AdmissionControl(
+      TrafficMeter traffic,
+      InFlightTracker inFlight,
+      SlowdownEstimator slowdown,
+      EndpointSets endpoints) {
+    this.traffic = traffic;
+    this.inFlight = inFlight;
+    this.slowdown = slowdown;
+    this.endpoints = endpoints;
+  }
+
+  void configure(BalancerSettings settings) {
+    instances = Math.max(1, settings.instanceCount());
+  }
+
+  /** How much may be in flight, in the mean. No floor of a request: over a fleet floors add up. */
+  double concurrencyLimit(long nowUs) {
+    double coverage = traffic.coverage(nowUs);
+    double baseline = traffic.baselineConcurrency(nowUs) / Math.max(0.2, coverage);
+    double perEndpoint = coverage < KNOWN_COVERAGE ? INITIAL_LIMIT_PER_ENDPOINT : 1;
+    double floor = perEndpoint * endpoints.available.size() / instances;
+    double queue = QUEUE_FACTOR / Math.pow(Math.max(1, slowdown.value()), 3);
+    return Math.max(floor, queue * baseline);
+  }
+
+  /** Whether there is capacity for one more; a small limit binds the mean, or thin traffic starves. */
+  boolean admits(Request request, long nowUs) {
+    double limit = concurrencyLimit(nowUs) * request.limitShare;
+    double belowMean = limit - inFlight.meanResponsive(nowUs);
+    double burst = Math.sqrt(limit);
+    double anyTime = Math.min(burst, 0.5 * (limit - SMALL_LIMIT));
+    double allowance = Math.max(Math.max(-burst, anyTime), Math.min(burst, 2 * belowMean));
+    return inFlight.responsive() < limit + allowance;
+  }
+
+  /** Whether so little is in flight that latency is no queue of ours. */
+  boolean isNearlyIdle() {
+    return inFlight.total() <= Math.max(1, 0.5 * endpoints.available.size() / instances);
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/CheckQueue.java
@@ -0,0 +1,36 @@
+package dillcross.balancer;
+
+import java.util.Comparator;
+import java.util.PriorityQueue;
+import java.util.function.LongConsumer;
+
+/** Checks to run later, by due time, then in the order in which they were scheduled. */
+final class CheckQueue {
+  private static final Comparator<ScheduledCheck> BY_TIME =
+      (a, b) ->
+          a.dueUs != b.dueUs
+              ? Long.compare(a.dueUs, b.dueUs)
+              : Long.compare(a.sequence, b.sequence);
+
+  private final PriorityQueue<ScheduledCheck> checks = new PriorityQueue<>(BY_TIME);
+  private long nextSequence;
+
+  private record ScheduledCheck(long dueUs, long sequence, LongConsumer check) {}
+
+  /** Has {@code check} called with the current time once {@code dueUs} is reached. */
+  void schedule(long dueUs, LongConsumer check) {
+    checks.add(new ScheduledCheck(dueUs, nextSequence++, check));
+  }
+
+  /** Runs what is due, including what that schedules for now. */
+  void runDue(long nowUs) {
+    while (!checks.isEmpty() && checks.peek().dueUs <= nowUs) {
+      checks.poll().check.accept(nowUs);
+    }
+  }
+
+  /** When the next check is due; {@code Long.MAX_VALUE} if there is none. */
+  long nextDueUs() {
+    return checks.isEmpty() ? Long.MAX_VALUE : checks.peek().dueUs;
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
@@ -0,0 +1,61 @@
+package dillcross.balancer;
+
+import dillcross.model.DiscoveryPolicy;
+import java.util.Random;
+
+/** When to subscribe to the endpoint list: never all sidecars at once, later after each failure. */
+final class DiscoverySchedule {
+  private static final double START_SPREAD_PER_SIDECAR_US = 10_000;
+  private static final long FIRST_BACKOFF_US = 500_000;
+  private static final int MAX_DOUBLINGS = 3;
+
+  private final Random random;
+  private DiscoveryPolicy policy;
+  private long dueUs = Long.MAX_VALUE;
+  private int failures;
+
+  DiscoverySchedule(Random random) {
+    this.random = random;
+  }
+
+  void configure(long nowUs, DiscoveryPolicy newPolicy, int instances, boolean hasEndpoints) {
+    if (newPolicy.pollRequired() && (policy == null || !policy.pollRequired())) {
+      double spread =
+          Math.min(newPolicy.pollWithinUs() / 3.0, START_SPREAD_PER_SIDECAR_US * instances);
+      long delayUs = (long) (spread * random.nextDouble());
+      dueUs = hasEndpoints ? nowUs + delayUs : -1 - delayUs; // then it counts from the first list
+    }
+    if (!newPolicy.pollRequired()) {
+      dueUs = Long.MAX_VALUE;
+    }
+    policy = newPolicy;
+  }
+
+  void onList(long nowUs) {
+    failures = 0;
+    if (dueUs < 0) {
+      dueUs = nowUs - dueUs;
+    }
+  }
+
+  /** Backs off with jitter, within the time in which changes must be learned. */
+  void onFailure(long nowUs, long maxDelayUs) {
+    long backoffUs =
+        Math.min(policy.pollWithinUs() / 3, FIRST_BACKOFF_US << Math.min(failures, MAX_DOUBLINGS));
+    failures++;
+    dueUs = nowUs + (long) (Math.min(backoffUs, maxDelayUs) * (0.5 + random.nextDouble()));
+  }
+
+  /** Whether to subscribe now; true once for each time that it is due. */
+  boolean takeDue(long nowUs) {
+    boolean isDue = nowUs >= dueUs;
+    if (isDue) {
+      dueUs = Long.MAX_VALUE;
+    }
+    return isDue;
+  }
+
+  long nextDueUs() {
+    return dueUs;
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -0,0 +1,153 @@
+package dillcross.balancer;
+
+import dillcross.model.BalancerSettings;
+import dillcross.model.DiscoveryPolicy;
+import dillcross.model.Endpoint;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The endpoints as the endpoint list has them. */
+final class EndpointDirectory {
+  private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
+  private final SlowStart slowStart;
+  private final RemovalGrace removal;
+  private DiscoveryPolicy policy;
+  private String zone;
+  private double remoteCrowding = 1;
+  private boolean changed;
+
+  EndpointDirectory(SlowStart slowStart, RemovalGrace removal) {
+    this.slowStart = slowStart;
+    this.removal = removal;
+  }
+
+  void configure(BalancerSettings settings) {
+    zone = settings.zone();
+    policy = settings.discovery();
+    for (EndpointState state : endpoints.values()) { // as known, until the list renews the weights
+      boolean isDynamic = policy.dynamicWeights() && state.occupancy() > 0;
+      state.updateWeight(state.endpoint.weight(), isDynamic);
+    }
+  }
+
+  /** All endpoints that are remembered, a live view, in the order in which they were first named. */
+  Collection<EndpointState> all() {
+    return endpoints.values();
+  }
+
+  /** The endpoint of that id; null where it is not remembered. */
+  EndpointState find(String id) {
+    return endpoints.get(id);
+  }
+
+  /** Whether attempts may be sent to the endpoint of that id. */
+  boolean isListed(String id) {
+    EndpointState state = endpoints.get(id);
+    return state != null && state.isListed;
+  }
+
+  /** Above 1 where the other zones are more crowded than our own, by the weights of the list. */
+  double remoteCrowding() {
+    return remoteCrowding;
+  }
+
+  /** Takes an update of the list in; whether it changed who may be used, or how. */
+  boolean apply(long nowUs, boolean complete, List<Endpoint> entries) {
+    changed = complete;
+    if (complete) {
+      endpoints.values().forEach(state -> remove(state, nowUs));
+    }
+    entries.forEach(entry -> applyEntry(entry, nowUs));
+    remoteCrowding = measureCrowding();
+    return changed;
+  }
+
+  private void applyEntry(Endpoint entry, long nowUs) {
+    EndpointState state = endpoints.computeIfAbsent(entry.id(), id -> new EndpointState(entry));
+    Endpoint before = state.endpoint;
+    boolean isNew = before == entry;
+    boolean isUp = entry.health() == Endpoint.Health.UP;
+    boolean isKept = entry.health() == Endpoint.Health.REMOVED && remove(state, nowUs);
+    changed |= isNew || (isUp || isKept) != state.isListed || differs(before, entry);
+    if (isNew || entry.startedUs() > before.startedUs()) { // a new process: nothing old holds
+      state.forgetLatency();
+      slowStart.begin(state, entry.startedUs(), nowUs);
+    }
+    state.endpoint = entry;
+    state.isListed = isUp || isKept;
+    if (isUp) {
+      state.removedUs = 0;
+    }
+    state.updateWeight(entry.weight(), policy.dynamicWeights());
+  }
+
+  /** Weights that move with load come many times a second, for all endpoints: no change. */
+  private boolean differs(Endpoint before, Endpoint entry) {
+    return entry.startedUs() != before.startedUs()
+        || entry.cell() != before.cell()
+        || !entry.zone().equals(before.zone())
+        || !policy.dynamicWeights() && entry.weight() != before.weight();
+  }
+
+  /** The list names it no more, or as removed; whether it may be used all the same. */
+  private boolean remove(EndpointState state, long nowUs) {
+    boolean isKept = removal.keeps(state);
+    if (isKept && state.removedUs == 0) {
+      state.removedUs = nowUs;
+    }
+    changed |= state.isListed != isKept;
+    state.isListed = isKept;
+    return isKept;
+  }
+
+  private double measureCrowding() {
+    double localLoad = 0;
+    double localSize = 1e-9;
+    double remoteLoad = 0;
+    double remoteSize = 1e-9;
+    for (EndpointState state : endpoints.values()) {
+      double load = state.isListed ? state.nominalWeight() * state.occupancy() : 0;
+      double size = state.isListed ? state.nominalWeight() : 0;
+      if (state.endpoint.zone().equals(zone)) {
+        localLoad += load;
+        localSize += size;
+      } else {
+        remoteLoad += load;
+        remoteSize += size;
+      }
+    }
+    return (1 + remoteLoad / remoteSize) / (1 + localLoad / localSize);
+  }
+
+  /** Ends the use of a removed endpoint whose grace is over; whether it is unlisted. */
+  boolean expire(EndpointState state, long nowUs) {
+    if (removal.isExpired(state, nowUs)) {
+      state.isListed = false;
+    }
+    return !state.isListed;
+  }
+
+  /** Forgets what is unlisted and has nothing in flight. */
+  void forgetUnlisted() {
+    endpoints.values().removeIf(state -> !state.isListed && state.inFlightCount() == 0);
+  }
+
+  /** How long the zone owes an answer to what it was sent after all that it answered; in us. */
+  long unansweredUs(String zoneName, long nowUs) {
+    long lastAnsweredSentUs = 0;
+    for (EndpointState state : endpoints.values()) {
+      if (state.endpoint.zone().equals(zoneName)) {
+        lastAnsweredSentUs = Math.max(lastAnsweredSentUs, state.lastAnsweredSentUs);
+      }
+    }
+    long longestUs = 0;
+    for (EndpointState state : endpoints.values()) {
+      if (state.endpoint.zone().equals(zoneName)) {
+        longestUs = Math.max(longestUs, state.longestWaitUs(lastAnsweredSentUs, nowUs));
+      }
+    }
+    return longestUs;
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -0,0 +1,130 @@
+package dillcross.balancer;
+
+import dillcross.model.BalancerSettings;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Which endpoints this sidecar uses: some of its own zone and some of the next, from its own position
+ * on a ring. Sidecars differ, endpoints share alike, and a change of the list moves few. Spread over
+ * all, a sidecar with little traffic would learn nothing of any.
+ */
+final class EndpointSubset {
+  private static final double MIN_SIZE = 1.5; // mean endpoint sizes of a zone
+  private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25; // so that each is heard in time
+  private static final int MIN_WARM_ENDPOINTS = 2; // to choose between
+
+  private final EndpointDirectory directory;
+  private final EndpointSets sets;
+  private String zone;
+  private double position; // on the ring, 0 to 1: even over the sidecars
+  private double targetSize = MIN_SIZE; // in mean endpoint sizes of a zone
+  private boolean isStale;
+
+  EndpointSubset(EndpointDirectory directory, EndpointSets sets) {
+    this.directory = directory;
+    this.sets = sets;
+  }
+
+  void configure(BalancerSettings settings) {
+    zone = settings.zone();
+    // Multiples of the golden ratio lie evenly.
+    position = Math.abs(settings.instanceIndex() * (Math.sqrt(5) - 1) / 2) % 1;
+    isStale = true;
+  }
+
+  /** Something that decides which endpoints are used has changed. */
+  void invalidate() {
+    isStale = true;
+  }
+
+  /** Fits the size to the traffic; not to chance alone, as moving loses what was measured. */
+  void resize(double requestsPerSecond) {
+    int known = directory.all().size();
+    double threshold = known * (targetSize < known ? 1 : 0.7);
+    double wanted =
+        requestsPerSecond > threshold
+            ? known + 1
+            : Math.max(MIN_SIZE, SIZE_PER_REQUEST_PER_SECOND * requestsPerSecond);
+    if (wanted > 1.2 * targetSize || wanted < 0.6 * targetSize) {
+      targetSize = wanted;
+      isStale = true;
+    }
+  }
+
+  /** Selects anew if something changed; whether it did. */
+  boolean refreshIfStale() {
+    if (!isStale) {
+      return false;
+    }
+    isStale = false;
+    sets.clear();
+    directory.forgetUnlisted();
+    List<EndpointState> ring =
+        directory.all().stream()
+            .filter(state -> state.isListed)
+            .sorted(Comparator.comparingLong(state -> state.ringPosition))
+            .toList();
+    ring.forEach(state -> (state.ejection.isEjected ? sets.ejected : sets.available).add(state));
+    if (sets.available.isEmpty()) {
+      sets.available.addAll(sets.ejected); // the design: all ejected is as none
+    }
+    // Or all sidecars whose own endpoints are full would turn to the same one.
+    Collections.rotate(sets.available, -(int) (position * sets.available.size()));
+    selectZones(ring);
+    sets.largestWeight =
+        ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
+    return true;
+  }
+
+  private void selectZones(List<EndpointState> ring) {
+    Map<String, List<EndpointState>> zones = new HashMap<>();
+    for (EndpointState state : ring) {
+      zones.computeIfAbsent(state.endpoint.zone(), name -> new ArrayList<>()).add(state);
+    }
+    select(zones.remove(zone), sets.local);
+    int start = (int) (position * ring.size());
+    for (int i = 0; i < ring.size() && sets.remote.size() < targetSize; i++) {
+      EndpointState state = ring.get((start + i) % ring.size());
+      select(zones.remove(state.endpoint.zone()), sets.remote);
+    }
+  }
+
+  /** Ejected and warming endpoints do not count; when all that is used is full others help. */
+  private void select(List<EndpointState> candidates, List<EndpointState> selected) {
+    if (candidates == null) {
+      return;
+    }
+    double total = candidates.stream().mapToDouble(EndpointState::nominalWeight).sum();
+    int start = startIndex(candidates, position * total);
+    double missing = targetSize * total / candidates.size();
+    int warm = 0;
+    for (int i = 0; i < candidates.size(); i++) {
+      if (missing <= 1e-9 * total && warm >= MIN_WARM_ENDPOINTS) {
+        return;
+      }
+      EndpointState state = candidates.get((start + i) % candidates.size());
+      boolean isUsable = !state.ejection.isEjected || sets.available.get(0).ejection.isEjected;
+      if (isUsable) {
+        selected.add(state);
+        boolean isWarm = state.slowStart.startUs == 0;
+        missing -= isWarm ? state.nominalWeight() : 0;
+        warm += isWarm ? 1 : 0;
+      }
+    }
+  }
+
+  private static int startIndex(List<EndpointState> candidates, double weight) {
+    double remaining = weight;
+    int index = 0;
+    while (index < candidates.size() - 1 && remaining >= candidates.get(index).nominalWeight()) {
+      remaining -= candidates.get(index).nominalWeight();
+      index++;
+    }
+    return index;
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -0,0 +1,349 @@
+package dillcross.balancer;
+
+import dillcross.model.AttemptOutcome;
+import dillcross.model.BalancerSettings;
+import dillcross.model.Decision;
+import dillcross.model.Endpoint;
+import dillcross.model.Idempotency;
+import dillcross.model.RequestClass;
+import dillcross.model.RetryPolicy;
+import dillcross.model.ServiceObjective;
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+
+/**
+ * Every decision of one sidecar. Inputs ({@code on...}, {@link #applySettings}) carry the time in
+ * whole microseconds of one clock that never goes back, and only note what is known. Then pull {@link
+ * #next} until it is null and carry out each {@link Decision}. Not safe for use by several threads.
+ *
+ * <p>The design decides the ordinary path: five consecutive failures eject an endpoint, a jittered
+ * penalty ends in one real request on probation, a failed probation doubles the penalty, and among the
+ * rest the better of two random choices by smoothed latency x (own in flight + 1). Beside it stand:
+ *
+ * <ol>
+ *   <li>{@link SlowStart}: a fresh or readmitted endpoint gets what its answers and our share allow.
+ *   <li>{@link SilenceMonitor}: an overdue attempt counts as a failure before its deadline.
+ *   <li>{@link RetryBudget}: retries and hedges are paid for by first attempts.
+ *   <li>{@link AdmissionControl}: a concurrency limit; a short wait, then a rejection.
+ *   <li>{@link OutlierEjection}: a smoothed failure share ejects as consecutive failures do.
+ *   <li>{@link RequestRanking}: requests wait by priority weight, class and tenant.
+ * </ol>
+ */
+public final class LoadBalancer {
+  private static final double EARLY_DEADLINE_SHARE = 0.95; // of the latency objective
+  private static final double MIN_REQUESTS_IN_SPAN = 10; // over which means are taken
+  private static final long UNUSED_US = 2_000_000; // before idle connections are released
+
+  private final Map<String, ClassState> classes = new HashMap<>();
+  private final ArrayDeque<Decision> decisions = new ArrayDeque<>();
+  private final RequestTable requests = new RequestTable();
+  private final EndpointSets endpoints = new EndpointSets();
+  private final CheckQueue checks = new CheckQueue();
+  private final TrafficMeter traffic = new TrafficMeter();
+  private final RetryBudget budget = new RetryBudget();
+  private final RequestRanking ranking = new RequestRanking();
+  private final RemovalGrace removal = new RemovalGrace();
+  private final DemandTracker demand;
+  private final DiscoverySchedule discovery;
+  private final SlowStart slowStart;
+  private final EndpointDirectory directory;
+  private final EndpointSubset subset;
+  private final InFlightTracker inFlight;
+  private final AdmissionControl admission;
+  private final SilenceMonitor silence;
+  private final AttemptDispatcher dispatcher;
+  private final EndpointPicker picker;
+  private final RequestScheduler scheduler;
+  private final OutcomeRecorder outcomes;
+  private RetryPolicy retryPolicy;
+  private ServiceObjective objective;
+  private long meanObjectiveUs;
+  private long now;
+  private long nextSequence;
+  private long timerUs = Long.MAX_VALUE;
+
+  /** A load balancer that knows no endpoints yet. The same seed and calls give the same decisions. */
+  public LoadBalancer(long seed, BalancerSettings settings) {
+    Random random = new Random(seed);
+    demand = new DemandTracker(classes.values());
+    discovery = new DiscoverySchedule(random);
+    slowStart = new SlowStart(random, traffic);
+    directory = new EndpointDirectory(slowStart, removal);
+    subset = new EndpointSubset(directory, endpoints);
+    inFlight = new InFlightTracker(traffic, directory);
+    SlowdownEstimator slowdown = new SlowdownEstimator(traffic, classes.values());
+    admission = new AdmissionControl(traffic, inFlight, slowdown, endpoints);
+    OutlierEjection ejection = new OutlierEjection(random, slowStart, subset);
+    silence = new SilenceMonitor(checks, inFlight, ejection, this::hedge);
+    DuplicateGuard duplicates = new DuplicateGuard(directory);
+    dispatcher =
+        new AttemptDispatcher(
+            slowStart, endpoints, inFlight, silence, duplicates, demand, budget, decisions);
+    picker = new EndpointPicker(random, directory, endpoints, admission, dispatcher);
+    scheduler =
+        new RequestScheduler(
+            random,
+            requests,
+            endpoints,
+            inFlight,
+            checks,
+            decisions,
+            ejection,
+            admission,
+            budget,
+            duplicates,
+            picker,
+            dispatcher);
+    outcomes = new OutcomeRecorder(ejection, admission, slowdown, traffic, picker);
+    applySettings(0, settings);
+  }
+
+  // Inputs
+
+  /** Replaces all settings. Endpoints, requests and what was measured by class and tenant stay. */
+  public void applySettings(long nowUs, BalancerSettings settings) {
+    now = nowUs;
+    retryPolicy = settings.retry();
+    objective = settings.objective();
+    configureClasses(settings.requestClasses());
+    demand.configure(settings.tenants());
+    ranking.configure(settings.weightPerWork());
+    int instances = Math.max(1, settings.instanceCount());
+    boolean hasEndpoints = !directory.all().isEmpty();
+    discovery.configure(now, settings.discovery(), instances, hasEndpoints);
+    removal.configure(settings.discovery());
+    slowStart.configure(settings);
+    directory.configure(settings);
+    subset.configure(settings);
+    admission.configure(settings);
+    silence.configure(objective);
+    picker.configure(settings);
+    scheduler.configure(settings.maxRetryAfterUs());
+  }
+
+  private void configureClasses(List<RequestClass> configured) {
+    meanObjectiveUs =
+        (long) configured.stream().mapToLong(RequestClass::latencyObjectiveUs).average().orElse(1e6);
+    traffic.widenSpan(meanObjectiveUs);
+    for (RequestClass requestClass : configured) {
+      ClassState state =
+          classes.computeIfAbsent(requestClass.name(), name -> new ClassState(requestClass));
+      state.requestClass = requestClass;
+    }
+  }
+
+  /**
+   * An update of the endpoint list.
+   *
+   * @param complete whether what {@code entries} do not name is removed; else they are changes
+   */
+  public void onEndpointList(long nowUs, boolean complete, List<Endpoint> entries) {
+    now = nowUs;
+    discovery.onList(now);
+    if (directory.apply(now, complete, entries)) {
+      subset.invalidate();
+    }
+  }
+
+  /**
+   * A call for the endpoint list failed, or its subscription broke.
+   *
+   * @param maxDelayUs it is called again after at most so long, times 0.5 to 1.5
+   */
+  public void onEndpointListFailure(long nowUs, long maxDelayUs) {
+    now = nowUs;
+    discovery.onFailure(now, maxDelayUs);
+  }
+
+  /** Whether attempts may still be sent to the endpoint; a host keeps its address as long. */
+  public boolean isListed(String endpointId) {
+    return directory.isListed(endpointId);
+  }
+
+  /**
+   * A request has arrived.
+   *
+   * @param id unused so far
+   * @param tenant null or unknown where it has no quota
+   * @param className a class that the settings name
+   * @param timeoutUs how long its client waits, in microseconds
+   * @param isRepeat whether its client says that it tried before
+   */
+  public void onRequest(
+      long nowUs, long id, String tenant, String className, long timeoutUs, boolean isRepeat) {
+    now = nowUs;
+    Request request = newRequest(id, classes.get(className), timeoutUs);
+    if (demand.fadeIfDue(now, meanObjectiveUs)) {
+      double spanUs = demand.timeForRequestsUs(MIN_REQUESTS_IN_SPAN);
+      traffic.setSpan(Math.max(meanObjectiveUs, spanUs));
+      subset.resize(demand.requestsPerSecond());
+    }
+    double need = demand.recordArrival(request, tenant);
+    ranking.rank(request, need, timeoutUs, isRepeat);
+    requests.add(request);
+  }
+
+  /** Where a late answer earns nothing, the deadline is early enough to reject within it. */
+  private Request newRequest(long id, ClassState classState, long timeoutUs) {
+    RequestClass requestClass = classState.requestClass;
+    boolean isEarly =
+        objective.tailWeight() > 0
+            && requestClass.lateValueShare() == 0
+            && requestClass.idempotency() == Idempotency.IDEMPOTENT;
+    long objectiveUs = (long) (EARLY_DEADLINE_SHARE * requestClass.latencyObjectiveUs());
+    long deadlineUs = now + (isEarly ? Math.min(timeoutUs, objectiveUs) : timeoutUs);
+    return new Request(id, classState, retryPolicy, now, deadlineUs, isEarly, nextSequence++);
+  }
+
+  /**
+   * How far a request's body has arrived, where it did not come with the request.
+   *
+   * @param complete whether all of it is there
+   * @param replayable whether all of it could be sent once more
+   */
+  public void onRequestBody(long nowUs, long id, boolean complete, boolean replayable) {
+    now = nowUs;
+    Request request = requests.find(id);
+    if (request == null) {
+      return;
+    }
+    request.isBodyIncomplete = !complete;
+    request.isBodyReleased = !replayable;
+    if (complete) {
+      request.deadlineUs += now - request.arrivalUs;
+      request.attempts.stream()
+          .filter(Attempt::isInFlight)
+          .forEach(attempt -> dispatcher.countAsLoad(attempt, now));
+    }
+  }
+
+  /** The answer of an attempt has begun to stream to the client. */
+  public void onResponseStarted(long nowUs, long id, int attemptNumber) {
+    now = nowUs;
+    Request request = requests.find(id);
+    if (request != null && attemptNumber < request.attempts.size()) {
+      Attempt attempt = request.attempts.get(attemptNumber);
+      request.streaming = attempt;
+      inFlight.release(attempt, now); // how long it streams is its client's doing as well
+      outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs), now);
+      requests.cancelOthers(request);
+    }
+  }
+
+  /**
+   * An attempt has ended.
+   *
+   * @param attemptNumber within the request, from 0
+   * @param elapsedUs since it was sent, in microseconds
+   * @param requestOver whether the client has its final answer
+   */
+  public void onAttemptEnded(
+      long nowUs,
+      long id,
+      int attemptNumber,
+      AttemptOutcome outcome,
+      long elapsedUs,
+      boolean requestOver) {
+    now = nowUs;
+    Request request = requests.find(id);
+    boolean isKnown = request != null && attemptNumber < request.attempts.size();
+    if (!isKnown || !request.attempts.get(attemptNumber).isInFlight()) {
+      return;
+    }
+    Attempt attempt = request.attempts.get(attemptNumber);
+    attempt.outcome = outcome;
+    request.attemptsInFlight--;
+    inFlight.release(attempt, now);
+    long tookUs = Math.max(1, elapsedUs); // an answer within the clock's step takes time as well
+    outcomes.recordOutcome(attempt, tookUs, now);
+    requests.settle(request, requestOver);
+    if (!request.isOver && request.attemptsInFlight == 0) {
+      requests.placeAgain(request);
+    }
+  }
+
+  /** An endpoint reported how many requests it has in flight. */
+  public void onLoadReport(long nowUs, String endpointId, double inFlight) {
+    now = nowUs;
+    EndpointState endpoint = directory.find(endpointId);
+    if (endpoint != null) {
+      picker.recordLoadReport(endpoint, inFlight);
+    }
+  }
+
+  /** The client has disconnected: no answer is owed. */
+  public void onClientDisconnected(long nowUs, long id) {
+    now = nowUs;
+    Request request = requests.find(id);
+    if (request != null) {
+      requests.settle(request, true);
+    }
+  }
+
+  /** A timer that was scheduled is due. */
+  public void onTimer(long nowUs) {
+    now = nowUs;
+    if (now >= timerUs) {
+      timerUs = Long.MAX_VALUE;
+    }
+  }
+
+  // Decisions
+
+  /** The next thing to do; null when there is none. */
+  public Decision next() {
+    if (decisions.isEmpty()) {
+      decide();
+    }
+    return decisions.poll();
+  }
+
+  private void decide() {
+    if (discovery.takeDue(now)) {
+      decisions.add(new Decision.WatchEndpoints());
+    }
+    scheduler.cancelUnneeded();
+    checks.runDue(now);
+    if (subset.refreshIfStale()) {
+      inFlight.signalCapacity();
+    }
+    if (now == demand.lastFadeUs()) {
+      releaseUnused();
+    }
+    scheduler.placeAll(now);
+    if (inFlight.takeCapacitySignal()) {
+      scheduler.placeWaiting(now);
+    }
+    scheduler.shedWaiting(traffic.successesPerUs(now), meanObjectiveUs, now);
+    scheduleTimer();
+  }
+
+  private void hedge(Request request, long nowUs) {
+    scheduler.hedge(request, nowUs);
+  }
+
+  /** Hundreds of sidecars fill an endpoint with connections that each used for a moment. */
+  private void releaseUnused() {
+    for (EndpointState endpoint : directory.all()) {
+      if (directory.expire(endpoint, now)) {
+        subset.invalidate();
+      }
+      boolean isIdle = endpoint.lastAttemptUs > 0 && endpoint.inFlightCount() == 0;
+      if (isIdle && now - endpoint.lastAttemptUs > UNUSED_US && !endpoints.isInUse(endpoint)) {
+        endpoint.lastAttemptUs = 0;
+        decisions.add(new Decision.ReleaseConnections(endpoint.endpoint.id()));
+      }
+    }
+  }
+
+  private void scheduleTimer() {
+    long dueUs = Math.min(discovery.nextDueUs(), checks.nextDueUs());
+    if (dueUs < timerUs) {
+      timerUs = dueUs;
+      decisions.add(new Decision.ScheduleTimer(Math.max(0, dueUs - now)));
+    }
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -0,0 +1,96 @@
+package dillcross.balancer;
+
+import dillcross.model.AttemptOutcome;
+import java.util.Random;
+
+/**
+ * Ejects endpoints after consecutive failures or too large a share of failures, for a jittered penalty
+ * that ends in one request on probation and doubles where that fails.
+ */
+final class OutlierEjection {
+  private static final int CONSECUTIVE_FAILURES = 5; // the design's threshold
+  private static final double FAILURE_SHARE = 0.4; // five failures in a row cross it too
+  private static final double FAILURE_SAMPLE_WEIGHT = 0.1;
+  private static final long MAX_PENALTY_US = 60_000_000; // the design's ceiling
+  private static final long FIRST_PENALTY_US = 1_000_000; // short, so that a pause costs little
+  private static final double JITTER = 0.2; // of a penalty
+
+  private final Random random;
+  private final SlowStart slowStart;
+  private final EndpointSubset subset;
+
+  OutlierEjection(Random random, SlowStart slowStart, EndpointSubset subset) {
+    this.random = random;
+    this.slowStart = slowStart;
+    this.subset = subset;
+  }
+
+  /** Notes a failure once, whether its silence or its end tells it. */
+  void recordFailure(Attempt attempt, long nowUs) {
+    EjectionState state = attempt.endpoint.ejection;
+    if (!attempt.isSilent) {
+      state.consecutiveFailures++;
+      state.failureShare += FAILURE_SAMPLE_WEIGHT * (1 - state.failureShare);
+    }
+    boolean isOutlier = !attempt.isSilent && !state.isEjected && isOutlier(attempt);
+    if (isOutlier || state.probation == attempt) {
+      boolean bySilence = attempt.isInFlight() && (isOutlier || state.isEjectedBySilence);
+      eject(state, bySilence, nowUs);
+    }
+  }
+
+  private static boolean isOutlier(Attempt attempt) {
+    EjectionState state = attempt.endpoint.ejection;
+    boolean isUnreachable =
+        attempt.outcome == AttemptOutcome.CONNECT_FAILED || attempt.outcome == AttemptOutcome.RESET;
+    return state.consecutiveFailures >= CONSECUTIVE_FAILURES
+        || state.failureShare > FAILURE_SHARE
+        || isUnreachable && attempt.endpoint.removedUs > 0;
+  }
+
+  private void eject(EjectionState state, boolean bySilence, long nowUs) {
+    // It doubles soon after the last, too: who fails half of its requests passes probation at times.
+    boolean isRepeated =
+        state.penaltyUs > 0 && nowUs < state.untilUs + 2 * state.penaltyUs + FIRST_PENALTY_US;
+    state.penaltyUs = isRepeated ? Math.min(MAX_PENALTY_US, 2 * state.penaltyUs) : FIRST_PENALTY_US;
+    double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
+    state.untilUs = nowUs + (long) (state.penaltyUs * jitter);
+    state.isEjectedBySilence = bySilence;
+    state.isEjected = true;
+    state.probation = null;
+    subset.invalidate();
+  }
+
+  /** A success on probation readmits; after silence alone any: it had paused, and is sound. */
+  void recordSuccess(Attempt attempt, long nowUs) {
+    EndpointState endpoint = attempt.endpoint;
+    EjectionState state = endpoint.ejection;
+    state.consecutiveFailures = 0;
+    state.failureShare *= 1 - FAILURE_SAMPLE_WEIGHT;
+    boolean isOnProbation = state.probation == attempt;
+    if (state.isEjected && (isOnProbation || state.isEjectedBySilence)) {
+      state.isEjected = false;
+      state.failureShare = FAILURE_SHARE / 2;
+      subset.invalidate();
+      slowStart.begin(endpoint, isOnProbation ? nowUs : endpoint.slowStart.startUs, nowUs);
+    }
+  }
+
+  /** Whether the request may be the endpoint's one attempt on probation. */
+  boolean isProbationDue(EndpointState endpoint, Request request, long nowUs) {
+    EjectionState state = endpoint.ejection;
+    long extraUs = request.isIdempotent() ? 0 : state.penaltyUs; // it could not be retried elsewhere
+    return state.isEjected
+        && state.probation == null
+        && nowUs >= endpoint.retryAfterUs
+        && nowUs >= state.untilUs + extraUs;
+  }
+
+  /** The attempt has ended; another may be on probation. */
+  void endProbation(Attempt attempt) {
+    EjectionState state = attempt.endpoint.ejection;
+    if (state.probation == attempt) {
+      state.probation = null;
+    }
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -0,0 +1,82 @@
+package dillcross.balancer;
+
+import dillcross.model.ServiceObjective;
+import java.util.function.ObjLongConsumer;
+
+/**
+ * Watches attempts in flight: one that is out far longer than its class takes counts as a failure
+ * before its deadline, and a hedge may help.
+ */
+final class SilenceMonitor {
+  private static final double OVERDUE_FACTOR = 8; // times the expected latency
+
+  private final CheckQueue checks;
+  private final InFlightTracker inFlight;
+  private final OutlierEjection ejection;
+  private final ObjLongConsumer<Request> hedge;
+  private ServiceObjective objective;
+
+  /** Calls {@code hedge} with a request that would gain by a second attempt, and the time. */
+  SilenceMonitor(
+      CheckQueue checks,
+      InFlightTracker inFlight,
+      OutlierEjection ejection,
+      ObjLongConsumer<Request> hedge) {
+    this.checks = checks;
+    this.inFlight = inFlight;
+    this.ejection = ejection;
+    this.hedge = hedge;
+  }
+
+  void configure(ServiceObjective newObjective) {
+    objective = newObjective;
+  }
+
+  /** Checks an attempt that was sent now, until it ends. */
+  void watch(Attempt attempt, long nowUs) {
+    long firstUs = Math.min(overdueAfterUs(attempt) / 2, hedgeAfterUs(attempt.request));
+    checks.schedule(nowUs + firstUs, checkUs -> check(attempt, checkUs));
+  }
+
+  /** After how long an attempt is overdue, in microseconds. */
+  long overdueAfterUs(Attempt attempt) {
+    double slowness = Math.max(1, Math.min(4, attempt.endpoint.latencyRatio));
+    return (long) (OVERDUE_FACTOR * attempt.request.classState.meanLatencyUs() * slowness);
+  }
+
+  /** After how long a hedge has just time enough to be answered within the latency objective. */
+  private long hedgeAfterUs(Request request) {
+    if (objective.tailWeight() == 0) {
+      return Long.MAX_VALUE / 2;
+    }
+    double meanUs = request.classState.meanLatencyUs();
+    double latestUs = request.requestClass.latencyObjectiveUs() - 2 * meanUs;
+    return (long) Math.max(1.5 * meanUs, latestUs);
+  }
+
+  private void check(Attempt attempt, long nowUs) {
+    Request request = attempt.request;
+    if (!attempt.isInFlight() || attempt.isSilent || request.streaming != null) {
+      return;
+    }
+    long overdueUs = overdueAfterUs(attempt);
+    long elapsedUs = nowUs - attempt.sentUs;
+    boolean isOverdue = elapsedUs >= overdueUs;
+    long silentSinceUs = Math.max(attempt.sentUs, nowUs - overdueUs);
+    if (isOverdue && attempt.endpoint.lastSuccessUs <= silentSinceUs) {
+      ejection.recordFailure(attempt, nowUs);
+      inFlight.markSilent(attempt);
+    } else { // it answers others: check again, it may fall silent yet
+      long hedgeUs = hedgeAfterUs(request);
+      long nextUs = elapsedUs < hedgeUs ? hedgeUs - elapsedUs : overdueUs / 2;
+      checks.schedule(
+          nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
+      if (isOverdue && !attempt.isConnectionSuspect) {
+        inFlight.markConnectionSuspect(attempt);
+      }
+    }
+    if (isOverdue || elapsedUs >= hedgeAfterUs(request)) {
+      hedge.accept(request, nowUs);
+    }
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -0,0 +1,68 @@
+package dillcross.balancer;
+
+import dillcross.model.BalancerSettings;
+import dillcross.model.SlowStartPolicy;
+import java.util.Random;
+
+/**
+ * Limits what a fresh or readmitted endpoint gets: one request at a time until it answers, and this
+ * sidecar's part of what all may send within a window.
+ */
+final class SlowStart {
+  private static final double BUDGET_SHARE = 0.7; // of this sidecar's part
+
+  private final Random random;
+  private final TrafficMeter traffic;
+  private SlowStartPolicy policy;
+  private int instances;
+
+  SlowStart(Random random, TrafficMeter traffic) {
+    this.random = random;
+    this.traffic = traffic;
+  }
+
+  void configure(BalancerSettings settings) {
+    policy = settings.slowStart();
+    instances = Math.max(1, settings.instanceCount());
+  }
+
+  /** Has the endpoint warm up from {@code startUs} on; 0, or long ago, counts as warm. */
+  void begin(EndpointState endpoint, long startUs, long nowUs) {
+    boolean isWarm = startUs == 0 || nowUs - startUs > policy.warmUpUs();
+    endpoint.slowStart.startUs = isWarm ? 0 : startUs;
+    endpoint.slowStart.successes = 0;
+  }
+
+  /**
+   * Whether the endpoint may get one more attempt, where {@code endpointsInUse} share this sidecar's
+   * requests.
+   */
+  boolean hasBudget(EndpointState endpoint, long nowUs, int endpointsInUse) {
+    SlowStartState state = endpoint.slowStart;
+    long elapsedUs = nowUs - state.startUs;
+    if (state.startUs == 0 || elapsedUs >= policy.warmUpUs()) {
+      state.startUs = 0;
+      return true;
+    }
+    double initialShare = policy.initialCapacityShare();
+    double progress = Math.max(0, (double) elapsedUs / policy.warmUpUs());
+    double capacityShare = initialShare + (1 - initialShare) * progress;
+    double usual =
+        traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpointsInUse);
+    double floor = AdmissionControl.INITIAL_LIMIT_PER_ENDPOINT / instances;
+    double budget =
+        BUDGET_SHARE * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
+    openWindow(state, nowUs / policy.windowUs());
+    return endpoint.inFlightCount() < 1 + state.successes
+        && state.sentInWindow + 1 <= budget + state.rounding;
+  }
+
+  private void openWindow(SlowStartState state, long window) {
+    if (window != state.window) {
+      state.window = window;
+      state.sentInWindow = 0;
+      // A floor of one attempt a sidecar would add up over hundreds of them.
+      state.rounding = random.nextDouble();
+    }
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
@@ -0,0 +1,45 @@
+package dillcross.balancer;
+
+/** Measures this sidecar's traffic as a whole, as means over a span that is long where it is thin. */
+final class TrafficMeter {
+  private final DecayingAverage baselineWork = new DecayingAverage(); // microseconds a microsecond
+  private final DecayingAverage successRate = new DecayingAverage(); // a microsecond
+  private final DecayingAverage inFlight = new DecayingAverage();
+  private double spanUs;
+  private long firstSuccessUs;
+
+  void setSpan(double newSpanUs) {
+    spanUs = newSpanUs;
+  }
+
+  void widenSpan(double minSpanUs) {
+    spanUs = Math.max(spanUs, minSpanUs);
+  }
+
+  /** A successful answer, of a request that takes {@code baselineLatencyUs} without a queue. */
+  void recordSuccess(double baselineLatencyUs, long nowUs) {
+    firstSuccessUs = firstSuccessUs == 0 ? nowUs : firstSuccessUs;
+    baselineWork.add(baselineLatencyUs / spanUs, nowUs, spanUs);
+    successRate.add(1 / spanUs, nowUs, spanUs);
+  }
+
+  /** Successful answers per microsecond. */
+  double successesPerUs(long nowUs) {
+    return successRate.update(0, nowUs, spanUs);
+  }
+
+  /** How many requests would be in flight without a queue, by Little's law. */
+  double baselineConcurrency(long nowUs) {
+    return baselineWork.update(0, nowUs, spanUs);
+  }
+
+  /** Mean in flight, where {@code current} have been since the last call. */
+  double meanInFlight(int current, long nowUs) {
+    return inFlight.update(current, nowUs, spanUs);
+  }
+
+  /** How much of the span has been measured: 0 before the first answer, towards 1. */
+  double coverage(long nowUs) {
+    return firstSuccessUs == 0 ? 0 : 1 - Math.exp((firstSuccessUs - nowUs) / spanUs);
+  }
+}
--- a/sidecar/src/main/java/dillcross/cli/Serve.java
+++ b/sidecar/src/main/java/dillcross/cli/Serve.java
@@ -1,5 +1,6 @@
 package dillcross.cli;
 
+import dillcross.balancer.LoadBalancer;
 import dillcross.config.FaultyKey;
 import dillcross.config.Given;
 import dillcross.config.Operator;
@@ -11,7 +12,7 @@
 import dillcross.net.Rehearsal;
 import dillcross.net.Roster;
 import dillcross.net.grizzly.GrizzlyNetwork;
-import dillcross.sidecar.Core;
+import dillcross.sidecar.RequestCoordinator;
 import java.io.IOException;
 import java.lang.invoke.MethodHandleProxies;
 import java.lang.invoke.MethodHandles;
@@ -57,7 +58,8 @@
         admin(read);
         known(read);
         Given settings = read.below("settings");
-        settings.instance(read.seed(), ASKS);
+        read.seed();
+        settings.balancerSettings(ASKS);
         settings.subscribes();
         settings.mostTtlUs();
         settings.connectUs();
@@ -86,10 +88,10 @@
         onHangUp(reloads::release); // before all else: unhandled, it would end the program
         Given settings = given.below("settings");
         LongSupplier clock = clock(shiftUs);
-        Core core = new Core(settings.instance(given.seed(), ASKS));
+        RequestCoordinator core = new RequestCoordinator(new LoadBalancer(given.seed(), settings.balancerSettings(ASKS)));
         Roster known = known(given);
         if (known != null) {
-            core.list(clock.getAsLong(), known.version(), true, known.entries(), false);
+            core.onEndpointList(clock.getAsLong(), known.version(), true, known.entries(), false);
         }
         Node node = new Node(new GrizzlyNetwork(), REHEARSALS, core, clock, settings.categories(), settings.mostTtlUs(), given.needed("discovery"),
                 settings.connectUs(), settings.keepUs(), Math.min(given.descriptors(), allowed()),
@@ -101,7 +103,7 @@
             node.asksFirst();
         }
         node.open(admin(given));
-        Rehearsal.run(settings.instance(0, ASKS), settings.categories());
+        Rehearsal.run(new LoadBalancer(0, settings.balancerSettings(ASKS)), settings.categories());
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 node.stop();
@@ -139,7 +141,7 @@
                 }
                 if (changed) {
                     Given settings = next.below("settings");
-                    node.settings((logic, nowUs) -> settings.tell(logic, nowUs, ASKS), settings.categories(),
+                    node.settings(settings.balancerSettings(ASKS), settings.categories(),
                             settings.mostTtlUs(), settings.connectUs(), settings.keepUs());
                 }
             });
--- a/sidecar/src/main/java/dillcross/config/Given.java
+++ b/sidecar/src/main/java/dillcross/config/Given.java
@@ -1,14 +1,14 @@
 package dillcross.config;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import dillcross.Logic;
-import dillcross.model.Category;
-import dillcross.model.ColdRule;
-import dillcross.model.Effect;
-import dillcross.model.Goal;
-import dillcross.model.Group;
-import dillcross.model.ListRule;
-import dillcross.model.PushRule;
+import dillcross.model.BalancerSettings;
+import dillcross.model.RequestClass;
+import dillcross.model.SlowStartPolicy;
+import dillcross.model.Idempotency;
+import dillcross.model.ServiceObjective;
+import dillcross.model.DeduplicationScope;
+import dillcross.model.DiscoveryPolicy;
+import dillcross.model.RetryPolicy;
 import dillcross.model.Tenant;
 import java.io.IOException;
 import java.nio.file.FileSystemException;
@@ -135,16 +135,10 @@
                 && below(path).values.equals(other.below(path).values);
     }
 
-    /** A module with these settings; {@code asks} where the list tells nothing unasked. */
-    public Logic instance(long seed, boolean asks) {
-        return new Logic(seed, zone(), me(), sidecars(), categories(), tenants(), cold(), pushes(), byWork(),
-                list(asks), mostRetryAfterUs(), crossingPrice(), goal());
-    }
-
-    /** Has a module that runs take these settings on; {@code asks} as above. */
-    public void tell(Logic logic, long nowUs, boolean asks) {
-        logic.settings(nowUs, zone(), me(), sidecars(), categories(), tenants(), cold(), pushes(), byWork(),
-                list(asks), mostRetryAfterUs(), crossingPrice(), goal());
+    /** The load balancer's settings; {@code pollRequired} where the list has to be asked for. */
+    public BalancerSettings balancerSettings(boolean pollRequired) {
+        return new BalancerSettings(zone(), me(), sidecars(), categories(), tenants(), cold(), pushes(), byWork(),
+                list(pollRequired), mostRetryAfterUs(), crossingPrice(), goal());
     }
 
     /** Whether the list has to be asked for news, as far as the settings say. */
@@ -173,36 +167,36 @@
         return tenants;
     }
 
-    private ColdRule cold() {
+    private SlowStartPolicy cold() {
         section("rules");
         double share = number("rules.start_capacity", 0.1);
         if (share > 1) {
             throw fault("rules.start_capacity", "out of range: " + share);
         }
-        return new ColdRule(share, micros("rules.warm_up_ms", 30_000), number("rules.fall_multiple", 2),
+        return new SlowStartPolicy(share, micros("rules.warm_up_ms", 30_000), number("rules.fall_multiple", 2),
                 Math.max(1, micros("rules.fall_ms", 1000)));
     }
 
-    private PushRule pushes() {
+    private RetryPolicy pushes() {
         section("limits");
-        return new PushRule(whole("limits.max_pushes", 1, 1), flag("limits.may_duplicate"), flag("limits.cancel"));
+        return new RetryPolicy(whole("limits.max_pushes", 1, 1), flag("limits.may_duplicate"), flag("limits.cancel"));
     }
 
     private boolean byWork() {
         return word("benefit_basis", "request", "work").equals("work");
     }
 
-    private ListRule list(boolean asks) {
-        return new ListRule(asks, micros("rules.ask_within_ms", 5000), flag("rules.dropped_stay_open"), liveWeights());
+    private DiscoveryPolicy list(boolean asks) {
+        return new DiscoveryPolicy(asks, micros("rules.ask_within_ms", 5000), flag("rules.dropped_stay_open"), liveWeights());
     }
 
-    private Goal goal() {
+    private ServiceObjective goal() {
         section("goal");
         double slack = number("goal.tail_slack", 0);
         if (slack > 1) {
             throw fault("goal.tail_slack", "out of range: " + slack);
         }
-        return new Goal(number("goal.punctual", 0), slack);
+        return new ServiceObjective(number("goal.punctual", 0), slack);
     }
 
     private long mostRetryAfterUs() {
@@ -220,15 +214,15 @@
         return word("weight_source", "rough", "nominal", "silent", "live").equals("live");
     }
 
-    public List<Category> categories() {
-        List<Category> categories = new ArrayList<>();
+    public List<RequestClass> categories() {
+        List<RequestClass> categories = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (int i = 0; i < count("categories"); i++) {
             String at = "categories." + i + ".";
             if (!names.add(needed(at + "name"))) {
                 throw fault(at + "name", "stands twice: " + needed(at + "name"));
             }
-            categories.add(new Category(needed(at + "name"), effect(at + "effect"), group(at + "key_scope"),
+            categories.add(new RequestClass(needed(at + "name"), effect(at + "effect"), group(at + "key_scope"),
                     micros(at + "window_ms", 0), time(at + "target_latency_ms", 1000),
                     number(at + "benefit", 1), number(at + "overdue_benefit", 1)));
         }
@@ -296,19 +290,19 @@
     }
 
     /** What is not known to be harmless is taken to be harmful. */
-    private Effect effect(String path) {
+    private Idempotency effect(String path) {
         return switch (word(path, "at_most_once", "deduplicated", "idempotent")) {
-            case "idempotent" -> Effect.REDELIVERABLE;
-            case "deduplicated" -> Effect.DEDUPLICATED;
-            default -> Effect.AT_MOST_ONCE;
+            case "idempotent" -> Idempotency.IDEMPOTENT;
+            case "deduplicated" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            default -> Idempotency.NON_IDEMPOTENT;
         };
     }
 
-    private Group group(String path) {
+    private DeduplicationScope group(String path) {
         return switch (word(path, "cell", "zone", "all")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            default -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            default -> DeduplicationScope.CELL;
         };
     }
 
--- a/sidecar/src/main/java/dillcross/model/Decision.java
+++ b/sidecar/src/main/java/dillcross/model/Decision.java
@@ -1,50 +1,104 @@
 package dillcross.model;
 
-/** One thing for the host to do. Which of the other fields count depends on the kind. */
-public record Decision(Kind kind, long op, int push, String endpoint, long us) {
-    /** What to do. */
-    public enum Kind {
-        /** Push the op to the endpoint; {@code us} is the clock time of the push time-out, 0 for the TTL. */
-        PUSH,
-        /** Final answer: another try is safe; {@code us} is how long to wait before it, 0 for no advice. */
-        NACK,
-        /** Final answer: nothing is promised. */
-        DEAD_LETTER,
-        /** Call back one push of the op. */
-        CANCEL,
-        /** Close the idle connections to the endpoint: it is not in use any more. */
-        RELEASE,
-        /** Subscribe to changes of the list. */
-        LISTEN,
-        /** Call {@code woken} when {@code us} from now have passed. */
-        WAKE
-    }
+/** One thing for the host of a load balancer to carry out; {@link #accept} tells which. */
+public sealed interface Decision {
+  /** Calls the method of {@code handler} that is made for this kind of decision. */
+  void accept(Handler handler);
+
+  /** Receives decisions by their kind. */
+  interface Handler {
+    /** Send the request to an endpoint. */
+    void onSendAttempt(SendAttempt decision);
+
+    /** Give the client its final answer: rejected, another try is safe. */
+    void onReject(Reject decision);
+
+    /** Give the client its final answer: failed, nothing is promised. */
+    void onFail(Fail decision);
+
+    /** Cancel an attempt in flight. */
+    void onCancelAttempt(CancelAttempt decision);
+
+    /** Close the idle connections to an endpoint that is no longer in use. */
+    void onReleaseConnections(ReleaseConnections decision);
+
+    /** Subscribe to changes of the endpoint list. */
+    void onWatchEndpoints(WatchEndpoints decision);
+
+    /** Call the load balancer's timer later. */
+    void onScheduleTimer(ScheduleTimer decision);
+  }
 
-    public static Decision push(long op, String endpoint, long untilUs) {
-        return new Decision(Kind.PUSH, op, 0, endpoint, untilUs);
+  /**
+   * Send the request to an endpoint.
+   *
+   * @param deadlineUs when the attempt times out, in microseconds of the caller's clock; 0 for the
+   *     request's own deadline
+   */
+  record SendAttempt(long requestId, String endpoint, long deadlineUs) implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onSendAttempt(this);
     }
+  }
 
-    public static Decision nack(long op, long retryAfterUs) {
-        return new Decision(Kind.NACK, op, 0, null, retryAfterUs);
+  /**
+   * Final answer: another try is safe.
+   *
+   * @param retryAfterUs how long the client should wait before it, in microseconds; 0 for no advice
+   */
+  record Reject(long requestId, long retryAfterUs) implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onReject(this);
     }
+  }
 
-    public static Decision deadLetter(long op) {
-        return new Decision(Kind.DEAD_LETTER, op, 0, null, 0);
+  /** Final answer: nothing is promised. */
+  record Fail(long requestId) implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onFail(this);
     }
+  }
 
-    public static Decision cancel(long op, int push) {
-        return new Decision(Kind.CANCEL, op, push, null, 0);
+  /**
+   * Cancel an attempt in flight.
+   *
+   * @param attempt its number within the request, from 0
+   */
+  record CancelAttempt(long requestId, int attempt) implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onCancelAttempt(this);
     }
+  }
 
-    public static Decision release(String endpoint) {
-        return new Decision(Kind.RELEASE, 0, 0, endpoint, 0);
+  /** Close the idle connections to an endpoint that is no longer in use. */
+  record ReleaseConnections(String endpoint) implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onReleaseConnections(this);
     }
+  }
 
-    public static Decision listen() {
-        return new Decision(Kind.LISTEN, 0, 0, null, 0);
+  /** Subscribe to changes of the endpoint list. */
+  record WatchEndpoints() implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onWatchEndpoints(this);
     }
+  }
 
-    public static Decision wake(long afterUs) {
-        return new Decision(Kind.WAKE, 0, 0, null, afterUs);
+  /**
+   * Call the load balancer's timer later.
+   *
+   * @param delayUs from now, in microseconds
+   */
+  record ScheduleTimer(long delayUs) implements Decision {
+    @Override
+    public void accept(Handler handler) {
+      handler.onScheduleTimer(this);
     }
+  }
 }
--- a/sidecar/src/main/java/dillcross/model/Tenant.java
+++ b/sidecar/src/main/java/dillcross/model/Tenant.java
@@ -1,5 +1,9 @@
 package dillcross.model;
 
-/** A tenant and the ops a second, over all sidecars, that are within its share. */
-public record Tenant(String name, double quotaPerS) {
-}
+/**
+ * A tenant and its quota.
+ *
+ * @param name as requests name it
+ * @param quotaPerSecond requests a second, over all sidecars; 0 for no quota
+ */
+public record Tenant(String name, double quotaPerSecond) {}
--- a/sidecar/src/main/java/dillcross/net/Discovery.java
+++ b/sidecar/src/main/java/dillcross/net/Discovery.java
@@ -1,7 +1,7 @@
 package dillcross.net;
 
-import dillcross.sidecar.Core;
-import dillcross.sidecar.Order;
+import dillcross.sidecar.RequestCoordinator;
+import dillcross.sidecar.NetworkCommand;
 import java.util.Map;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
@@ -37,17 +37,17 @@
 
     /** One call that is out. */
     private final class Call {
-        final Order.Watch order;
+        final NetworkCommand.WatchEndpoints order;
         Connection connection; // null until it is opened
         long nextUs; // by then it has its answer, or another begins beside it
 
-        Call(Order.Watch order, long nextUs) {
+        Call(NetworkCommand.WatchEndpoints order, long nextUs) {
             this.order = order;
             this.nextUs = nextUs;
         }
     }
 
-    private final Core core;
+    private final RequestCoordinator core;
     private final LongSupplier clock;
     private final Connector connector;
     private String address;
@@ -59,7 +59,7 @@
     private boolean failing;
     private boolean behind = true; // no call has been answered since the start, since one failed, or since the list moved
 
-    Discovery(Network network, Core core, LongSupplier clock, String address, Budget budget) {
+    Discovery(Network network, RequestCoordinator core, LongSupplier clock, String address, Budget budget) {
         this.core = core;
         this.clock = clock;
         this.address = address;
@@ -71,7 +71,7 @@
         connectUs = Math.min(toConnectUs, BESIDE_US / 2);
     }
 
-    void watch(Order.Watch order) {
+    void watch(NetworkCommand.WatchEndpoints order) {
         if (newest != null) {
             return; // the call that is out brings it
         }
@@ -165,7 +165,7 @@
             failing = true;
             LOG.warning("the list can't be had; the last one holds");
         }
-        core.listFailed(clock.getAsLong(), busy ? BUSY_PAUSE_US : PAUSE_US);
+        core.onEndpointListFailure(clock.getAsLong(), busy ? BUSY_PAUSE_US : PAUSE_US);
     }
 
     private Call on(Connection connection) {
@@ -194,10 +194,10 @@
             }
             from.close();
         } else if (call == former) {
-            former = new Call(new Order.Watch(roster.version()), Long.MAX_VALUE);
+            former = new Call(new NetworkCommand.WatchEndpoints(roster.version()), Long.MAX_VALUE);
             former.connection = from;
             ask(former, WATCH_US);
-            core.formerList(clock.getAsLong(), roster.whole(), roster.entries());
+            core.onFormerEndpointList(clock.getAsLong(), roster.whole(), roster.entries());
         } else {
             end(message.keepsAlive() ? from : null);
             behind = false;
@@ -205,7 +205,7 @@
                 failing = false;
                 LOG.info("the list is back");
             }
-            core.list(clock.getAsLong(), roster.version(), roster.whole(), roster.entries(), true);
+            core.onEndpointList(clock.getAsLong(), roster.version(), roster.whole(), roster.entries(), true);
         }
     }
 
--- a/sidecar/src/main/java/dillcross/net/Endpoints.java
+++ b/sidecar/src/main/java/dillcross/net/Endpoints.java
@@ -1,9 +1,9 @@
 package dillcross.net;
 
-import dillcross.sidecar.Core;
-import dillcross.sidecar.Ending;
-import dillcross.sidecar.Order;
-import dillcross.sidecar.Reach;
+import dillcross.sidecar.RequestCoordinator;
+import dillcross.sidecar.AttemptResult;
+import dillcross.sidecar.NetworkCommand;
+import dillcross.sidecar.WriteProgress;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -19,7 +19,7 @@
 final class Endpoints implements Part {
     /** One push that is out. */
     private static final class Exchange {
-        final Order.Push push;
+        final NetworkCommand.SendAttempt push;
         final Pool pool;
         final long sentUs;
         final long connectByUs;
@@ -27,16 +27,16 @@
         boolean sent; // its request was handed over
         Message begun; // its answer, once that is being passed on
 
-        Exchange(Order.Push push, Pool pool, long sentUs, long connectUs) {
+        Exchange(NetworkCommand.SendAttempt push, Pool pool, long sentUs, long connectUs) {
             this.push = push;
             this.pool = pool;
             this.sentUs = sentUs;
             connectByUs = sentUs + connectUs;
         }
 
-        Reach reach() {
-            return !sent ? Reach.NOT_CONNECTED
-                    : connection.written() ? Reach.WHOLE_WRITTEN : Reach.PARTLY_WRITTEN;
+        WriteProgress reach() {
+            return !sent ? WriteProgress.NOT_CONNECTED
+                    : connection.written() ? WriteProgress.FULLY_WRITTEN : WriteProgress.PARTIALLY_WRITTEN;
         }
     }
 
@@ -49,7 +49,7 @@
     // up to 3.7 ms late. Harms where ops come at shorter intervals than this: an endpoint then holds a connection or two more.
     private static final long REST_US = 8_000;
 
-    private final Core core;
+    private final RequestCoordinator core;
     private final LongSupplier clock;
     private final Consumer<Object> latest; // has what came of the list and of that client taken in
     private final Connector connector;
@@ -63,7 +63,7 @@
     private final Set<Connection> connections = new LinkedHashSet<>(); // all that are open or opening
     private long expiredUs;
 
-    Endpoints(Network network, Core core, LongSupplier clock, int most, long mostBody, Budget budget, Consumer<Object> latest) {
+    Endpoints(Network network, RequestCoordinator core, LongSupplier clock, int most, long mostBody, Budget budget, Consumer<Object> latest) {
         this.latest = latest;
         this.core = core;
         this.clock = clock;
@@ -77,7 +77,7 @@
         idleUs = toRestUs;
     }
 
-    void push(Order.Push push) {
+    void push(NetworkCommand.SendAttempt push) {
         Pool pool = pools.get(push.endpoint());
         if (pool == null || !pool.address().equals(push.address())) {
             forget(push.endpoint());
@@ -85,7 +85,7 @@
             pools.put(push.endpoint(), pool);
         }
         Exchange exchange = new Exchange(push, pool, clock.getAsLong(), connectUs);
-        exchanges.put(new Key(push.op(), push.push()), exchange);
+        exchanges.put(new Key(push.requestId(), push.attempt()), exchange);
         exchange.connection = take(pool.free());
         if (exchange.connection != null) {
             exchange.connection.user = exchange; // it may break before it is used
@@ -93,7 +93,7 @@
             return;
         }
         if (connections.size() >= most && !closeOneIdle()) {
-            end(exchange, Ending.Kind.NOT_SENT, null); // our limit is no mark against the endpoint
+            end(exchange, AttemptResult.Kind.NOT_SENT, null); // our limit is no mark against the endpoint
             return;
         }
         connecting.add(exchange);
@@ -152,7 +152,7 @@
 
     private void connected(Exchange exchange, Connection opened) {
         if (opened == null) {
-            end(exchange, Ending.Kind.BROKEN, null);
+            end(exchange, AttemptResult.Kind.CONNECTION_BROKEN, null);
         } else if (connecting.remove(exchange)) {
             exchange.connection = opened;
             opened.user = exchange;
@@ -170,15 +170,15 @@
     boolean sendUp() {
         boolean any = !up.isEmpty();
         for (Exchange waited; (waited = up.poll()) != null;) {
-            Order.Push push = waited.push;
-            if (exchanges.get(new Key(push.op(), push.push())) == waited) {
+            NetworkCommand.SendAttempt push = waited.push;
+            if (exchanges.get(new Key(push.requestId(), push.attempt())) == waited) {
                 latest.accept(push.client());
             }
-            if (exchanges.get(new Key(push.op(), push.push())) == waited) {
-                if (core.sendable(clock.getAsLong(), push.op(), push.push())) {
+            if (exchanges.get(new Key(push.requestId(), push.attempt())) == waited) {
+                if (core.maySend(clock.getAsLong(), push.requestId(), push.attempt())) {
                     send(waited);
                 } else {
-                    end(waited, Ending.Kind.NOT_SENT, null);
+                    end(waited, AttemptResult.Kind.NOT_SENT, null);
                 }
             }
         }
@@ -191,21 +191,21 @@
         exchange.sent = true;
         Message request = (Message) exchange.push.content();
         Map<String, String> fields = request.passedOn();
-        long waitMs = Math.max(1, (exchange.push.untilUs() - clock.getAsLong()) / 1000);
+        long waitMs = Math.max(1, (exchange.push.deadlineUs() - clock.getAsLong()) / 1000);
         fields.put(Names.TIMEOUT, String.valueOf(waitMs));
         connection.write(request.as(Message.request(request.first(), request.second(), fields, Message.NOTHING)));
         if (request.flows() && connection.isOpen()) {
-            long op = exchange.push.op();
+            long op = exchange.push.requestId();
             new Stream(request.from(), connection, request.rest() == Message.UNKNOWN, new Stream.Owner() {
                 @Override
                 public void letGo() {
-                    core.letGo(clock.getAsLong(), op);
+                    core.onBodyReleased(clock.getAsLong(), op);
                 }
 
                 @Override
                 public void over(boolean whole) {
                     if (whole) {
-                        core.came(clock.getAsLong(), op);
+                        core.onBodyComplete(clock.getAsLong(), op);
                     } else {
                         request.from().close(); // its client sent what can't be read
                     }
@@ -214,13 +214,13 @@
         }
     }
 
-    void giveUp(Order.GiveUp order) {
-        Exchange exchange = exchanges.get(new Key(order.op(), order.push()));
+    void giveUp(NetworkCommand.AbandonAttempt order) {
+        Exchange exchange = exchanges.get(new Key(order.requestId(), order.attempt()));
         if (exchange != null) {
-            end(exchange, Ending.Kind.GIVEN_UP, null);
+            end(exchange, AttemptResult.Kind.ABANDONED, null);
             dropOlder(exchange);
         } else { // its turn broke before it was known here: the core must not wait for it for good
-            core.ended(clock.getAsLong(), order.op(), order.push(), new Ending(Ending.Kind.GIVEN_UP, Reach.WHOLE_WRITTEN, null));
+            core.onAttemptEnded(clock.getAsLong(), order.requestId(), order.attempt(), new AttemptResult(AttemptResult.Kind.ABANDONED, WriteProgress.FULLY_WRITTEN, null));
         }
     }
 
@@ -237,12 +237,12 @@
     }
 
     /** Takes the exchange off its connection, which is closed unless the next can use it, and reports the end. */
-    private void end(Exchange exchange, Ending.Kind kind, Message answer) {
-        Key key = new Key(exchange.push.op(), exchange.push.push());
+    private void end(Exchange exchange, AttemptResult.Kind kind, Message answer) {
+        Key key = new Key(exchange.push.requestId(), exchange.push.attempt());
         if (!exchanges.remove(key, exchange)) {
             return;
         }
-        Ending ending = new Ending(kind, exchange.reach(), answer);
+        AttemptResult ending = new AttemptResult(kind, exchange.reach(), answer);
         connecting.remove(exchange);
         Connection connection = exchange.connection;
         if (connection != null) {
@@ -254,7 +254,7 @@
             if (connection.source != null) {
                 connection.source.detach();
             }
-            boolean unused = kind == Ending.Kind.NOT_SENT && connection.connected;
+            boolean unused = kind == AttemptResult.Kind.NOT_SENT && connection.connected;
             boolean whole = answer != null && answer.keepsAlive() && written && connection.in.size() == 0
                     && !connection.reader.flows();
             boolean known = pools.get(exchange.push.endpoint()) == exchange.pool; // it was not to be forgotten meanwhile
@@ -262,14 +262,14 @@
                 connection.idleUs = clock.getAsLong();
                 exchange.pool.free().addLast(connection);
                 connection.pooled = exchange.pool.free();
-            } else if (kind == Ending.Kind.GIVEN_UP && connection.connected) {
+            } else if (kind == AttemptResult.Kind.ABANDONED && connection.connected) {
                 connections.remove(connection);
                 connection.cut(); // or the system goes on sending what was written, and a network that heals brings it after the answer
             } else {
                 close(connection);
             }
         }
-        core.ended(clock.getAsLong(), key.op, key.push, ending);
+        core.onAttemptEnded(clock.getAsLong(), key.op, key.push, ending);
     }
 
     @Override
@@ -279,13 +279,13 @@
             close(connection); // an answer that nobody asked for yet, or one that can't be read
             return;
         }
-        if (!answer.flows() || kind(answer) != Ending.Kind.ACKED) {
+        if (!answer.flows() || kind(answer) != AttemptResult.Kind.SUCCEEDED) {
             end(exchange, kind(answer), answer);
-        } else if (core.begun(clock.getAsLong(), exchange.push.op(), exchange.push.push(), answer)) {
+        } else if (core.onResponseStarted(clock.getAsLong(), exchange.push.requestId(), exchange.push.attempt(), answer)) {
             exchange.begun = answer;
             connection.hold();
         } else {
-            end(exchange, Ending.Kind.ERROR, null); // nobody waits for it any more
+            end(exchange, AttemptResult.Kind.ERROR, null); // nobody waits for it any more
         }
     }
 
@@ -303,18 +303,18 @@
 
             @Override
             public void over(boolean whole) {
-                end(exchange, whole ? Ending.Kind.ACKED : Ending.Kind.BROKEN, answer);
+                end(exchange, whole ? AttemptResult.Kind.SUCCEEDED : AttemptResult.Kind.CONNECTION_BROKEN, answer);
             }
         }).start();
     }
 
-    private static Ending.Kind kind(Message answer) {
+    private static AttemptResult.Kind kind(Message answer) {
         return switch (answer.status()) {
-            case 200 -> Ending.Kind.ACKED;
-            case 503, 504 -> "1".equals(answer.field(Names.NOT_STARTED)) ? Ending.Kind.TURNED_AWAY : Ending.Kind.ERROR;
+            case 200 -> AttemptResult.Kind.SUCCEEDED;
+            case 503, 504 -> "1".equals(answer.field(Names.NOT_STARTED)) ? AttemptResult.Kind.OVERLOADED : AttemptResult.Kind.ERROR;
             // Those speak of the endpoint or the moment; any other 4xx of the op, which no endpoint would take.
-            case 408, 425, 429 -> Ending.Kind.ERROR;
-            default -> answer.status() / 100 == 4 ? Ending.Kind.REJECTED : Ending.Kind.ERROR;
+            case 408, 425, 429 -> AttemptResult.Kind.ERROR;
+            default -> answer.status() / 100 == 4 ? AttemptResult.Kind.CLIENT_ERROR : AttemptResult.Kind.ERROR;
         };
     }
 
@@ -322,7 +322,7 @@
     public void closed(Connection connection) {
         connections.remove(connection);
         if (connection.user != null) {
-            end((Exchange) connection.user, Ending.Kind.BROKEN, null);
+            end((Exchange) connection.user, AttemptResult.Kind.CONNECTION_BROKEN, null);
         } else if (connection.pooled != null) {
             connection.pooled.remove(connection); // the endpoint closed it while it was free
         }
@@ -353,7 +353,7 @@
     /** Ends what does not connect in time, and drops what has been idle for too long. */
     void expire(long nowUs) {
         for (Exchange e; (e = connecting.peekFirst()) != null && e.connectByUs <= nowUs;) {
-            end(e, Ending.Kind.BROKEN, null);
+            end(e, AttemptResult.Kind.CONNECTION_BROKEN, null);
         }
         if (nowUs - expiredUs > 1_000_000) {
             expiredUs = nowUs;
@@ -361,7 +361,7 @@
                 connection.look(nowUs);
                 boolean silent = connection.reader.flows() && !connection.paused() && connection.movedUs > 0 && nowUs - connection.movedUs > idleUs;
                 if (silent && connection.user instanceof Exchange e) {
-                    end(e, Ending.Kind.BROKEN, null); // it gives nothing more, and would hold its place for good
+                    end(e, AttemptResult.Kind.CONNECTION_BROKEN, null); // it gives nothing more, and would hold its place for good
                 }
             }
             for (Pool pool : pools.values()) {
--- a/sidecar/src/main/java/dillcross/net/Listener.java
+++ b/sidecar/src/main/java/dillcross/net/Listener.java
@@ -1,8 +1,9 @@
 package dillcross.net;
 
-import dillcross.model.Category;
-import dillcross.model.Effect;
-import dillcross.sidecar.Core;
+import dillcross.model.RequestClass;
+import dillcross.model.Idempotency;
+import dillcross.sidecar.IncomingRequest;
+import dillcross.sidecar.RequestCoordinator;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -26,9 +27,9 @@
     private static final long LOG_US = 10_000_000;
     private static final Logger LOG = Logger.getLogger(Listener.class.getName());
 
-    private final Core core;
+    private final RequestCoordinator core;
     private final LongSupplier clock;
-    private Map<String, Category> categories = Map.of();
+    private Map<String, RequestClass> categories = Map.of();
     private long mostTtlUs;
     private final int most; // connections
     private final long mostBody; // bytes
@@ -40,7 +41,7 @@
     private long loggedUs;
     private final Life life;
 
-    Listener(Core core, Life life, LongSupplier clock, int most, long mostBody, Budget budget) {
+    Listener(RequestCoordinator core, Life life, LongSupplier clock, int most, long mostBody, Budget budget) {
         this.mostBody = mostBody;
         this.core = core;
         this.life = life;
@@ -58,7 +59,7 @@
     }
 
     /** What may be asked for from now on; requests that are open go on. */
-    void serves(Map<String, Category> served, long longestTtlUs) {
+    void serves(Map<String, RequestClass> served, long longestTtlUs) {
         categories = served;
         mostTtlUs = longestTtlUs;
     }
@@ -146,7 +147,7 @@
         if (connection.user instanceof Waiting waiting) {
             connection.user = null;
             open.remove(waiting.id());
-            core.left(clock.getAsLong(), waiting.op());
+            core.onClientDisconnected(clock.getAsLong(), waiting.op());
         }
         pause(false);
         connection.free();
@@ -166,7 +167,7 @@
     @Override
     public void came(Connection connection) {
         if (connection.user instanceof Waiting waiting) {
-            core.came(clock.getAsLong(), waiting.op());
+            core.onBodyComplete(clock.getAsLong(), waiting.op());
         }
     }
 
@@ -183,12 +184,12 @@
             return;
         }
         int second = path.indexOf('/', 1);
-        Category category = categories.get(second < 0 ? path.substring(1) : path.substring(1, second));
+        RequestClass category = categories.get(second < 0 ? path.substring(1) : path.substring(1, second));
         if (category == null) {
             reject(connection, Message.answer(404, "unknown category"));
             return;
         }
-        String method = category.effect() == Effect.REDELIVERABLE ? "GET" : "POST";
+        String method = category.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST";
         String fault = fault(request, category);
         if (!request.first().equals(method)) {
             reject(connection, Message.notAllowed(method));
@@ -199,8 +200,8 @@
             long ttlUs = Math.min(mostTtlUs, Long.parseLong(request.field(Names.TIMEOUT)) * 1000);
             ttlUs = life.within(ttlUs, mostTtlUs, clock.getAsLong());
             open.add(id);
-            long op = core.arrive(clock.getAsLong(), new Caller(connection, request), request, request.field(Names.TENANT),
-                    category.name(), ttlUs, "1".equals(request.field(Names.REPEAT)), request.flows());
+            long op = core.onRequest(clock.getAsLong(), new IncomingRequest(new Caller(connection, request), request, request.field(Names.TENANT),
+                    category.name(), ttlUs, "1".equals(request.field(Names.REPEAT)), request.flows()));
             connection.user = new Waiting(op, id);
         }
     }
@@ -209,9 +210,9 @@
      * What is wrong with it beside its method, or null. An endpoint would turn it away, or choke on it to the cost of whatever else waits on
      * that connection; so it goes no further.
      */
-    private String fault(Message request, Category category) {
+    private String fault(Message request, RequestClass category) {
         String timeout = request.field(Names.TIMEOUT);
-        boolean keyed = category.effect() == Effect.DEDUPLICATED;
+        boolean keyed = category.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         if (request.first().equals("GET") && request.body().length > 0) {
             return "GET takes no body";
         } else if (timeout == null || !timeout.matches("[0-9]{1,9}") || Long.parseLong(timeout) == 0) {
@@ -383,10 +384,10 @@
         if (connection.reader.flows() && !connection.paused() && stillUs > BRING_US) {
             connection.user = null;
             open.remove(waiting.id());
-            core.left(nowUs, waiting.op());
+            core.onClientDisconnected(nowUs, waiting.op());
             reject(connection, Message.answer(408, "the request stopped coming"));
         } else if (connection.reader.flows() && stillUs > Math.max(BRING_US, mostTtlUs)) {
-            core.stuck(nowUs, waiting.op());
+            core.onBodyStalled(waiting.op());
         } else if (connection.sink != null && connection.out.size() > 0 && stillUs > IDLE_US) {
             connection.close(); // it reads nothing
         }
--- a/sidecar/src/main/java/dillcross/net/Node.java
+++ b/sidecar/src/main/java/dillcross/net/Node.java
@@ -1,9 +1,9 @@
 package dillcross.net;
 
-import dillcross.Logic;
-import dillcross.model.Category;
-import dillcross.sidecar.Core;
-import dillcross.sidecar.Order;
+import dillcross.model.BalancerSettings;
+import dillcross.model.RequestClass;
+import dillcross.sidecar.RequestCoordinator;
+import dillcross.sidecar.NetworkCommand;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -13,7 +13,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import java.util.function.ObjLongConsumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
@@ -28,7 +27,7 @@
     private static final long QUIET_US = 150_000;
     private static final long EXPIRY_US = 200_000;
 
-    private final Core core;
+    private final RequestCoordinator core;
     private final LongSupplier clock;
     private final Network network;
     private final Listener listener;
@@ -57,7 +56,7 @@
     private boolean listFirst; // before it is warm
 
     /** {@code calls} to itself it makes before it is ready, over its own network and through every part. */
-    public Node(Network network, int calls, Core core, LongSupplier clock, Iterable<Category> categories, long mostTtlUs, String discoveryAddress,
+    public Node(Network network, int calls, RequestCoordinator core, LongSupplier clock, Iterable<RequestClass> categories, long mostTtlUs, String discoveryAddress,
             long connectUs, long keepUs, int descriptors, long mostBody, long room) {
         this.network = network;
         rehearsals = calls;
@@ -82,8 +81,8 @@
         }
     }
 
-    private void limits(Iterable<Category> categories, long ttlUs, long connectUs, long keepUs) {
-        Map<String, Category> byName = new LinkedHashMap<>();
+    private void limits(Iterable<RequestClass> categories, long ttlUs, long connectUs, long keepUs) {
+        Map<String, RequestClass> byName = new LinkedHashMap<>();
         categories.forEach(c -> byName.put(c.name(), c));
         mostTtlUs = Math.max(mostTtlUs, ttlUs);
         listener.serves(byName, ttlUs);
@@ -92,9 +91,9 @@
     }
 
     /** Takes new settings on; what is open, kept or learned stays. To be called {@link #between} two turns. */
-    public void settings(ObjLongConsumer<Logic> teller, Iterable<Category> categories, long ttlUs, long connectUs,
+    public void settings(BalancerSettings settings, Iterable<RequestClass> categories, long ttlUs, long connectUs,
             long keepUs) {
-        core.settings(now, teller);
+        core.applySettings(now, settings);
         limits(categories, ttlUs, connectUs, keepUs);
     }
 
@@ -118,7 +117,7 @@
      */
     public void asksFirst() {
         listFirst = true;
-        core.listMoved(now);
+        core.onDiscoveryMoved(now);
     }
 
     /** Takes part among others, from the first turn on; before {@link #open}. */
@@ -209,12 +208,12 @@
     private void rehearse() {
         boolean enough = rehearsed >= rehearsals || now - startedUs > MOST_REHEARSAL_US;
         enough |= self == null;
-        if (!enough && endpoints.busy() || listFirst && !core.heard() && now - startedUs <= FIRST_LIST_US) {
+        if (!enough && endpoints.busy() || listFirst && !core.hasReceivedWatchEvent() && now - startedUs <= FIRST_LIST_US) {
             return;
         }
         for (int i = 0; i < 4 && !enough; i++) {
             Message request = Message.request("GET", inherited ? Names.READY_PATH : Names.HEALTH_PATH, Map.of("host", self), Message.NOTHING);
-            endpoints.push(new Order.Push(-1 - rehearsed++, 0, null, self, self, request, now + MOST_REHEARSAL_US));
+            endpoints.push(new NetworkCommand.SendAttempt(-1 - rehearsed++, 0, null, self, self, request, now + MOST_REHEARSAL_US));
         }
         if (enough) {
             endpoints.forget(self);
@@ -225,7 +224,7 @@
     /** Has the list asked for at another address, at once; all else stays. To be called {@link #between} two turns. */
     public void moveDiscovery(String address) {
         discovery.move(address);
-        core.listMoved(now);
+        core.onDiscoveryMoved(now);
     }
 
     /** Stops accepting when new connections have ceased to come, answers what it has taken, then is done. */
@@ -258,7 +257,7 @@
      * connections that rest may keep, and timers for the list and for the module to wake.
      */
     public Held held() {
-        return new Held(core.held(), core.timers(), endpoints.exchanges(), listener.open(), budget.taken(), faults);
+        return new Held(core.trackedRequests(), core.pendingTimers(), endpoints.exchanges(), listener.open(), budget.taken(), faults);
     }
 
     /** Ops and timers in the core, pushes and requests on the network, bytes of the buffers' limit, and turns that failed. */
@@ -278,7 +277,7 @@
 
     @Override
     public long dueInUs() {
-        long due = Math.min(core.dueUs(), Math.min(endpoints.dueUs(), discovery.dueUs()));
+        long due = Math.min(core.nextTimerUs(), Math.min(endpoints.dueUs(), discovery.dueUs()));
         due = members == null ? due : Math.min(due, members.dueUs());
         return Math.min(due - clock.getAsLong(), life.stopping() ? 5_000 : EXPIRY_US);
     }
@@ -299,7 +298,7 @@
                 rehearse();
             }
             do {
-                for (Order order; (order = core.next(now)) != null;) {
+                for (NetworkCommand order; (order = core.next(now)) != null;) {
                     carryOut(order);
                 }
             } while (endpoints.sendUp());
@@ -318,33 +317,33 @@
         }
     }
 
-    private void carryOut(Order order) {
-        if (order instanceof Order.Push push) {
+    private void carryOut(NetworkCommand order) {
+        if (order instanceof NetworkCommand.SendAttempt push) {
             endpoints.push(push);
-        } else if (order instanceof Order.GiveUp giveUp) {
+        } else if (order instanceof NetworkCommand.AbandonAttempt giveUp) {
             endpoints.giveUp(giveUp);
-        } else if (order instanceof Order.Ack ack) {
+        } else if (order instanceof NetworkCommand.ForwardResponse ack) {
             Message answer = (Message) ack.content();
             listener.answer(ack.client(), Message.answer(200, answer.passedOn(), answer.body()));
-        } else if (order instanceof Order.Pass pass) {
+        } else if (order instanceof NetworkCommand.StartStreaming pass) {
             Listener.Caller caller = (Listener.Caller) pass.client();
             Message answer = (Message) pass.content();
             endpoints.passOn(answer, caller.connection(), listener.pass(caller, answer));
-        } else if (order instanceof Order.Passed passed) {
-            listener.passed((Listener.Caller) passed.client(), passed.whole());
-        } else if (order instanceof Order.Reject reject) {
+        } else if (order instanceof NetworkCommand.FinishStreaming passed) {
+            listener.passed((Listener.Caller) passed.client(), passed.complete());
+        } else if (order instanceof NetworkCommand.ForwardClientError reject) {
             listener.answer(reject.client(), Message.answer(((Message) reject.content()).status(), "turned down"));
-        } else if (order instanceof Order.Nack nack) {
+        } else if (order instanceof NetworkCommand.RejectRequest nack) {
             Message answer = Message.answer(503, "turned away, another try is harmless");
             if (nack.retryAfterUs() > 0) {
                 answer.fields().put(Names.RETRY_AFTER, seconds(nack.retryAfterUs()));
             }
             listener.answer(nack.client(), answer);
-        } else if (order instanceof Order.DeadLetter dead) {
+        } else if (order instanceof NetworkCommand.FailRequest dead) {
             listener.answer(dead.client(), Message.answer(502, "failed"));
-        } else if (order instanceof Order.Forget forget) {
+        } else if (order instanceof NetworkCommand.CloseConnections forget) {
             endpoints.forget(forget.endpoint());
-        } else if (order instanceof Order.Watch watch) {
+        } else if (order instanceof NetworkCommand.WatchEndpoints watch) {
             discovery.watch(watch);
         }
     }
@@ -362,7 +361,7 @@
         }
         if (forUs > ACCEPT_US) {
             boolean quiet = forUs > ACCEPT_US + QUIET_US; // a request may be on its way to us still
-            if (quiet && core.open() == 0 && listener.drained() || forUs > mostTtlUs + ACCEPT_US + QUIET_US) {
+            if (quiet && core.openRequests() == 0 && listener.drained() || forUs > mostTtlUs + ACCEPT_US + QUIET_US) {
                 done.countDown();
             }
         }
--- a/sidecar/src/main/java/dillcross/net/Rehearsal.java
+++ b/sidecar/src/main/java/dillcross/net/Rehearsal.java
@@ -1,14 +1,15 @@
 package dillcross.net;
 
-import dillcross.Logic;
-import dillcross.model.Category;
+import dillcross.balancer.LoadBalancer;
+import dillcross.model.RequestClass;
 import dillcross.model.Endpoint;
 import dillcross.model.Endpoint.Health;
-import dillcross.sidecar.Core;
-import dillcross.sidecar.Ending;
-import dillcross.sidecar.Listed;
-import dillcross.sidecar.Order;
-import dillcross.sidecar.Reach;
+import dillcross.sidecar.RequestCoordinator;
+import dillcross.sidecar.AttemptResult;
+import dillcross.sidecar.EndpointEntry;
+import dillcross.sidecar.IncomingRequest;
+import dillcross.sidecar.NetworkCommand;
+import dillcross.sidecar.WriteProgress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,27 +24,27 @@
     private Rehearsal() {
     }
 
-    public static void run(Logic logic, List<Category> categories) {
-        Core core = new Core(logic);
-        List<Listed> list = new ArrayList<>();
+    public static void run(LoadBalancer logic, List<RequestClass> categories) {
+        RequestCoordinator core = new RequestCoordinator(logic);
+        List<EndpointEntry> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(new Listed(new Endpoint("e" + i, Health.UP, 0, i % 2, "", 1), "none"));
+            list.add(new EndpointEntry(new Endpoint("e" + i, Health.UP, 0, i % 2, "", 1), "none"));
         }
-        core.list(1, 1, true, list, false);
+        core.onEndpointList(1, 1, true, list, false);
         Ring ring = new Ring(1 << 17, new Budget(1 << 20));
         Message request = Message.request("POST", "/a/b", Map.of("host", "a", Names.ID, "1"), new byte[100]);
         long now = 1;
         for (int i = 0; i < OPS; i++, now += 1000) {
             ring.add(request.start());
             Message read = new Reader(true, Reader.WHOLE, Reader.WHOLE).read(ring, false);
-            core.arrive(now, read, read, null, categories.get(i % categories.size()).name(), 500_000, false, false);
-            for (Order order; (order = core.next(now)) != null;) {
-                if (order instanceof Order.Push push) {
+            core.onRequest(now, new IncomingRequest(read, read, null, categories.get(i % categories.size()).name(), 500_000, false, false));
+            for (NetworkCommand order; (order = core.next(now)) != null;) {
+                if (order instanceof NetworkCommand.SendAttempt push) {
                     Message ok = Message.answer(200, "ok");
                     ring.add(ok.start());
                     Message answer = new Reader(false, Reader.WHOLE, Reader.WHOLE).read(ring, false);
-                    core.ended(now, push.op(), push.push(), new Ending(push.op() % 50 == 0 ? Ending.Kind.BROKEN
-                            : Ending.Kind.ACKED, Reach.WHOLE_WRITTEN, answer));
+                    core.onAttemptEnded(now, push.requestId(), push.attempt(), new AttemptResult(push.requestId() % 50 == 0 ? AttemptResult.Kind.CONNECTION_BROKEN
+                            : AttemptResult.Kind.SUCCEEDED, WriteProgress.FULLY_WRITTEN, answer));
                 }
             }
         }
--- a/sidecar/src/main/java/dillcross/net/Roster.java
+++ b/sidecar/src/main/java/dillcross/net/Roster.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import dillcross.model.Endpoint;
 import dillcross.model.Endpoint.Health;
-import dillcross.sidecar.Listed;
+import dillcross.sidecar.EndpointEntry;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /** A list of endpoints as discovery words it, or of those that changed. */
-public record Roster(long version, boolean whole, List<Listed> entries) {
+public record Roster(long version, boolean whole, List<EndpointEntry> entries) {
     /** From the text of an answer; null where it is none. */
     static Roster parse(byte[] text) {
         try {
@@ -22,7 +22,7 @@
 
     /** @throws IllegalArgumentException that says what is wrong */
     public static Roster of(Map<?, ?> map) {
-        List<Listed> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         if (!(map.get("servers") instanceof List<?> servers)) {
             throw new IllegalArgumentException("servers is not a list");
         }
@@ -33,10 +33,10 @@
             Health health = switch (text(server, "state")) {
                 case "in_service" -> Health.UP;
                 case "terminating" -> Health.DRAINING;
-                default -> Health.GONE; // what is not known to be in service gets nothing
+                default -> Health.REMOVED; // what is not known to be in service gets nothing
             };
             double weight = number(server, "weight", 1);
-            entries.add(new Listed(new Endpoint(id, health, (long) (number(server, "started_ms", 0) * 1000),
+            entries.add(new EndpointEntry(new Endpoint(id, health, (long) (number(server, "started_ms", 0) * 1000),
                     (int) number(server, "cell", 0), text(server, "zone"), weight > 0 ? weight : 1),
                     text(server, "addr")));
         }
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
@@ -0,0 +1,48 @@
+package dillcross.sidecar;
+
+import dillcross.model.AttemptOutcome;
+
+/**
+ * How an attempt ended on the network: a value, never an exception.
+ *
+ * @param progress how far the request was written
+ * @param content the answer that is forwarded; null where there is none
+ */
+public record AttemptResult(Kind kind, WriteProgress progress, Object content) {
+  /** What ended it. */
+  public enum Kind {
+    /** A successful answer. */
+    SUCCEEDED,
+    /** An answer that says the endpoint failed. */
+    ERROR,
+    /** An answer that says the endpoint did not start on the request. */
+    OVERLOADED,
+    /** An answer that says the request itself is at fault. */
+    CLIENT_ERROR,
+    /** The connection failed or broke. */
+    CONNECTION_BROKEN,
+    /** The coordinator abandoned it. */
+    ABANDONED,
+    /** It was never started, through no fault of the endpoint. */
+    NOT_SENT
+  }
+
+  /** What it means to the load balancer; {@code timedOut} where it was abandoned for its deadline. */
+  AttemptOutcome outcome(boolean timedOut) {
+    return switch (kind) {
+      case SUCCEEDED -> AttemptOutcome.SUCCEEDED;
+      case ERROR -> AttemptOutcome.ERROR;
+      case OVERLOADED -> AttemptOutcome.OVERLOADED;
+      case CLIENT_ERROR -> AttemptOutcome.CLIENT_ERROR;
+      case CONNECTION_BROKEN -> ifWritten(AttemptOutcome.RESET);
+      case NOT_SENT -> AttemptOutcome.NOT_SENT;
+      case ABANDONED ->
+          timedOut ? ifWritten(AttemptOutcome.TIMED_OUT) : AttemptOutcome.CANCELLED;
+    };
+  }
+
+  /** The endpoint starts with the last byte: what was not fully written has never run. */
+  private AttemptOutcome ifWritten(AttemptOutcome outcome) {
+    return progress == WriteProgress.FULLY_WRITTEN ? outcome : AttemptOutcome.CONNECT_FAILED;
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/sidecar/TimerQueue.java
@@ -0,0 +1,37 @@
+package dillcross.sidecar;
+
+import java.util.Comparator;
+import java.util.PriorityQueue;
+
+/** Timers by due time, then in the order in which they were set. */
+final class TimerQueue {
+  private static final Comparator<Timer> BY_TIME =
+      (a, b) ->
+          a.dueUs != b.dueUs
+              ? Long.compare(a.dueUs, b.dueUs)
+              : Long.compare(a.sequence, b.sequence);
+
+  private final PriorityQueue<Timer> timers = new PriorityQueue<>(BY_TIME);
+  private long nextSequence;
+
+  /** One timer; the request and attempt are 0 where it is of neither. */
+  record Timer(long dueUs, long sequence, TimerKind kind, long requestId, int attempt) {}
+
+  void add(long dueUs, TimerKind kind, long requestId, int attempt) {
+    timers.add(new Timer(dueUs, nextSequence++, kind, requestId, attempt));
+  }
+
+  /** Takes the next timer that is due; null if there is none. */
+  Timer pollDue(long nowUs) {
+    return nextDueUs() <= nowUs ? timers.poll() : null;
+  }
+
+  /** When the next timer is due; {@code Long.MAX_VALUE} if there is none. */
+  long nextDueUs() {
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueUs;
+  }
+
+  int size() {
+    return timers.size();
+  }
+}
--- a/sidecar/src/main/java/dillcross/simhost/Host.java
+++ b/sidecar/src/main/java/dillcross/simhost/Host.java
@@ -1,12 +1,12 @@
 package dillcross.simhost;
 
-import dillcross.Logic;
+import dillcross.balancer.LoadBalancer;
 import dillcross.config.FaultyKey;
 import dillcross.config.Given;
 import dillcross.model.Decision;
 import dillcross.model.Endpoint;
 import dillcross.model.Endpoint.Health;
-import dillcross.model.Outcome;
+import dillcross.model.AttemptOutcome;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -24,9 +24,9 @@
     private static final String HELD = "active:"; // in a load report: the ops that an endpoint holds
     private final BufferedReader in;
     private final OutputStream out;
-    private final Map<Integer, Logic> instances = new HashMap<>();
+    private final Map<Integer, LoadBalancer> instances = new HashMap<>();
     private final Map<Integer, List<Endpoint>> sheets = new HashMap<>();
-    private final Map<Integer, Logic> touched = new LinkedHashMap<>(); // by this batch
+    private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>(); // by this batch
     private final Map<Integer, String> broken = new LinkedHashMap<>(); // what went wrong in this batch
     private final StringBuilder reply = new StringBuilder(1 << 12);
     private long lineNumber;
@@ -69,7 +69,7 @@
             case "open_instance" -> {
                 int sidecar = f.small();
                 long seed = f.whole(0);
-                Logic logic = open(f, seed);
+                LoadBalancer logic = open(f, seed);
                 instances.put(sidecar, logic);
                 touched.put(sidecar, logic);
             }
@@ -80,7 +80,7 @@
             }
             case "endpoints", "knock", "response", "opened", "withdrawn", "sampled", "peer_data", "fired" -> {
                 int sidecar = f.small();
-                Logic logic = instances.get(sidecar);
+                LoadBalancer logic = instances.get(sidecar);
                 if (logic == null) {
                     throw f.malformed("no such instance is open", null);
                 }
@@ -97,7 +97,7 @@
         }
     }
 
-    private static Logic open(Fields f, long seed) {
+    private static LoadBalancer open(Fields f, long seed) {
         Map<String, String> pairs = new HashMap<>();
         while (f.more()) {
             String pair = f.textOrNull();
@@ -108,26 +108,26 @@
         }
         try {
             Given given = Given.pairs(pairs);
-            return given.instance(seed, given.subscribes());
+            return new LoadBalancer(seed, given.balancerSettings(given.subscribes()));
         } catch (FaultyKey e) {
             throw f.malformed(e.getMessage(), e);
         }
     }
 
-    private void tell(String name, Fields f, Logic logic) {
+    private void tell(String name, Fields f, LoadBalancer logic) {
         switch (name) {
             case "endpoints" -> {
                 f.whole(0);
                 int sheet = f.small();
                 String form = f.text();
                 if (form.equals("Error")) {
-                    logic.listFailed(now, Long.MAX_VALUE);
+                    logic.onEndpointListFailure(now, Long.MAX_VALUE);
                 } else {
                     List<Endpoint> entries = sheets.get(sheet);
                     if (entries == null) {
                         throw f.malformed("no such list", null);
                     }
-                    logic.list(now, !form.equals("Partial"), entries);
+                    logic.onEndpointList(now, !form.equals("Partial"), entries);
                 }
             }
             case "knock" -> {
@@ -138,35 +138,35 @@
                 f.textOrNull();
                 long marks = f.whole(0);
                 String category = f.text();
-                logic.arrive(now, op, tenant, category, ttl, (marks & 2) != 0);
+                logic.onRequest(now, op, tenant, category, ttl, (marks & 2) != 0);
             }
             case "response" -> {
                 long op = f.whole(0);
-                Outcome outcome = outcome(f);
+                AttemptOutcome outcome = outcome(f);
                 String endpoint = f.text();
                 boolean over = f.flag();
                 long took = f.micros(0);
                 int push = f.small();
                 reported(logic, endpoint, f.more() ? f.textOrNull() : null);
-                logic.ended(now, op, push, outcome, took, over);
+                logic.onAttemptEnded(now, op, push, outcome, took, over);
             }
             case "opened" -> {
                 long op = f.whole(0);
                 f.text();
                 f.micros(0);
-                logic.streaming(now, op, f.small());
+                logic.onResponseStarted(now, op, f.small());
             }
-            case "withdrawn" -> logic.left(now, f.whole(0));
-            case "fired" -> logic.woken(now);
+            case "withdrawn" -> logic.onClientDisconnected(now, f.whole(0));
+            case "fired" -> logic.onTimer(now);
             default -> { } // nothing asks for probes or for other sidecars' messages
         }
     }
 
     /** Tells what an endpoint holds, where its load report says so. */
-    private void reported(Logic logic, String endpoint, String report) {
+    private void reported(LoadBalancer logic, String endpoint, String report) {
         for (String part : report == null ? new String[0] : report.split(",")) {
             if (part.startsWith(HELD)) {
-                logic.reported(now, endpoint, new Fields(part.substring(HELD.length()), lineNumber).real(0));
+                logic.onLoadReport(now, endpoint, new Fields(part.substring(HELD.length()), lineNumber).real(0));
             }
         }
     }
@@ -187,32 +187,35 @@
             int cell = f.small();
             String zone = f.textOrNull();
             entries.add(new Endpoint(id, health.equals("up") ? Health.UP
-                    : health.equals("draining") ? Health.DRAINING : Health.GONE, started, cell,
+                    : health.equals("draining") ? Health.DRAINING : Health.REMOVED, started, cell,
                     zone == null ? "" : zone, weight > 0 ? weight : 1));
         }
         return entries;
     }
 
-    private static Outcome outcome(Fields f) {
+    private static AttemptOutcome outcome(Fields f) {
         int reason = f.small();
         return switch (reason) {
-            case 0 -> Outcome.ACKED;
-            case 13 -> Outcome.ERROR;
-            case 8 -> Outcome.FULL;
-            case 4 -> Outcome.TIMED_OUT;
-            case 14 -> Outcome.CONNECT_FAILED;
-            case 10 -> Outcome.RESET;
-            case 1 -> Outcome.CANCELLED;
-            case 9 -> Outcome.MOOT;
+            case 0 -> AttemptOutcome.SUCCEEDED;
+            case 13 -> AttemptOutcome.ERROR;
+            case 8 -> AttemptOutcome.OVERLOADED;
+            case 4 -> AttemptOutcome.TIMED_OUT;
+            case 14 -> AttemptOutcome.CONNECT_FAILED;
+            case 10 -> AttemptOutcome.RESET;
+            case 1 -> AttemptOutcome.CANCELLED;
+            case 9 -> AttemptOutcome.NOT_SENT;
             default -> throw f.malformed("unknown outcome " + reason, null);
         };
     }
 
     private void answer() throws IOException {
         touched.forEach((sidecar, logic) -> {
+            Encoder encoder = new Encoder(sidecar);
             try {
-                for (Decision d; !broken.containsKey(sidecar) && (d = logic.next()) != null;) {
-                    encode(sidecar, d);
+                Decision decision = broken.containsKey(sidecar) ? null : logic.next();
+                while (decision != null) {
+                    decision.accept(encoder);
+                    decision = logic.next();
                 }
             } catch (RuntimeException e) {
                 broken.put(sidecar, described(e));
@@ -228,32 +231,58 @@
         broken.clear();
     }
 
-    private void encode(int sidecar, Decision d) {
-        switch (d.kind()) {
-            case PUSH -> {
-                line("forward", sidecar, d.op()).append(' ');
-                if (d.us() == 0) {
-                    reply.append('-');
-                } else {
-                    millis(d.us());
-                }
-                reply.append(' ').append(d.endpoint());
-            }
-            case NACK -> {
-                line("not_now", sidecar, d.op()).append(' ');
-                millis(d.us());
-            }
-            case DEAD_LETTER -> line("report_failure", sidecar, d.op());
-            case CANCEL -> line("undo_send", sidecar, d.op()).append(' ').append(d.push());
-            case RELEASE -> reply.append("close_idle ").append(sidecar).append(' ').append(d.endpoint());
-            case LISTEN -> line("listen", sidecar, 1);
-            case WAKE -> {
-                reply.append("wake_at ").append(sidecar).append(' ');
-                millis(d.us());
-                reply.append(" w");
+    /** Writes decisions of one instance as lines of the wire. */
+    private final class Encoder implements Decision.Handler {
+        private final int sidecar;
+
+        Encoder(int sidecar) {
+            this.sidecar = sidecar;
+        }
+
+        @Override
+        public void onSendAttempt(Decision.SendAttempt decision) {
+            line("forward", sidecar, decision.requestId()).append(' ');
+            if (decision.deadlineUs() == 0) {
+                reply.append('-');
+            } else {
+                millis(decision.deadlineUs());
             }
+            reply.append(' ').append(decision.endpoint()).append('\n');
+        }
+
+        @Override
+        public void onReject(Decision.Reject decision) {
+            line("not_now", sidecar, decision.requestId()).append(' ');
+            millis(decision.retryAfterUs());
+            reply.append('\n');
+        }
+
+        @Override
+        public void onFail(Decision.Fail decision) {
+            line("report_failure", sidecar, decision.requestId()).append('\n');
+        }
+
+        @Override
+        public void onCancelAttempt(Decision.CancelAttempt decision) {
+            line("undo_send", sidecar, decision.requestId()).append(' ').append(decision.attempt()).append('\n');
+        }
+
+        @Override
+        public void onReleaseConnections(Decision.ReleaseConnections decision) {
+            reply.append("close_idle ").append(sidecar).append(' ').append(decision.endpoint()).append('\n');
+        }
+
+        @Override
+        public void onWatchEndpoints(Decision.WatchEndpoints decision) {
+            line("listen", sidecar, 1).append('\n');
+        }
+
+        @Override
+        public void onScheduleTimer(Decision.ScheduleTimer decision) {
+            reply.append("wake_at ").append(sidecar).append(' ');
+            millis(decision.delayUs());
+            reply.append(" w\n");
         }
-        reply.append('\n');
     }
 
     private StringBuilder line(String name, int sidecar, long value) {
--- a/sidecar/src/test/java/dillcross/PackagesTest.java
+++ b/sidecar/src/test/java/dillcross/PackagesTest.java
@@ -15,18 +15,18 @@
     private static final String[] IO = {"java.io..", "java.net..", "java.nio..", "java.util.concurrent..", "java.time..", "org.glassfish.."};
 
     @Test
-    void theModuleSeesTheModelAlone() {
-        classes().that().resideInAPackage("dillcross").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("dillcross", "dillcross.model", "java.lang..", "java.util", "java.util.stream", "java.util.function").check(CLASSES);
+    void theBalancerSeesTheModelAlone() {
+        classes().that().resideInAPackage("dillcross.balancer").should().onlyDependOnClassesThat()
+                .resideInAnyPackage("dillcross.balancer", "dillcross.model", "java.lang..", "java.util", "java.util.stream", "java.util.function").check(CLASSES);
         classes().that().resideInAPackage("dillcross.model").should().onlyDependOnClassesThat()
                 .resideInAnyPackage("dillcross.model", "java.lang..", "java.util", "java.util.stream", "java.util.function").check(CLASSES);
     }
 
     @Test
-    void theCoreHasNoInputOutputAndNoClock() {
-        noClasses().that().resideInAnyPackage("dillcross", "dillcross.sidecar..", "dillcross.membership..").should().dependOnClassesThat()
+    void balancerAndCoordinatorHaveNoInputOutputAndNoClock() {
+        noClasses().that().resideInAnyPackage("dillcross.balancer", "dillcross.model", "dillcross.sidecar..", "dillcross.membership..").should().dependOnClassesThat()
                 .resideInAnyPackage(IO).check(CLASSES);
-        noClasses().that().resideInAnyPackage("dillcross", "dillcross.sidecar..", "dillcross.membership..").should().callMethod(System.class, "nanoTime")
+        noClasses().that().resideInAnyPackage("dillcross.balancer", "dillcross.model", "dillcross.sidecar..", "dillcross.membership..").should().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
     }
 
--- a/sidecar/src/test/java/dillcross/config/GivenTest.java
+++ b/sidecar/src/test/java/dillcross/config/GivenTest.java
@@ -54,7 +54,7 @@
             given.seed();
             given.descriptors();
             Given settings = given.below("settings");
-            settings.instance(1, settings.subscribes());
+            settings.balancerSettings(settings.subscribes());
             settings.connectUs();
         });
         assertTrue(fault.getMessage().startsWith(key) || fault.getMessage().contains(key + ":"), fault.getMessage());
@@ -83,7 +83,7 @@
         String told = null;
         try {
             next.needed("discovery");
-            next.below("settings").instance(1, true);
+            next.below("settings").balancerSettings(true);
             next.below("settings").mostTtlUs();
             next.replaces(before);
         } catch (FaultyKey faulty) {
--- a/sidecar/src/test/java/dillcross/net/DiscoveryTest.java
+++ b/sidecar/src/test/java/dillcross/net/DiscoveryTest.java
@@ -4,18 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.Logic;
-import dillcross.model.Category;
-import dillcross.model.ColdRule;
-import dillcross.model.Effect;
+import dillcross.balancer.LoadBalancer;
+import dillcross.model.BalancerSettings;
+import dillcross.model.RequestClass;
+import dillcross.model.SlowStartPolicy;
+import dillcross.model.Idempotency;
 import dillcross.model.Endpoint;
-import dillcross.model.Goal;
-import dillcross.model.Group;
-import dillcross.model.ListRule;
-import dillcross.model.PushRule;
-import dillcross.sidecar.Core;
-import dillcross.sidecar.Listed;
-import dillcross.sidecar.Order;
+import dillcross.model.ServiceObjective;
+import dillcross.model.DeduplicationScope;
+import dillcross.model.DiscoveryPolicy;
+import dillcross.model.RetryPolicy;
+import dillcross.sidecar.RequestCoordinator;
+import dillcross.sidecar.EndpointEntry;
+import dillcross.sidecar.NetworkCommand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -127,8 +128,8 @@
 
     private final Lines network = new Lines();
     private long now;
-    private Logic logic;
-    private Core core;
+    private LoadBalancer logic;
+    private RequestCoordinator core;
     private Discovery discovery;
     private Service service;
 
@@ -144,15 +145,15 @@
 
     /** A process starts, with a list that has the endpoint in service. */
     private void start(long seed, int sidecars, boolean pushed) {
-        logic = new Logic(seed, "", 0, sidecars, List.of(new Category("read", Effect.REDELIVERABLE, Group.ALL, 0, 400_000, 1, 1)), List.of(),
-                new ColdRule(0.3, 1_000_000, 3, 1_000_000), new PushRule(3, true, true), false,
-                new ListRule(true, 5_000_000, false, false), 0, 0, new Goal(0, 0));
-        core = new Core(logic);
-        core.list(now, 1, true, List.of(new Listed(new Endpoint("a", Endpoint.Health.UP, 0, 0, "", 1), "127.0.0.1:9")), false);
+        logic = new LoadBalancer(seed, new BalancerSettings("", 0, sidecars, List.of(new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1)), List.of(),
+                new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000), new RetryPolicy(3, true, true), false,
+                new DiscoveryPolicy(true, 5_000_000, false, false), 0, 0, new ServiceObjective(0, 0)));
+        core = new RequestCoordinator(logic);
+        core.onEndpointList(now, 1, true, List.of(new EndpointEntry(new Endpoint("a", Endpoint.Health.UP, 0, 0, "", 1), "127.0.0.1:9")), false);
         discovery = new Discovery(network, core, () -> now, FIRST, new Budget(1 << 24));
         discovery.limits(1_000_000);
         if (pushed) {
-            core.listMoved(now);
+            core.onDiscoveryMoved(now);
         }
     }
 
@@ -160,8 +161,8 @@
         now += STEP_US;
         service.step();
         discovery.expire(now);
-        for (Order order; (order = core.next(now)) != null;) {
-            if (order instanceof Order.Watch watch) {
+        for (NetworkCommand order; (order = core.next(now)) != null;) {
+            if (order instanceof NetworkCommand.WatchEndpoints watch) {
                 discovery.watch(watch);
             }
         }
@@ -170,7 +171,7 @@
     private void happens(Event event, long forUs, long seed, int sidecars, boolean pushed) {
         if (event == Event.MOVES) {
             discovery.move(SECOND);
-            core.listMoved(now);
+            core.onDiscoveryMoved(now);
         } else if (event == Event.RESTARTS) {
             List.copyOf(network.lines).forEach(Lines.Line::close);
             start(seed + 1, sidecars, pushed);
@@ -210,7 +211,7 @@
         long from = changedUs;
         boolean begun = false;
         boolean followed = false;
-        while (logic.knows("a")) {
+        while (logic.isListed("a")) {
             if (!begun && now >= firstUs) {
                 begun = true;
                 happens(first, lastsUs, seed, sidecars, pushed);
@@ -245,7 +246,7 @@
         service = new Service();
         now = 1_000_000_000;
         start(1, 100, false);
-        while (!core.heard()) {
+        while (!core.hasReceivedWatchEvent()) {
             step();
         }
         service.only = SECOND;
@@ -257,7 +258,7 @@
         service.version = 2;
         step();
         step();
-        assertFalse(logic.knows("a"), "its watch was open");
+        assertFalse(logic.isListed("a"), "its watch was open");
         for (long untilUs = now + 12_000_000; now < untilUs;) {
             step();
         }
@@ -273,7 +274,7 @@
         start(1, 1, true);
         service.slowUs = 4_000_000; // longer than a call has before the next
         service.begins(Event.IS_SLOW, 60_000_000);
-        while (!core.heard() && now < 1_030_000_000) {
+        while (!core.hasReceivedWatchEvent() && now < 1_030_000_000) {
             step();
         }
         assertEquals(0, (now - 1_000_000_000 - service.slowUs) / 200_000, "with the first answer, " + (now - 1_000_000_000));
--- a/sidecar/src/test/java/dillcross/net/EndpointsTest.java
+++ b/sidecar/src/test/java/dillcross/net/EndpointsTest.java
@@ -4,18 +4,20 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.Logic;
-import dillcross.model.Category;
-import dillcross.model.ColdRule;
-import dillcross.model.Effect;
+import dillcross.balancer.LoadBalancer;
+import dillcross.model.BalancerSettings;
+import dillcross.model.RequestClass;
+import dillcross.model.SlowStartPolicy;
+import dillcross.model.Idempotency;
 import dillcross.model.Endpoint;
-import dillcross.model.Goal;
-import dillcross.model.Group;
-import dillcross.model.ListRule;
-import dillcross.model.PushRule;
-import dillcross.sidecar.Core;
-import dillcross.sidecar.Listed;
-import dillcross.sidecar.Order;
+import dillcross.model.ServiceObjective;
+import dillcross.model.DeduplicationScope;
+import dillcross.model.DiscoveryPolicy;
+import dillcross.model.RetryPolicy;
+import dillcross.sidecar.RequestCoordinator;
+import dillcross.sidecar.EndpointEntry;
+import dillcross.sidecar.IncomingRequest;
+import dillcross.sidecar.NetworkCommand;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -31,11 +33,11 @@
     private final List<Lines.Line> lines = network.lines;
     private long now = 1_000_000;
     private long last; // op
-    private final Core core = new Core(new Logic(1, "east", 0, 1, List.of(category("read", Effect.REDELIVERABLE), category("once", Effect.AT_MOST_ONCE)),
-            List.of(), new ColdRule(0.3, 1_000_000, 3, 1_000_000), new PushRule(3, true, true), false, new ListRule(false, 10_000_000, false, false), 0, 0,
-            new Goal(0, 0)));
+    private final RequestCoordinator core = new RequestCoordinator(new LoadBalancer(1, new BalancerSettings("east", 0, 1, List.of(category("read", Idempotency.IDEMPOTENT), category("once", Idempotency.NON_IDEMPOTENT)),
+            List.of(), new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000), new RetryPolicy(3, true, true), false, new DiscoveryPolicy(false, 10_000_000, false, false), 0, 0,
+            new ServiceObjective(0, 0))));
     private final Endpoints endpoints = new Endpoints(network, core, () -> now, 100, 1 << 20, new Budget(1 << 20), this::latest);
-    private final List<Order> answers = new ArrayList<>();
+    private final List<NetworkCommand> answers = new ArrayList<>();
     private final List<Object> looked = new ArrayList<>(); // whose ends were looked for before a request went out
     private Runnable meanwhile = () -> { }; // what came since the turn gathered
 
@@ -45,7 +47,7 @@
     }
 
     private void tell(String... ids) {
-        core.list(now, 1, false, java.util.Arrays.stream(ids).map(id -> new Listed(new Endpoint(id, Endpoint.Health.UP, 0, 1, "east", 1), "127.0.0.1:1")).toList(), false);
+        core.onEndpointList(now, 1, false, java.util.Arrays.stream(ids).map(id -> new EndpointEntry(new Endpoint(id, Endpoint.Health.UP, 0, 1, "east", 1), "127.0.0.1:1")).toList(), false);
     }
 
     private void latest(Object client) {
@@ -53,21 +55,21 @@
         meanwhile.run();
     }
 
-    private static Category category(String name, Effect effect) {
-        return new Category(name, effect, Group.ALL, 0, 20_000_000, 1, 1);
+    private static RequestClass category(String name, Idempotency effect) {
+        return new RequestClass(name, effect, DeduplicationScope.ALL, 0, 20_000_000, 1, 1);
     }
 
     private void arrive(String category) {
-        last = core.arrive(now, "client", Message.request("GET", "/" + category, Map.of("host", "a"), Message.NOTHING), null, category, 5_000_000, false, false);
+        last = core.onRequest(now, new IncomingRequest("client", Message.request("GET", "/" + category, Map.of("host", "a"), Message.NOTHING), null, category, 5_000_000, false, false));
         turn();
     }
 
     private void turn() {
         do {
-            for (Order order; (order = core.next(now)) != null;) {
-                if (order instanceof Order.Push push) {
+            for (NetworkCommand order; (order = core.next(now)) != null;) {
+                if (order instanceof NetworkCommand.SendAttempt push) {
                     endpoints.push(push);
-                } else if (order instanceof Order.GiveUp giveUp) {
+                } else if (order instanceof NetworkCommand.AbandonAttempt giveUp) {
                     endpoints.giveUp(giveUp);
                 } else {
                     answers.add(order);
@@ -109,7 +111,7 @@
     void nothingIsSentBeforeAllOfTheTurnIsRead() {
         arrive("read");
         lines.get(0).up();
-        core.list(now, 2, false, List.of(new Listed(new Endpoint("a", Endpoint.Health.DRAINING, 0, 1, "east", 1), "127.0.0.1:1")), false);
+        core.onEndpointList(now, 2, false, List.of(new EndpointEntry(new Endpoint("a", Endpoint.Health.DRAINING, 0, 1, "east", 1), "127.0.0.1:1")), false);
         turn();
         assertEquals(0, lines.get(0).requests());
     }
@@ -126,9 +128,9 @@
         assertEquals(1, lines.get(0).requests());
         meanwhile = () -> {
             if (what == Meanwhile.DRAINS) {
-                core.list(now, 2, false, List.of(new Listed(new Endpoint("a", Endpoint.Health.DRAINING, 0, 1, "east", 1), "127.0.0.1:1")), false);
+                core.onEndpointList(now, 2, false, List.of(new EndpointEntry(new Endpoint("a", Endpoint.Health.DRAINING, 0, 1, "east", 1), "127.0.0.1:1")), false);
             } else {
-                core.left(now, last);
+                core.onClientDisconnected(now, last);
             }
             meanwhile = () -> { };
         };
@@ -154,7 +156,7 @@
         }
         turn();
         assertEquals(0, lines.get(0).requests());
-        assertTrue(answers.stream().noneMatch(o -> o instanceof Order.Ack || o instanceof Order.DeadLetter), "" + answers);
+        assertTrue(answers.stream().noneMatch(o -> o instanceof NetworkCommand.ForwardResponse || o instanceof NetworkCommand.FailRequest), "" + answers);
         assertEquals(2, lines.size(), "another endpoint is asked");
     }
 
@@ -163,13 +165,13 @@
     /** A turn that broke after the core counted a push as out: its end is reported all the same, once that is asked for. */
     @Test
     void aPushThatNeverCameHereIsOverWhenItIsGivenUp() {
-        core.arrive(now, "client", Message.request("GET", "/read", Map.of("host", "a"), Message.NOTHING), null, "read", 5_000_000, false, false);
-        while (!(core.next(now) instanceof Order.Push)) {
+        core.onRequest(now, new IncomingRequest("client", Message.request("GET", "/read", Map.of("host", "a"), Message.NOTHING), null, "read", 5_000_000, false, false));
+        while (!(core.next(now) instanceof NetworkCommand.SendAttempt)) {
             // and that order is lost
         }
         pass(5_000_000);
         pass(50_000);
-        assertEquals(0, core.held(), "nothing is kept of it");
+        assertEquals(0, core.trackedRequests(), "nothing is kept of it");
         assertEquals(1, answers.size(), "" + answers);
     }
 }
