--- a/emulator/src/main/java/dillcross/emulator/chance/Chance.java
+++ b/emulator/src/main/java/dillcross/emulator/chance/Chance.java
@@ -6,67 +6,70 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One stream of chance. Each part of the world, and each fault, has a stream of its own, named and not numbered: what one
- * draws, and whether it is there at all, shifts nothing of what another draws.
+ * One stream of chance. Each part of the world, and each fault, has a stream of its own, named and
+ * not numbered: what one draws, and whether it is there at all, shifts nothing of what another
+ * draws.
  */
 public final class Chance {
-    private static final long MIX = 0x9E3779B97F4A7C15L;
-    private final long seed;
-    private final String path;
-    private final UniformRandomProvider draws;
+  private static final long MIX = 0x9E3779B97F4A7C15L;
+  private final long seed;
+  private final String path;
+  private final UniformRandomProvider draws;
 
-    private Chance(long seed, String path) {
-        this.seed = seed;
-        this.path = path;
-        long name = 1125899906842597L;
-        for (int i = 0; i < path.length(); i++) {
-            name = (name ^ path.charAt(i)) * MIX;
-            name ^= name >>> 29;
-        }
-        draws = RandomSource.L64_X128_MIX.create(new long[] {seed, name, seed * MIX + name, ~name});
+  private Chance(long seed, String path) {
+    this.seed = seed;
+    this.path = path;
+    long name = 1125899906842597L;
+    for (int i = 0; i < path.length(); i++) {
+      name = (name ^ path.charAt(i)) * MIX;
+      name ^= name >>> 29;
     }
+    draws = RandomSource.L64_X128_MIX.create(new long[] {seed, name, seed * MIX + name, ~name});
+  }
 
-    public static Chance of(long seed) {
-        return new Chance(seed, "");
-    }
+  public static Chance of(long seed) {
+    return new Chance(seed, "");
+  }
 
-    /** The stream of that name below this one; the same for the same seed, whatever was drawn before. */
-    public Chance named(String name) {
-        return new Chance(seed, path + "/" + name);
-    }
+  /**
+   * The stream of that name below this one; the same for the same seed, whatever was drawn before.
+   */
+  public Chance named(String name) {
+    return new Chance(seed, path + "/" + name);
+  }
 
-    public boolean happens(double share) {
-        return share > 0 && draws.nextDouble() < share;
-    }
+  public boolean happens(double share) {
+    return share > 0 && draws.nextDouble() < share;
+  }
 
-    /** Evenly from a range, its ends included. */
-    public long between(long least, long most) {
-        return most <= least ? least : least + draws.nextLong(most - least + 1);
-    }
+  /** Evenly from a range, its ends included. */
+  public long between(long least, long most) {
+    return most <= least ? least : least + draws.nextLong(most - least + 1);
+  }
 
-    public double between(double least, double most) {
-        return least + (most - least) * draws.nextDouble();
-    }
+  public double between(double least, double most) {
+    return least + (most - least) * draws.nextDouble();
+  }
 
-    /** Of a mean, with the spread of independent arrivals. */
-    public double exponential(double mean) {
-        return mean <= 0 ? 0 : ZigguratSampler.Exponential.of(draws, mean).sample();
-    }
+  /** Of a mean, with the spread of independent arrivals. */
+  public double exponential(double mean) {
+    return mean <= 0 ? 0 : ZigguratSampler.Exponential.of(draws, mean).sample();
+  }
 
-    /** Of a mean; the spread is that of the logarithm, 0 for none. */
-    public double logNormal(double mean, double spread) {
-        if (spread <= 0) {
-            return mean;
-        }
-        double normal = ZigguratSampler.NormalizedGaussian.of(draws).sample();
-        return mean * Math.exp(spread * normal - spread * spread / 2);
+  /** Of a mean; the spread is that of the logarithm, 0 for none. */
+  public double logNormal(double mean, double spread) {
+    if (spread <= 0) {
+      return mean;
     }
+    double normal = ZigguratSampler.NormalizedGaussian.of(draws).sample();
+    return mean * Math.exp(spread * normal - spread * spread / 2);
+  }
 
-    public <T> T oneOf(List<T> all) {
-        return all.get(draws.nextInt(all.size()));
-    }
+  public <T> T oneOf(List<T> all) {
+    return all.get(draws.nextInt(all.size()));
+  }
 
-    public long any() {
-        return draws.nextLong();
-    }
+  public long any() {
+    return draws.nextLong();
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/cli/FaultyInput.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/FaultyInput.java
@@ -5,14 +5,15 @@
 
 /** Input that can't be used is said and no failure of ours, for each command alike. */
 public final class FaultyInput implements CommandLine.IExecutionExceptionHandler {
-    private static final int STATUS = 2;
+  private static final int STATUS = 2;
 
-    @Override
-    public int handleExecutionException(Exception e, CommandLine line, CommandLine.ParseResult parsed) throws Exception {
-        if (!(e instanceof Faulty)) {
-            throw e;
-        }
-        System.err.println(e.getMessage());
-        return STATUS;
+  @Override
+  public int handleExecutionException(Exception e, CommandLine line, CommandLine.ParseResult parsed)
+      throws Exception {
+    if (!(e instanceof Faulty)) {
+      throw e;
     }
+    System.err.println(e.getMessage());
+    return STATUS;
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/cli/Main.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/Main.java
@@ -7,17 +7,18 @@
 
 /** Where the emulator starts. */
 public final class Main {
-    private Main() {
-    }
+  private Main() {}
 
-    public static void main(String[] args) {
-        System.exit(run(args));
-    }
+  public static void main(String[] args) {
+    System.exit(run(args));
+  }
 
-    /** The exit status: 0 clean, 1 rules broken, 2 faulty input. */
-    static int run(String... args) {
-        LogManager.getLogManager().reset(); // thousands of sidecars say each that they are ready
-        Logger.getLogger("dillcross").setLevel(Level.OFF);
-        return new CommandLine(new Commands()).setExecutionExceptionHandler(new FaultyInput()).execute(args);
-    }
+  /** The exit status: 0 clean, 1 rules broken, 2 faulty input. */
+  static int run(String... args) {
+    LogManager.getLogManager().reset(); // thousands of sidecars say each that they are ready
+    Logger.getLogger("dillcross").setLevel(Level.OFF);
+    return new CommandLine(new Commands())
+        .setExecutionExceptionHandler(new FaultyInput())
+        .execute(args);
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/run/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Sweep.java
@@ -17,76 +17,101 @@
 
 /** Many seeds of one scenario, several at a time; what comes of it does not depend on how many. */
 public final class Sweep {
-    /** What became of all of them; the digest is over those of the days in the order of their seeds. */
-    public record Result(long seeds, long broken, long steps, long ops, long turns, long simulatedUs, long ns, String digest) { }
+  /**
+   * What became of all of them; the digest is over those of the days in the order of their seeds.
+   */
+  public record Result(
+      long seeds,
+      long broken,
+      long steps,
+      long ops,
+      long turns,
+      long simulatedUs,
+      long ns,
+      String digest) {}
 
-    private final Scenario scenario;
-    private final int jobs;
-    private final Map<Long, Day.Result> early = new TreeMap<>(); // done before their turn
-    private final MessageDigest digest;
-    private final Consumer<Day.Result> each;
-    private long next;
-    private long seeds;
-    private long broken;
-    private long steps;
-    private long ops;
-    private long turns;
-    private long simulatedUs;
+  private final Scenario scenario;
+  private final int jobs;
+  private final Map<Long, Day.Result> early = new TreeMap<>(); // done before their turn
+  private final MessageDigest digest;
+  private final Consumer<Day.Result> each;
+  private long next;
+  private long seeds;
+  private long broken;
+  private long steps;
+  private long ops;
+  private long turns;
+  private long simulatedUs;
 
-    /** {@code each} hears of the days one at a time and in the order of their seeds. */
-    public Sweep(Scenario scenario, int jobs, Consumer<Day.Result> each) {
-        this.scenario = scenario;
-        this.jobs = jobs;
-        this.each = each;
-        try {
-            digest = MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
+  /** {@code each} hears of the days one at a time and in the order of their seeds. */
+  public Sweep(Scenario scenario, int jobs, Consumer<Day.Result> each) {
+    this.scenario = scenario;
+    this.jobs = jobs;
+    this.each = each;
+    try {
+      digest = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    /** Plays the seeds from one to the other. */
-    public Result play(long from, long to) throws InterruptedException {
-        long startNs = System.nanoTime();
-        next = from;
-        AtomicLong seed = new AtomicLong(from);
-        Semaphore ahead = new Semaphore(64 * jobs); // a slow day must not let the others fill the memory
-        ExecutorService threads = Executors.newFixedThreadPool(jobs);
-        try {
-            var all = java.util.stream.IntStream.range(0, jobs).mapToObj(i -> threads.submit(() -> {
-                ahead.acquire();
-                for (long s; (s = seed.getAndIncrement()) <= to;) {
-                    ahead.release(done(Day.play(scenario, s)));
-                    ahead.acquire();
-                }
-                ahead.release(1); // what it holds goes to those that still play
-                return null;
-            })).toList();
-            for (var one : all) {
-                one.get();
-            }
-        } catch (ExecutionException e) {
-            throw new IllegalStateException("a day failed: " + e.getCause(), e.getCause());
-        } finally {
-            threads.shutdownNow();
-        }
-        return new Result(seeds, broken, steps, ops, turns, simulatedUs, System.nanoTime() - startNs, "sha256:" + HexFormat.of().formatHex(digest.digest()));
+  /** Plays the seeds from one to the other. */
+  public Result play(long from, long to) throws InterruptedException {
+    long startNs = System.nanoTime();
+    next = from;
+    AtomicLong seed = new AtomicLong(from);
+    Semaphore ahead =
+        new Semaphore(64 * jobs); // a slow day must not let the others fill the memory
+    ExecutorService threads = Executors.newFixedThreadPool(jobs);
+    try {
+      var all =
+          java.util.stream.IntStream.range(0, jobs)
+              .mapToObj(
+                  i ->
+                      threads.submit(
+                          () -> {
+                            ahead.acquire();
+                            for (long s; (s = seed.getAndIncrement()) <= to; ) {
+                              ahead.release(done(Day.play(scenario, s)));
+                              ahead.acquire();
+                            }
+                            ahead.release(1); // what it holds goes to those that still play
+                            return null;
+                          }))
+              .toList();
+      for (var one : all) {
+        one.get();
+      }
+    } catch (ExecutionException e) {
+      throw new IllegalStateException("a day failed: " + e.getCause(), e.getCause());
+    } finally {
+      threads.shutdownNow();
     }
+    return new Result(
+        seeds,
+        broken,
+        steps,
+        ops,
+        turns,
+        simulatedUs,
+        System.nanoTime() - startNs,
+        "sha256:" + HexFormat.of().formatHex(digest.digest()));
+  }
 
-    /** How many days were told of. */
-    private synchronized int done(Day.Result day) {
-        early.put(day.seed(), day);
-        int told = 0;
-        for (Day.Result one; (one = early.remove(next)) != null; next++, told++) {
-            digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
-            seeds++;
-            broken += one.broken();
-            steps += one.steps();
-            ops += one.ops();
-            turns += one.turns();
-            simulatedUs += one.simulatedUs();
-            each.accept(one);
-        }
-        return told;
+  /** How many days were told of. */
+  private synchronized int done(Day.Result day) {
+    early.put(day.seed(), day);
+    int told = 0;
+    for (Day.Result one; (one = early.remove(next)) != null; next++, told++) {
+      digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
+      seeds++;
+      broken += one.broken();
+      steps += one.steps();
+      ops += one.ops();
+      turns += one.turns();
+      simulatedUs += one.simulatedUs();
+      each.accept(one);
     }
+    return told;
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Faulty.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Faulty.java
@@ -4,9 +4,9 @@
 
 /** A scenario that can't be used; each line names file, line and key. */
 public final class Faulty extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public Faulty(List<String> faults) {
-        super(String.join(System.lineSeparator(), faults));
-    }
+  public Faulty(List<String> faults) {
+    super(String.join(System.lineSeparator(), faults));
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
@@ -23,319 +23,427 @@
 
 /** Reads and checks a scenario; all that is wrong with it is said at once. */
 public final class ScenarioReader {
-    private static final Pattern TROUBLE = Pattern.compile("(?m)^[ \\t]*\\[\\[ *trouble *\\]\\]");
-    private static final LevenshteinDistance NEARNESS = LevenshteinDistance.getDefaultInstance();
-    private static final String LIKE = "like"; // the file whose parts stand for those that are absent
-    private final String file;
-    private final List<String> faults = new ArrayList<>();
+  private static final Pattern TROUBLE = Pattern.compile("(?m)^[ \\t]*\\[\\[ *trouble *\\]\\]");
+  private static final LevenshteinDistance NEARNESS = LevenshteinDistance.getDefaultInstance();
+  private static final String LIKE = "like"; // the file whose parts stand for those that are absent
+  private final String file;
+  private final List<String> faults = new ArrayList<>();
 
-    private ScenarioReader(String file) {
-        this.file = file;
-    }
+  private ScenarioReader(String file) {
+    this.file = file;
+  }
 
-    public static Scenario read(Path file) throws Faulty {
-        return parse(file.toString(), text(file));
-    }
+  public static Scenario read(Path file) throws Faulty {
+    return parse(file.toString(), text(file));
+  }
 
-    private static String text(Path file) throws Faulty {
-        try {
-            return Files.readString(file, StandardCharsets.UTF_8);
-        } catch (IOException e) {
-            throw new Faulty(List.of(file + ": can't be read: " + e));
-        }
+  private static String text(Path file) throws Faulty {
+    try {
+      return Files.readString(file, StandardCharsets.UTF_8);
+    } catch (IOException e) {
+      throw new Faulty(List.of(file + ": can't be read: " + e));
     }
+  }
 
-    /** {@code file} is its name in messages, and where another is looked for that it is like. */
-    public static Scenario parse(String file, String text) throws Faulty {
-        ScenarioReader reader = new ScenarioReader(file);
-        TomlTable toml = parsed(file, text);
-        Section like = null;
-        if (toml.get(List.of(LIKE)) instanceof String other) {
-            String from = Path.of(file).resolveSibling(other).toString();
-            like = reader.new Section(parsed(from, text(Path.of(from))), "", null, from, null);
-        }
-        Scenario scenario = reader.scenario(reader.new Section(toml, "", null, file, like));
-        if (!reader.faults.isEmpty()) {
-            throw new Faulty(reader.faults);
-        }
-        return scenario;
+  /** {@code file} is its name in messages, and where another is looked for that it is like. */
+  public static Scenario parse(String file, String text) throws Faulty {
+    ScenarioReader reader = new ScenarioReader(file);
+    TomlTable toml = parsed(file, text);
+    Section like = null;
+    if (toml.get(List.of(LIKE)) instanceof String other) {
+      String from = Path.of(file).resolveSibling(other).toString();
+      like = reader.new Section(parsed(from, text(Path.of(from))), "", null, from, null);
     }
-
-    private static TomlTable parsed(String file, String text) throws Faulty {
-        TomlParseResult toml = Toml.parse(text);
-        if (toml.hasErrors()) {
-            throw new Faulty(toml.errors().stream().map(e -> file + ":" + e.position().line() + ": " + e.getMessage()).toList());
-        }
-        return toml;
+    Scenario scenario = reader.scenario(reader.new Section(toml, "", null, file, like));
+    if (!reader.faults.isEmpty()) {
+      throw new Faulty(reader.faults);
     }
+    return scenario;
+  }
 
-    /** The text of a scenario without its troubles, which stand last. */
-    public static String withoutTroubles(String text) {
-        Matcher first = TROUBLE.matcher(text);
-        return first.find() ? text.substring(0, first.start()) : text;
+  private static TomlTable parsed(String file, String text) throws Faulty {
+    TomlParseResult toml = Toml.parse(text);
+    if (toml.hasErrors()) {
+      throw new Faulty(
+          toml.errors().stream()
+              .map(e -> file + ":" + e.position().line() + ": " + e.getMessage())
+              .toList());
     }
+    return toml;
+  }
 
-    // ---- The parts
+  /** The text of a scenario without its troubles, which stand last. */
+  public static String withoutTroubles(String text) {
+    Matcher first = TROUBLE.matcher(text);
+    return first.find() ? text.substring(0, first.start()) : text;
+  }
 
-    private Scenario scenario(Section top) {
-        top.word(LIKE, "");
-        List<String> zones = List.of("a", "b", "c");
-        Section s = top.section("sidecars");
-        Scenario.Fleet fleet = new Scenario.Fleet(s.whole("count", 3, 1, 10_000), s.words("zones", zones), s.whole("turn_us", 20, 0, 100_000),
-                s.range("start_ms", 100, 100), s.whole("descriptors", 256, 128, 65_536), s.whole("memory_mb", 128, 64, 65_536),
-                s.whole("calls", 4, 0, 1000));
-        s.done();
-        Map<String, String> told = told(top.section("settings"));
-        List<Scenario.Kind> kinds = new ArrayList<>();
-        for (Section c : top.sections("category")) {
-            kinds.add(new Scenario.Kind(c.word("name", null), c.oneOf("effect", "idempotent", "idempotent", "deduplicated", "at_most_once"),
-                    c.oneOf("key_scope", "zone", "all", "zone", "cell"), c.number("window_ms", 2000, 1, 1e7),
-                    c.number("target_latency_ms", 300, 1, 1e6), c.number("ttl_ms", 1000, 1, 1e6), c.number("benefit", 1, 0, 1e6),
-                    c.number("share", 1, 0, 1e6), c.number("work_ms", 20, 0.001, 1e5), c.number("spread", 0.5, 0, 3),
-                    c.whole("body_bytes", 100, 0, 32 << 20), c.whole("answer_bytes", 200, 0, 32 << 20)));
-            c.done();
-        }
-        if (kinds.isEmpty()) {
-            faults.add(file + ": category: at least one is needed");
-        }
-        s = top.section("clients");
-        Scenario.Clients clients = new Scenario.Clients(s.number("per_s", 20, 0, 1e5), s.oneOf("retry", "none", "none", "at_once", "after"),
-                s.whole("retries", 2, 0, 100), s.number("leave_share", 0, 0, 1), s.range("leave_ms", 20, 200),
-                s.number("pieces_share", 0, 0, 1), s.number("close_share", 0, 0, 1), s.whole("resting", 0, 0, 100_000),
-                s.number("patience_ms", 700, 0, 1e6));
-        s.done();
-        s = top.section("endpoints");
-        Scenario.Endpoints endpoints = new Scenario.Endpoints(s.whole("count", 8, 1, 10_000), s.words("zones", zones),
-                s.whole("cells", 3, 1, 1000), s.number("cores", 2, 0.1, 1000), s.whole("queue", 30, 0, 100_000),
-                s.whole("connections", 200, 1, 100_000), s.number("idle_close_ms", 5000, 1, 1e7), s.number("choke_above", 1e6, 0, 1e6),
-                s.number("choke", 0, 0, 100), s.range("speed", 1, 1), s.number("grace_ms", 1000, 0, 1e6),
-                s.number("report_share", 0, 0, 1), s.flag("chunks", false));
-        s.done();
-        s = top.section("list");
-        Scenario.Directory list = new Scenario.Directory(s.range("delay_ms", 1, 1), s.number("tell_ms", 5, 0, 1e6));
-        s.done();
-        s = top.section("network");
-        Scenario.Net net = new Scenario.Net(s.number("near_us", 200, 0, 1e7), s.number("far_us", 2000, 0, 1e7), s.number("jitter_us", 50, 0, 1e7));
-        s.done();
-        s = top.section("rules");
-        Scenario.Rules rules = new Scenario.Rules(s.number("answer_slack_ms", 15, 0, 1e6), s.number("drain_slack_ms", 1, 0, 1e6),
-                s.number("cold_slack", 1.0, 0.1, 100));
-        s.done();
-        List<Trouble> troubles = new ArrayList<>();
-        Set<String> ids = new HashSet<>();
-        for (Section t : top.sections("trouble")) {
-            troubles.add(trouble(t, ids, fleet, endpoints));
-            t.done();
-        }
-        Scenario scenario = new Scenario(top.word("name", "day"), top.number("seconds", 10, 0.01, 86_400), fleet, told, kinds, clients, endpoints,
-                list, net, rules, troubles);
-        top.done();
-        return scenario;
-    }
+  // ---- The parts
 
-    /** What the sidecars are told beside the categories, by the paths of their configuration. */
-    private Map<String, String> told(Section s) {
-        Map<String, String> told = new LinkedHashMap<>();
-        told.put("limits.max_pushes", "" + s.whole("max_pushes", 3, 1, 100));
-        told.put("limits.may_duplicate", "" + s.flag("may_duplicate", true));
-        told.put("limits.cancel", "" + s.flag("cancel", true));
-        told.put("limits.retry_after", "" + s.flag("retry_after", true));
-        told.put("limits.max_retry_after_ms", "" + s.number("max_retry_after_ms", 1000, 0, 1e6));
-        told.put("limits.connect_timeout_ms", "" + s.number("connect_timeout_ms", 200, 1, 1e6));
-        told.put("limits.keepalive_ms", "" + s.number("keepalive_ms", 5000, 1, 1e7));
-        told.put("rules.ask_within_ms", "" + s.number("ask_within_ms", 5000, 1, 1e7));
-        told.put("rules.start_capacity", "" + s.number("start_capacity", 0.3, 0.01, 1));
-        told.put("rules.warm_up_ms", "" + s.number("warm_up_ms", 4000, 0, 1e7));
-        told.put("rules.fall_multiple", "" + s.number("fall_multiple", 3, 0.1, 100));
-        told.put("rules.fall_ms", "" + s.number("fall_ms", 1000, 1, 1e7));
-        told.put("prices.cross_zone", "" + s.number("cross_zone", 0.03, 0, 100));
-        s.done();
-        return told;
+  private Scenario scenario(Section top) {
+    top.word(LIKE, "");
+    List<String> zones = List.of("a", "b", "c");
+    Section s = top.section("sidecars");
+    Scenario.Fleet fleet =
+        new Scenario.Fleet(
+            s.whole("count", 3, 1, 10_000),
+            s.words("zones", zones),
+            s.whole("turn_us", 20, 0, 100_000),
+            s.range("start_ms", 100, 100),
+            s.whole("descriptors", 256, 128, 65_536),
+            s.whole("memory_mb", 128, 64, 65_536),
+            s.whole("calls", 4, 0, 1000));
+    s.done();
+    Map<String, String> told = told(top.section("settings"));
+    List<Scenario.Kind> kinds = new ArrayList<>();
+    for (Section c : top.sections("category")) {
+      kinds.add(
+          new Scenario.Kind(
+              c.word("name", null),
+              c.oneOf("effect", "idempotent", "idempotent", "deduplicated", "at_most_once"),
+              c.oneOf("key_scope", "zone", "all", "zone", "cell"),
+              c.number("window_ms", 2000, 1, 1e7),
+              c.number("target_latency_ms", 300, 1, 1e6),
+              c.number("ttl_ms", 1000, 1, 1e6),
+              c.number("benefit", 1, 0, 1e6),
+              c.number("share", 1, 0, 1e6),
+              c.number("work_ms", 20, 0.001, 1e5),
+              c.number("spread", 0.5, 0, 3),
+              c.whole("body_bytes", 100, 0, 32 << 20),
+              c.whole("answer_bytes", 200, 0, 32 << 20)));
+      c.done();
+    }
+    if (kinds.isEmpty()) {
+      faults.add(file + ": category: at least one is needed");
+    }
+    s = top.section("clients");
+    Scenario.Clients clients =
+        new Scenario.Clients(
+            s.number("per_s", 20, 0, 1e5),
+            s.oneOf("retry", "none", "none", "at_once", "after"),
+            s.whole("retries", 2, 0, 100),
+            s.number("leave_share", 0, 0, 1),
+            s.range("leave_ms", 20, 200),
+            s.number("pieces_share", 0, 0, 1),
+            s.number("close_share", 0, 0, 1),
+            s.whole("resting", 0, 0, 100_000),
+            s.number("patience_ms", 700, 0, 1e6));
+    s.done();
+    s = top.section("endpoints");
+    Scenario.Endpoints endpoints =
+        new Scenario.Endpoints(
+            s.whole("count", 8, 1, 10_000),
+            s.words("zones", zones),
+            s.whole("cells", 3, 1, 1000),
+            s.number("cores", 2, 0.1, 1000),
+            s.whole("queue", 30, 0, 100_000),
+            s.whole("connections", 200, 1, 100_000),
+            s.number("idle_close_ms", 5000, 1, 1e7),
+            s.number("choke_above", 1e6, 0, 1e6),
+            s.number("choke", 0, 0, 100),
+            s.range("speed", 1, 1),
+            s.number("grace_ms", 1000, 0, 1e6),
+            s.number("report_share", 0, 0, 1),
+            s.flag("chunks", false));
+    s.done();
+    s = top.section("list");
+    Scenario.Directory list =
+        new Scenario.Directory(s.range("delay_ms", 1, 1), s.number("tell_ms", 5, 0, 1e6));
+    s.done();
+    s = top.section("network");
+    Scenario.Net net =
+        new Scenario.Net(
+            s.number("near_us", 200, 0, 1e7),
+            s.number("far_us", 2000, 0, 1e7),
+            s.number("jitter_us", 50, 0, 1e7));
+    s.done();
+    s = top.section("rules");
+    Scenario.Rules rules =
+        new Scenario.Rules(
+            s.number("answer_slack_ms", 15, 0, 1e6),
+            s.number("drain_slack_ms", 1, 0, 1e6),
+            s.number("cold_slack", 1.0, 0.1, 100));
+    s.done();
+    List<Trouble> troubles = new ArrayList<>();
+    Set<String> ids = new HashSet<>();
+    for (Section t : top.sections("trouble")) {
+      troubles.add(trouble(t, ids, fleet, endpoints));
+      t.done();
     }
+    Scenario scenario =
+        new Scenario(
+            top.word("name", "day"),
+            top.number("seconds", 10, 0.01, 86_400),
+            fleet,
+            told,
+            kinds,
+            clients,
+            endpoints,
+            list,
+            net,
+            rules,
+            troubles);
+    top.done();
+    return scenario;
+  }
 
-    private Trouble trouble(Section t, Set<String> ids, Scenario.Fleet fleet, Scenario.Endpoints endpoints) {
-        String word = t.word("kind", null);
-        Trouble.Kind kind = Arrays.stream(Trouble.Kind.values()).filter(k -> k.word().equals(word)).findFirst().orElse(null);
-        if (kind == null && word != null) {
-            t.fault("kind", "unknown: " + word + "; known are " + String.join(", ", Arrays.stream(Trouble.Kind.values()).map(Trouble.Kind::word).toList()));
-        }
-        int number = 1; // among those of its kind, so that another kind's coming or going shifts no draw
-        while (ids.contains(word + "-" + number)) {
-            number++;
-        }
-        String id = t.word("id", word + "-" + number);
-        if (!ids.add(id)) {
-            t.fault("id", "stands twice: " + id);
-        }
-        String target = t.word("target", "any");
-        Trouble.On on = kind == null ? Trouble.On.NETWORK : kind.on;
-        Set<String> known = new HashSet<>(Set.of("any", "all"));
-        if (on == Trouble.On.ENDPOINT) {
-            for (int i = 0; i < endpoints.count(); i++) {
-                known.add("e" + i);
-            }
-            endpoints.zones().forEach(z -> known.add("zone " + z));
-        } else if (on == Trouble.On.SIDECAR || on == Trouble.On.CLIENTS) {
-            for (int i = 0; i < fleet.count(); i++) {
-                known.add("s" + i);
-            }
-        } else if (on == Trouble.On.ZONE) {
-            known.addAll(fleet.zones());
-            known.addAll(endpoints.zones());
-        }
-        if (!known.contains(target)) {
-            t.fault("target", "there is no " + target + " that this kind could strike");
-        }
-        return new Trouble(id, kind, t.range("at_ms", 0, 0), t.range("for_ms", 1000, 1000), target, t.range("factor", 4, 4),
-                t.number("share", 0.5, 0, 1), t.oneOf("mode", "after", "before", "after", "answer", "refuse", "silent", "error"),
-                t.whole("count", 1, 1, 1000));
+  /** What the sidecars are told beside the categories, by the paths of their configuration. */
+  private Map<String, String> told(Section s) {
+    Map<String, String> told = new LinkedHashMap<>();
+    told.put("limits.max_pushes", "" + s.whole("max_pushes", 3, 1, 100));
+    told.put("limits.may_duplicate", "" + s.flag("may_duplicate", true));
+    told.put("limits.cancel", "" + s.flag("cancel", true));
+    told.put("limits.retry_after", "" + s.flag("retry_after", true));
+    told.put("limits.max_retry_after_ms", "" + s.number("max_retry_after_ms", 1000, 0, 1e6));
+    told.put("limits.connect_timeout_ms", "" + s.number("connect_timeout_ms", 200, 1, 1e6));
+    told.put("limits.keepalive_ms", "" + s.number("keepalive_ms", 5000, 1, 1e7));
+    told.put("rules.ask_within_ms", "" + s.number("ask_within_ms", 5000, 1, 1e7));
+    told.put("rules.start_capacity", "" + s.number("start_capacity", 0.3, 0.01, 1));
+    told.put("rules.warm_up_ms", "" + s.number("warm_up_ms", 4000, 0, 1e7));
+    told.put("rules.fall_multiple", "" + s.number("fall_multiple", 3, 0.1, 100));
+    told.put("rules.fall_ms", "" + s.number("fall_ms", 1000, 1, 1e7));
+    told.put("prices.cross_zone", "" + s.number("cross_zone", 0.03, 0, 100));
+    s.done();
+    return told;
+  }
+
+  private Trouble trouble(
+      Section t, Set<String> ids, Scenario.Fleet fleet, Scenario.Endpoints endpoints) {
+    String word = t.word("kind", null);
+    Trouble.Kind kind =
+        Arrays.stream(Trouble.Kind.values())
+            .filter(k -> k.word().equals(word))
+            .findFirst()
+            .orElse(null);
+    if (kind == null && word != null) {
+      t.fault(
+          "kind",
+          "unknown: "
+              + word
+              + "; known are "
+              + String.join(
+                  ", ", Arrays.stream(Trouble.Kind.values()).map(Trouble.Kind::word).toList()));
     }
+    int number =
+        1; // among those of its kind, so that another kind's coming or going shifts no draw
+    while (ids.contains(word + "-" + number)) {
+      number++;
+    }
+    String id = t.word("id", word + "-" + number);
+    if (!ids.add(id)) {
+      t.fault("id", "stands twice: " + id);
+    }
+    String target = t.word("target", "any");
+    Trouble.On on = kind == null ? Trouble.On.NETWORK : kind.on;
+    Set<String> known = new HashSet<>(Set.of("any", "all"));
+    if (on == Trouble.On.ENDPOINT) {
+      for (int i = 0; i < endpoints.count(); i++) {
+        known.add("e" + i);
+      }
+      endpoints.zones().forEach(z -> known.add("zone " + z));
+    } else if (on == Trouble.On.SIDECAR || on == Trouble.On.CLIENTS) {
+      for (int i = 0; i < fleet.count(); i++) {
+        known.add("s" + i);
+      }
+    } else if (on == Trouble.On.ZONE) {
+      known.addAll(fleet.zones());
+      known.addAll(endpoints.zones());
+    }
+    if (!known.contains(target)) {
+      t.fault("target", "there is no " + target + " that this kind could strike");
+    }
+    return new Trouble(
+        id,
+        kind,
+        t.range("at_ms", 0, 0),
+        t.range("for_ms", 1000, 1000),
+        target,
+        t.range("factor", 4, 4),
+        t.number("share", 0.5, 0, 1),
+        t.oneOf("mode", "after", "before", "after", "answer", "refuse", "silent", "error"),
+        t.whole("count", 1, 1, 1000));
+  }
 
-    /** One table of the file, whose keys are asked for one by one; what nobody asked for is unknown. */
-    private final class Section {
-        private final TomlTable table;
-        private final String path;
-        private final TomlPosition at;
-        private final String in; // the file
-        private final Section like; // whose parts stand for those that are absent; null where none do
-        private final Set<String> asked = new HashSet<>();
+  /**
+   * One table of the file, whose keys are asked for one by one; what nobody asked for is unknown.
+   */
+  private final class Section {
+    private final TomlTable table;
+    private final String path;
+    private final TomlPosition at;
+    private final String in; // the file
+    private final Section like; // whose parts stand for those that are absent; null where none do
+    private final Set<String> asked = new HashSet<>();
 
-        Section(TomlTable table, String path, TomlPosition at, String in, Section like) {
-            this.table = table;
-            this.path = path;
-            this.at = at;
-            this.in = in;
-            this.like = like;
-        }
+    Section(TomlTable table, String path, TomlPosition at, String in, Section like) {
+      this.table = table;
+      this.path = path;
+      this.at = at;
+      this.in = in;
+      this.like = like;
+    }
 
-        void fault(String key, String what) {
-            TomlPosition where = table.inputPositionOf(List.of(key));
-            where = where == null ? at : where;
-            faults.add(in + (where == null ? "" : ":" + where.line()) + ": " + path + key + ": " + what);
-        }
+    void fault(String key, String what) {
+      TomlPosition where = table.inputPositionOf(List.of(key));
+      where = where == null ? at : where;
+      faults.add(in + (where == null ? "" : ":" + where.line()) + ": " + path + key + ": " + what);
+    }
 
-        private Object take(String key) {
-            asked.add(key);
-            return table.get(List.of(key));
-        }
+    private Object take(String key) {
+      asked.add(key);
+      return table.get(List.of(key));
+    }
 
-        Section section(String key) {
-            Object value = take(key);
-            if (value == null && like != null) {
-                return like.section(key);
-            } else if (value != null && !(value instanceof TomlTable)) {
-                fault(key, "has to be a table");
-            }
-            return new Section(value instanceof TomlTable t ? t : Toml.parse(""), path + key + ".", table.inputPositionOf(List.of(key)), in, null);
-        }
+    Section section(String key) {
+      Object value = take(key);
+      if (value == null && like != null) {
+        return like.section(key);
+      } else if (value != null && !(value instanceof TomlTable)) {
+        fault(key, "has to be a table");
+      }
+      return new Section(
+          value instanceof TomlTable t ? t : Toml.parse(""),
+          path + key + ".",
+          table.inputPositionOf(List.of(key)),
+          in,
+          null);
+    }
 
-        List<Section> sections(String key) {
-            List<Section> all = new ArrayList<>();
-            Object value = take(key);
-            if (value == null && like != null) {
-                return like.sections(key);
-            } else if (value instanceof TomlArray array && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-                for (int i = 0; i < array.size(); i++) {
-                    all.add(new Section(array.getTable(i), path + key + "[" + i + "].", array.inputPositionOf(i), in, null));
-                }
-            } else if (value != null) {
-                fault(key, "has to be a list of tables");
-            }
-            return all;
+    List<Section> sections(String key) {
+      List<Section> all = new ArrayList<>();
+      Object value = take(key);
+      if (value == null && like != null) {
+        return like.sections(key);
+      } else if (value instanceof TomlArray array
+          && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
+        for (int i = 0; i < array.size(); i++) {
+          all.add(
+              new Section(
+                  array.getTable(i),
+                  path + key + "[" + i + "].",
+                  array.inputPositionOf(i),
+                  in,
+                  null));
         }
+      } else if (value != null) {
+        fault(key, "has to be a list of tables");
+      }
+      return all;
+    }
 
-        double number(String key, double ifAbsent, double least, double most) {
-            Object value = take(key);
-            if (value == null) {
-                return like == null ? ifAbsent : like.number(key, ifAbsent, least, most);
-            }
-            if (!(value instanceof Number number)) {
-                fault(key, "has to be a number");
-                return ifAbsent;
-            }
-            return within(key, number.doubleValue(), least, most);
-        }
+    double number(String key, double ifAbsent, double least, double most) {
+      Object value = take(key);
+      if (value == null) {
+        return like == null ? ifAbsent : like.number(key, ifAbsent, least, most);
+      }
+      if (!(value instanceof Number number)) {
+        fault(key, "has to be a number");
+        return ifAbsent;
+      }
+      return within(key, number.doubleValue(), least, most);
+    }
 
-        private double within(String key, double value, double least, double most) {
-            if (!(value >= least && value <= most)) {
-                fault(key, String.format(Locale.ROOT, "out of range: %s; from %s to %s", plain(value), plain(least), plain(most)));
-                return least;
-            }
-            return value;
-        }
+    private double within(String key, double value, double least, double most) {
+      if (!(value >= least && value <= most)) {
+        fault(
+            key,
+            String.format(
+                Locale.ROOT,
+                "out of range: %s; from %s to %s",
+                plain(value),
+                plain(least),
+                plain(most)));
+        return least;
+      }
+      return value;
+    }
 
-        int whole(String key, int ifAbsent, int least, int most) {
-            double value = number(key, ifAbsent, least, most);
-            if (value != Math.rint(value)) {
-                fault(key, "has to be a whole number");
-            }
-            return (int) value;
-        }
+    int whole(String key, int ifAbsent, int least, int most) {
+      double value = number(key, ifAbsent, least, most);
+      if (value != Math.rint(value)) {
+        fault(key, "has to be a whole number");
+      }
+      return (int) value;
+    }
 
-        boolean flag(String key, boolean ifAbsent) {
-            Object value = take(key);
-            if (value != null && !(value instanceof Boolean)) {
-                fault(key, "neither true nor false");
-            }
-            return value instanceof Boolean flag ? flag : ifAbsent;
-        }
+    boolean flag(String key, boolean ifAbsent) {
+      Object value = take(key);
+      if (value != null && !(value instanceof Boolean)) {
+        fault(key, "neither true nor false");
+      }
+      return value instanceof Boolean flag ? flag : ifAbsent;
+    }
 
-        /** Without a default it has to be there. */
-        String word(String key, String ifAbsent) {
-            Object value = take(key);
-            if (value == null && ifAbsent == null) {
-                fault(key, "is missing");
-            } else if (value != null && !(value instanceof String)) {
-                fault(key, "has to be text");
-            }
-            return value instanceof String word ? word : ifAbsent;
-        }
+    /** Without a default it has to be there. */
+    String word(String key, String ifAbsent) {
+      Object value = take(key);
+      if (value == null && ifAbsent == null) {
+        fault(key, "is missing");
+      } else if (value != null && !(value instanceof String)) {
+        fault(key, "has to be text");
+      }
+      return value instanceof String word ? word : ifAbsent;
+    }
 
-        String oneOf(String key, String ifAbsent, String... known) {
-            String word = word(key, ifAbsent);
-            if (!List.of(known).contains(word)) {
-                fault(key, "unknown: " + word + "; known are " + String.join(", ", known));
-            }
-            return word;
-        }
+    String oneOf(String key, String ifAbsent, String... known) {
+      String word = word(key, ifAbsent);
+      if (!List.of(known).contains(word)) {
+        fault(key, "unknown: " + word + "; known are " + String.join(", ", known));
+      }
+      return word;
+    }
 
-        List<String> words(String key, List<String> ifAbsent) {
-            Object value = take(key);
-            if (value == null) {
-                return ifAbsent;
-            }
-            if (value instanceof TomlArray array && array.size() > 0 && array.toList().stream().allMatch(String.class::isInstance)) {
-                return array.toList().stream().map(String.class::cast).toList();
-            }
-            fault(key, "has to be a list of texts, and not an empty one");
-            return ifAbsent;
-        }
+    List<String> words(String key, List<String> ifAbsent) {
+      Object value = take(key);
+      if (value == null) {
+        return ifAbsent;
+      }
+      if (value instanceof TomlArray array
+          && array.size() > 0
+          && array.toList().stream().allMatch(String.class::isInstance)) {
+        return array.toList().stream().map(String.class::cast).toList();
+      }
+      fault(key, "has to be a list of texts, and not an empty one");
+      return ifAbsent;
+    }
 
-        /** One number, or two between which each day draws. */
-        Range range(String key, double least, double most) {
-            Object value = take(key);
-            if (value instanceof Number number) {
-                return Range.of(within(key, number.doubleValue(), 0, 1e9));
-            } else if (value instanceof TomlArray array && array.size() == 2 && array.toList().stream().allMatch(Number.class::isInstance)) {
-                double from = within(key, ((Number) array.get(0)).doubleValue(), 0, 1e9);
-                return new Range(from, within(key, ((Number) array.get(1)).doubleValue(), from, 1e9));
-            } else if (value != null) {
-                fault(key, "has to be a number, or two of which the second is not smaller");
-            }
-            return new Range(least, most);
-        }
+    /** One number, or two between which each day draws. */
+    Range range(String key, double least, double most) {
+      Object value = take(key);
+      if (value instanceof Number number) {
+        return Range.of(within(key, number.doubleValue(), 0, 1e9));
+      } else if (value instanceof TomlArray array
+          && array.size() == 2
+          && array.toList().stream().allMatch(Number.class::isInstance)) {
+        double from = within(key, ((Number) array.get(0)).doubleValue(), 0, 1e9);
+        return new Range(from, within(key, ((Number) array.get(1)).doubleValue(), from, 1e9));
+      } else if (value != null) {
+        fault(key, "has to be a number, or two of which the second is not smaller");
+      }
+      return new Range(least, most);
+    }
 
-        void done() {
-            for (String key : table.keySet()) {
-                if (!asked.contains(key)) {
-                    String near = asked.stream().min(java.util.Comparator.<String>comparingInt(k -> NEARNESS.apply(k, key)).thenComparing(k -> k)).orElse("");
-                    fault(key, "unknown key" + (NEARNESS.apply(near, key) <= 3 ? "; did you mean " + near + "?" : ""));
-                }
-            }
+    void done() {
+      for (String key : table.keySet()) {
+        if (!asked.contains(key)) {
+          String near =
+              asked.stream()
+                  .min(
+                      java.util.Comparator.<String>comparingInt(k -> NEARNESS.apply(k, key))
+                          .thenComparing(k -> k))
+                  .orElse("");
+          fault(
+              key,
+              "unknown key"
+                  + (NEARNESS.apply(near, key) <= 3 ? "; did you mean " + near + "?" : ""));
         }
+      }
     }
+  }
 
-    private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf((long) value) : String.valueOf(value);
-    }
+  private static String plain(double value) {
+    return value == Math.rint(value) && Math.abs(value) < 1e15
+        ? String.valueOf((long) value)
+        : String.valueOf(value);
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/wire/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/EmulatedNetwork.java
@@ -11,362 +11,373 @@
 import java.util.Set;
 
 /**
- * What one sidecar's process stands on in place of sockets. Its one thread waits, as at a selector, for what is ready or
- * due, gathers it, makes a turn, and waits again; a turn takes time, in which more becomes ready.
+ * What one sidecar's process stands on in place of sockets. Its one thread waits, as at a selector,
+ * for what is ready or due, gathers it, makes a turn, and waits again; a turn takes time, in which
+ * more becomes ready.
  */
 public final class EmulatedNetwork implements Network {
-    private static final int MOST_IDLE_TURNS = 20_000; // within a millisecond: it spins
-
-    private final Timeline time;
-    private final Fabric fabric;
-    private final Host host;
-    private final String ip;
-    private final long turnUs;
-    private final Runnable turned;
-    private final Set<Socket> ready = new LinkedHashSet<>();
-    private Turns turns;
-    private long sleeps; // number of the wait that is on; an older one's end is no longer of interest
-    private long wakesUs = Long.MAX_VALUE;
-    private long busyUntilUs;
-    private boolean dead;
-    private boolean spins;
-    private long turnsMade;
-    private long turnsInMs;
-    private long msOfTurns;
-    private final Set<ListeningSocket> listeningSockets = new LinkedHashSet<>();
-
-    /** {@code turned} is called after each turn. */
-    public EmulatedNetwork(Timeline time, Fabric fabric, Host host, String ip, long turnUs, Runnable turned) {
-        this.time = time;
-        this.fabric = fabric;
-        this.host = host;
-        this.ip = ip;
-        this.turnUs = turnUs;
-        this.turned = turned;
+  private static final int MOST_IDLE_TURNS = 20_000; // within a millisecond: it spins
+
+  private final Timeline time;
+  private final Fabric fabric;
+  private final Host host;
+  private final String ip;
+  private final long turnUs;
+  private final Runnable turned;
+  private final Set<Socket> ready = new LinkedHashSet<>();
+  private Turns turns;
+  private long sleeps; // number of the wait that is on; an older one's end is no longer of interest
+  private long wakesUs = Long.MAX_VALUE;
+  private long busyUntilUs;
+  private boolean dead;
+  private boolean spins;
+  private long turnsMade;
+  private long turnsInMs;
+  private long msOfTurns;
+  private final Set<ListeningSocket> listeningSockets = new LinkedHashSet<>();
+
+  /** {@code turned} is called after each turn. */
+  public EmulatedNetwork(
+      Timeline time, Fabric fabric, Host host, String ip, long turnUs, Runnable turned) {
+    this.time = time;
+    this.fabric = fabric;
+    this.host = host;
+    this.ip = ip;
+    this.turnUs = turnUs;
+    this.turned = turned;
+  }
+
+  /** It makes turns without end while time stands still. */
+  public boolean spins() {
+    return spins;
+  }
+
+  public long turnsMade() {
+    return turnsMade;
+  }
+
+  /** The process makes no turn until then. */
+  public void stall(long untilUs) {
+    busyUntilUs = Math.max(busyUntilUs, untilUs);
+  }
+
+  /** The process ends, by its own will or not. */
+  public void die() {
+    dead = true;
+    listeningSockets.forEach(listening -> fabric.unlisten(listening.address));
+  }
+
+  @Override
+  public void start(Turns by) {
+    turns = by;
+    wakeAt(time.now());
+  }
+
+  @Override
+  public void wake() {
+    wakeAt(time.now());
+  }
+
+  private void wakeAt(long us) {
+    long atUs = Math.max(us, busyUntilUs);
+    if (!dead && turns != null && atUs < wakesUs) {
+      wakesUs = atUs;
+      long number = ++sleeps;
+      time.at(
+          atUs,
+          () -> {
+            if (number == sleeps && !dead) {
+              wakesUs = Long.MAX_VALUE;
+              if (time.now() < busyUntilUs) {
+                wakeAt(busyUntilUs); // it was stalled meanwhile
+              } else {
+                round();
+              }
+            }
+          });
     }
-
-    /** It makes turns without end while time stands still. */
-    public boolean spins() {
-        return spins;
+  }
+
+  private void round() {
+    turns.look();
+    Socket[] now = ready.toArray(new Socket[0]);
+    ready.clear();
+    for (Socket socket : now) {
+      socket.tell();
     }
-
-    public long turnsMade() {
-        return turnsMade;
+    turns.turn();
+    turnsMade++;
+    long ms = time.now() / 1000;
+    turnsInMs = ms == msOfTurns ? turnsInMs + 1 : 0;
+    msOfTurns = ms;
+    spins |= turnsInMs > MOST_IDLE_TURNS;
+    turned.run();
+    if (dead || spins) {
+      return;
     }
-
-    /** The process makes no turn until then. */
-    public void stall(long untilUs) {
-        busyUntilUs = Math.max(busyUntilUs, untilUs);
+    busyUntilUs = Math.max(busyUntilUs, time.now() + turnUs);
+    if (!ready.isEmpty()) {
+      wakeAt(time.now());
     }
-
-    /** The process ends, by its own will or not. */
-    public void die() {
-        dead = true;
-        listeningSockets.forEach(listening -> fabric.unlisten(listening.address));
+    long us = turns.dueInUs();
+    wakeAt(
+        us <= 0
+            ? time.now()
+            : time.now() + (us + 999) / 1000 * 1000); // a selector counts in milliseconds
+  }
+
+  private void mark(Socket socket) {
+    ready.add(socket);
+    wakeAt(time.now());
+  }
+
+  @Override
+  public boolean inherits() {
+    return false;
+  }
+
+  /**
+   * Days of ops play no talk among sidecars; {@code dillcross.emulator.members} carries datagrams
+   * between memberships.
+   */
+  @Override
+  public Datagrams datagrams(InetSocketAddress at, int most, Hearer hearer) throws IOException {
+    throw new IOException("no datagrams on the emulated wire");
+  }
+
+  @Override
+  public Entrance bind(InetSocketAddress at, Taker taker) throws IOException {
+    ListeningSocket listening = new ListeningSocket(ip + ":" + at.getPort(), taker);
+    if (!fabric.listen(listening.address, listening)) {
+      throw new IOException("Address already in use: " + listening.address);
+    }
+    listeningSockets.add(listening);
+    return listening;
+  }
+
+  @Override
+  public void connect(InetSocketAddress to, Asker asker) {
+    Socket socket = new Socket();
+    socket.asker = asker;
+    socket.end =
+        fabric.connect(host, to.getAddress().getHostAddress() + ":" + to.getPort(), socket);
+    socket.ear = asker.opening(socket);
+  }
+
+  /** A listening socket; what connects while it accepts nothing waits in its queue. */
+  private final class ListeningSocket implements Entrance, Fabric.Entry {
+    private final String address;
+    private final Taker taker;
+    private final ArrayDeque<Socket> queue = new ArrayDeque<>();
+    private boolean accepts = true;
+    private boolean open = true;
+
+    ListeningSocket(String address, Taker taker) {
+      this.address = address;
+      this.taker = taker;
     }
 
     @Override
-    public void start(Turns by) {
-        turns = by;
-        wakeAt(time.now());
+    public Host host() {
+      return host;
     }
 
     @Override
-    public void wake() {
-        wakeAt(time.now());
+    public void connected(End end) {
+      Socket socket = new Socket();
+      socket.end = end;
+      socket.listening = this;
+      end.owner(socket);
+      queue.add(socket);
+      if (accepts) {
+        mark(socket);
+      }
     }
 
-    private void wakeAt(long us) {
-        long atUs = Math.max(us, busyUntilUs);
-        if (!dead && turns != null && atUs < wakesUs) {
-            wakesUs = atUs;
-            long number = ++sleeps;
-            time.at(atUs, () -> {
-                if (number == sleeps && !dead) {
-                    wakesUs = Long.MAX_VALUE;
-                    if (time.now() < busyUntilUs) {
-                        wakeAt(busyUntilUs); // it was stalled meanwhile
-                    } else {
-                        round();
-                    }
-                }
-            });
-        }
+    @Override
+    public String address() {
+      return address;
     }
 
-    private void round() {
-        turns.look();
-        Socket[] now = ready.toArray(new Socket[0]);
-        ready.clear();
-        for (Socket socket : now) {
-            socket.tell();
-        }
-        turns.turn();
-        turnsMade++;
-        long ms = time.now() / 1000;
-        turnsInMs = ms == msOfTurns ? turnsInMs + 1 : 0;
-        msOfTurns = ms;
-        spins |= turnsInMs > MOST_IDLE_TURNS;
-        turned.run();
-        if (dead || spins) {
-            return;
-        }
-        busyUntilUs = Math.max(busyUntilUs, time.now() + turnUs);
-        if (!ready.isEmpty()) {
-            wakeAt(time.now());
-        }
-        long us = turns.dueInUs();
-        wakeAt(us <= 0 ? time.now() : time.now() + (us + 999) / 1000 * 1000); // a selector counts in milliseconds
+    @Override
+    public boolean isOpen() {
+      return open;
     }
 
-    private void mark(Socket socket) {
-        ready.add(socket);
-        wakeAt(time.now());
+    @Override
+    public void accepts(boolean now) {
+      accepts = now;
+      if (now) {
+        queue.forEach(EmulatedNetwork.this::mark);
+      }
     }
 
     @Override
-    public boolean inherits() {
-        return false;
+    public void close() {
+      for (Socket waits; accepts && (waits = queue.poll()) != null; ) {
+        waits.listening = null;
+        waits.ear = taker.accepted(waits);
+        mark(waits);
+      }
+      open = false;
+      fabric.unlisten(address);
+      queue.forEach(socket -> socket.end.breakOff());
+      queue.clear();
     }
+  }
+
+  /** One connection of the process. */
+  private final class Socket implements Wire, End.Owner {
+    private End end;
+    private Ear ear;
+    private Asker asker; // until it is up
+    private ListeningSocket listening; // until it is accepted
+    private boolean cameUp;
+    private boolean failed;
+    private boolean isTaken;
+    private Sent done; // of the write that is on
+    private boolean tells = true;
+    private boolean again;
+    private boolean closed;
 
-    /** Days of ops play no talk among sidecars; {@code dillcross.emulator.members} carries datagrams between memberships. */
     @Override
-    public Datagrams datagrams(InetSocketAddress at, int most, Hearer hearer) throws IOException {
-        throw new IOException("no datagrams on the emulated wire");
+    public void up(End up) {
+      cameUp = true;
+      mark(this);
     }
 
     @Override
-    public Entrance bind(InetSocketAddress at, Taker taker) throws IOException {
-        ListeningSocket listening = new ListeningSocket(ip + ":" + at.getPort(), taker);
-        if (!fabric.listen(listening.address, listening)) {
-            throw new IOException("Address already in use: " + listening.address);
-        }
-        listeningSockets.add(listening);
-        return listening;
+    public void failed(End dead) {
+      failed = true;
+      mark(this);
     }
 
     @Override
-    public void connect(InetSocketAddress to, Asker asker) {
-        Socket socket = new Socket();
-        socket.asker = asker;
-        socket.end = fabric.connect(host, to.getAddress().getHostAddress() + ":" + to.getPort(), socket);
-        socket.ear = asker.opening(socket);
+    public void readable(End from) {
+      if (tells && listening == null && asker == null) {
+        mark(this);
+      } else if (listening != null && listening.accepts) {
+        mark(this);
+      }
     }
 
-    /** A listening socket; what connects while it accepts nothing waits in its queue. */
-    private final class ListeningSocket implements Entrance, Fabric.Entry {
-        private final String address;
-        private final Taker taker;
-        private final ArrayDeque<Socket> queue = new ArrayDeque<>();
-        private boolean accepts = true;
-        private boolean open = true;
-
-        ListeningSocket(String address, Taker taker) {
-            this.address = address;
-            this.taker = taker;
-        }
-
-        @Override
-        public Host host() {
-            return host;
-        }
-
-        @Override
-        public void connected(End end) {
-            Socket socket = new Socket();
-            socket.end = end;
-            socket.listening = this;
-            end.owner(socket);
-            queue.add(socket);
-            if (accepts) {
-                mark(socket);
-            }
-        }
-
-        @Override
-        public String address() {
-            return address;
-        }
-
-        @Override
-        public boolean isOpen() {
-            return open;
-        }
-
-        @Override
-        public void accepts(boolean now) {
-            accepts = now;
-            if (now) {
-                queue.forEach(EmulatedNetwork.this::mark);
-            }
-        }
-
-        @Override
-        public void close() {
-            for (Socket waits; accepts && (waits = queue.poll()) != null;) {
-                waits.listening = null;
-                waits.ear = taker.accepted(waits);
-                mark(waits);
-            }
-            open = false;
-            fabric.unlisten(address);
-            queue.forEach(socket -> socket.end.breakOff());
-            queue.clear();
-        }
+    @Override
+    public void taken(End by) {
+      isTaken = true;
+      mark(this);
     }
 
-    /** One connection of the process. */
-    private final class Socket implements Wire, End.Owner {
-        private End end;
-        private Ear ear;
-        private Asker asker; // until it is up
-        private ListeningSocket listening; // until it is accepted
-        private boolean cameUp;
-        private boolean failed;
-        private boolean isTaken;
-        private Sent done; // of the write that is on
-        private boolean tells = true;
-        private boolean again;
-        private boolean closed;
-
-        @Override
-        public void up(End up) {
-            cameUp = true;
-            mark(this);
+    /** Tells the process what has become ready. */
+    void tell() {
+      if (closed) {
+        return;
+      }
+      if (listening != null) {
+        if (!listening.accepts || !listening.open) {
+          return;
         }
-
-        @Override
-        public void failed(End dead) {
-            failed = true;
-            mark(this);
+        listening.queue.remove(this);
+        Taker taker = listening.taker;
+        listening = null;
+        ear = taker.accepted(this);
+      }
+      if (asker != null) {
+        Asker by = asker;
+        if (failed) {
+          asker = null;
+          closed = true;
+          by.failed();
+          return;
+        } else if (!cameUp) {
+          return;
         }
-
-        @Override
-        public void readable(End from) {
-            if (tells && listening == null && asker == null) {
-                mark(this);
-            } else if (listening != null && listening.accepts) {
-                mark(this);
-            }
-        }
-
-        @Override
-        public void taken(End by) {
-            isTaken = true;
-            mark(this);
-        }
-
-        /** Tells the process what has become ready. */
-        void tell() {
-            if (closed) {
-                return;
-            }
-            if (listening != null) {
-                if (!listening.accepts || !listening.open) {
-                    return;
-                }
-                listening.queue.remove(this);
-                Taker taker = listening.taker;
-                listening = null;
-                ear = taker.accepted(this);
-            }
-            if (asker != null) {
-                Asker by = asker;
-                if (failed) {
-                    asker = null;
-                    closed = true;
-                    by.failed();
-                    return;
-                } else if (!cameUp) {
-                    return;
-                }
-                asker = null;
-                by.up();
-            }
-            if (isTaken && !closed) {
-                isTaken = false;
-                Sent by = done;
-                done = null;
-                if (end.wasReset()) {
-                    by.broke();
-                } else {
-                    by.sent();
-                }
-            }
-            boolean once = again;
-            again = false;
-            if (!closed && (once || tells && end.hasNews())) {
-                ear.readable();
-            }
-            if (!closed && tells && end.hasNews()) {
-                ready.add(this); // a selector tells of it until it is read
-            }
+        asker = null;
+        by.up();
+      }
+      if (isTaken && !closed) {
+        isTaken = false;
+        Sent by = done;
+        done = null;
+        if (end.wasReset()) {
+          by.broke();
+        } else {
+          by.sent();
         }
+      }
+      boolean once = again;
+      again = false;
+      if (!closed && (once || tells && end.hasNews())) {
+        ear.readable();
+      }
+      if (!closed && tells && end.hasNews()) {
+        ready.add(this); // a selector tells of it until it is read
+      }
+    }
 
-        @Override
-        public int read(ByteBuffer into) throws IOException {
-            if (closed) {
-                throw new IOException("closed");
-            }
-            int got = end.read(into);
-            if (got == -2) {
-                throw new IOException("Connection reset");
-            }
-            return got;
-        }
+    @Override
+    public int read(ByteBuffer into) throws IOException {
+      if (closed) {
+        throw new IOException("closed");
+      }
+      int got = end.read(into);
+      if (got == -2) {
+        throw new IOException("Connection reset");
+      }
+      return got;
+    }
 
-        @Override
-        public void write(ByteBuffer run, Sent by) {
-            if (closed || end.wasReset()) {
-                by.broke();
-                return;
-            }
-            done = by;
-            if (!end.send(run)) {
-                done = null;
-                by.sent();
-            }
-        }
+    @Override
+    public void write(ByteBuffer run, Sent by) {
+      if (closed || end.wasReset()) {
+        by.broke();
+        return;
+      }
+      done = by;
+      if (!end.send(run)) {
+        done = null;
+        by.sent();
+      }
+    }
 
-        @Override
-        public void tells(boolean now) {
-            tells = now;
-            if (now && !closed && end.hasNews()) {
-                mark(this);
-            }
-        }
+    @Override
+    public void tells(boolean now) {
+      tells = now;
+      if (now && !closed && end.hasNews()) {
+        mark(this);
+      }
+    }
 
-        @Override
-        public void again() {
-            again = true;
-            mark(this);
-        }
+    @Override
+    public void again() {
+      again = true;
+      mark(this);
+    }
 
-        @Override
-        public void endSending() {
-            end.endSending();
-        }
+    @Override
+    public void endSending() {
+      end.endSending();
+    }
 
-        @Override
-        public void cuts() {
-            end.cuts();
-        }
+    @Override
+    public void cuts() {
+      end.cuts();
+    }
 
-        @Override
-        public boolean isOpen() {
-            return !closed;
-        }
+    @Override
+    public boolean isOpen() {
+      return !closed;
+    }
 
-        @Override
-        public void close() {
-            if (!closed) {
-                closed = true;
-                boolean was = end.isUp() && asker == null && ear != null;
-                end.close();
-                if (was) {
-                    ear.closed();
-                }
-            }
+    @Override
+    public void close() {
+      if (!closed) {
+        closed = true;
+        boolean was = end.isUp() && asker == null && ear != null;
+        end.close();
+        if (was) {
+          ear.closed();
         }
+      }
     }
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/wire/Host.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/Host.java
@@ -3,43 +3,45 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A process on the emulated network, one after another of them, and the machine that it runs on. */
+/**
+ * A process on the emulated network, one after another of them, and the machine that it runs on.
+ */
 public final class Host {
-    final String name;
-    final String zone;
-    final Set<End> ends = new LinkedHashSet<>(); // of the process that runs on it
-    boolean gone; // the machine is off or cut off for good: it says nothing
-
-    private final Host machine;
-
-    public Host(String name, String zone) {
-        this.name = name;
-        this.zone = zone;
-        machine = this;
-    }
-
-    /** Beside another, on the same machine. */
-    public Host(String name, Host beside) {
-        this.name = name;
-        zone = beside.zone;
-        machine = beside.machine;
-    }
-
-    boolean beside(Host other) {
-        return machine == other.machine;
-    }
-
-    public String zone() {
-        return zone;
-    }
-
-    /** Connections that its process holds. */
-    public int connections() {
-        return ends.size();
-    }
-
-    @Override
-    public String toString() {
-        return name;
-    }
+  final String name;
+  final String zone;
+  final Set<End> ends = new LinkedHashSet<>(); // of the process that runs on it
+  boolean gone; // the machine is off or cut off for good: it says nothing
+
+  private final Host machine;
+
+  public Host(String name, String zone) {
+    this.name = name;
+    this.zone = zone;
+    machine = this;
+  }
+
+  /** Beside another, on the same machine. */
+  public Host(String name, Host beside) {
+    this.name = name;
+    zone = beside.zone;
+    machine = beside.machine;
+  }
+
+  boolean beside(Host other) {
+    return machine == other.machine;
+  }
+
+  public String zone() {
+    return zone;
+  }
+
+  /** Connections that its process holds. */
+  public int connections() {
+    return ends.size();
+  }
+
+  @Override
+  public String toString() {
+    return name;
+  }
 }
--- a/emulator/src/main/java/dillcross/emulator/world/World.java
+++ b/emulator/src/main/java/dillcross/emulator/world/World.java
@@ -8,14 +8,16 @@
 import dillcross.emulator.wire.Fabric;
 
 /** What the parts of a day share. */
-record World(Scenario scenario, Timeline time, Chance chance, Fabric fabric, Oracle oracle, Trace trace) {
-    static final long START_US = 1_800_000_000_000_000L; // an arbitrary day: the list counts from 1970
+record World(
+    Scenario scenario, Timeline time, Chance chance, Fabric fabric, Oracle oracle, Trace trace) {
+  static final long START_US =
+      1_800_000_000_000_000L; // an arbitrary day: the list counts from 1970
 
-    long now() {
-        return time.now();
-    }
+  long now() {
+    return time.now();
+  }
 
-    long nowMs() {
-        return time.now() / 1000;
-    }
+  long nowMs() {
+    return time.now() / 1000;
+  }
 }
--- a/emulator/src/test/java/dillcross/emulator/Changed.java
+++ b/emulator/src/test/java/dillcross/emulator/Changed.java
@@ -18,57 +18,82 @@
 import javax.tools.StandardJavaFileManager;
 import javax.tools.ToolProvider;
 
-/** The program with a line of the sidecar's text changed, compiled anew and loaded beside the unchanged one. */
+/**
+ * The program with a line of the sidecar's text changed, compiled anew and loaded beside the
+ * unchanged one.
+ */
 final class Changed {
-    private static final Path SOURCES = Path.of("../sidecar/src/main/java/dillcross");
+  private static final Path SOURCES = Path.of("../sidecar/src/main/java/dillcross");
 
-    private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
+  private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
 
-    private Changed() {
-    }
+  private Changed() {}
 
-    static URLClassLoader loader(Path folder, String file, String text, String instead) throws IOException {
-        String source = Files.readString(SOURCES.resolve(file));
-        Pattern pattern = withAnyLineBreaks(text);
-        assertEquals(1, pattern.matcher(source).results().count(), "the text that the fault changes stands once in " + file);
-        compile(folder, file, pattern.matcher(source).replaceFirst(Matcher.quoteReplacement(instead)));
-        return loader(folder);
-    }
+  static URLClassLoader loader(Path folder, String file, String text, String instead)
+      throws IOException {
+    String source = Files.readString(SOURCES.resolve(file));
+    Pattern pattern = withAnyLineBreaks(text);
+    assertEquals(
+        1,
+        pattern.matcher(source).results().count(),
+        "the text that the fault changes stands once in " + file);
+    compile(folder, file, pattern.matcher(source).replaceFirst(Matcher.quoteReplacement(instead)));
+    return loader(folder);
+  }
 
-    /** The same tokens in the same order, however the formatter breaks the lines between them. */
-    private static Pattern withAnyLineBreaks(String text) {
-        return Pattern.compile(TOKEN.matcher(text.trim()).results().map(token -> Pattern.quote(token.group())).collect(Collectors.joining("\\s*")));
-    }
+  /** The same tokens in the same order, however the formatter breaks the lines between them. */
+  private static Pattern withAnyLineBreaks(String text) {
+    return Pattern.compile(
+        TOKEN
+            .matcher(text.trim())
+            .results()
+            .map(token -> Pattern.quote(token.group()))
+            .collect(Collectors.joining("\\s*")));
+  }
 
-    private static void compile(Path folder, String file, String text) throws IOException {
-        Path changed = folder.resolve("text").resolve(file);
-        Files.createDirectories(changed.getParent());
-        Files.writeString(changed, text);
-        JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
-            Path out = Files.createDirectories(folder.resolve("classes"));
-            assertTrue(compiler.getTask(null, files, null, List.of("-cp", System.getProperty("java.class.path"), "-d", out.toString(), "-XDstringConcat=inline"), null,
-                    files.getJavaFileObjects(changed)).call(), "the changed text compiles");
-        }
+  private static void compile(Path folder, String file, String text) throws IOException {
+    Path changed = folder.resolve("text").resolve(file);
+    Files.createDirectories(changed.getParent());
+    Files.writeString(changed, text);
+    JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
+    try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
+      Path out = Files.createDirectories(folder.resolve("classes"));
+      assertTrue(
+          compiler
+              .getTask(
+                  null,
+                  files,
+                  null,
+                  List.of(
+                      "-cp",
+                      System.getProperty("java.class.path"),
+                      "-d",
+                      out.toString(),
+                      "-XDstringConcat=inline"),
+                  null,
+                  files.getJavaFileObjects(changed))
+              .call(),
+          "the changed text compiles");
     }
+  }
 
-    /** Loads all of dillcross itself, the changed classes first. */
-    private static URLClassLoader loader(Path folder) throws MalformedURLException {
-        List<URL> urls = new ArrayList<>(List.of(folder.resolve("classes").toUri().toURL()));
-        for (String path : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
-            urls.add(Path.of(path).toUri().toURL());
-        }
-        return new URLClassLoader(urls.toArray(new URL[0]), Changed.class.getClassLoader()) {
-            @Override
-            protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-                synchronized (getClassLoadingLock(name)) {
-                    Class<?> loaded = findLoadedClass(name);
-                    if (loaded == null) {
-                        loaded = name.startsWith("dillcross.") ? findClass(name) : super.loadClass(name, false);
-                    }
-                    return loaded;
-                }
-            }
-        };
+  /** Loads all of dillcross itself, the changed classes first. */
+  private static URLClassLoader loader(Path folder) throws MalformedURLException {
+    List<URL> urls = new ArrayList<>(List.of(folder.resolve("classes").toUri().toURL()));
+    for (String path : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
+      urls.add(Path.of(path).toUri().toURL());
     }
+    return new URLClassLoader(urls.toArray(new URL[0]), Changed.class.getClassLoader()) {
+      @Override
+      protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
+        synchronized (getClassLoadingLock(name)) {
+          Class<?> loaded = findLoadedClass(name);
+          if (loaded == null) {
+            loaded = name.startsWith("dillcross.") ? findClass(name) : super.loadClass(name, false);
+          }
+          return loaded;
+        }
+      }
+    };
+  }
 }
--- a/emulator/src/test/java/dillcross/emulator/EmulateIT.java
+++ b/emulator/src/test/java/dillcross/emulator/EmulateIT.java
@@ -15,109 +15,166 @@
 
 /** The built program by its command line, in processes of its own. */
 class EmulateIT {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    /** What it said, with its exit status as the last line. */
-    private List<String> dillcross(String... words) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of("../bin/dillcross", "emulate"));
-        command.addAll(List.of(words));
-        Path said = Files.createTempFile(folder, "said", ".txt");
-        Process process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(said.toFile()).start();
-        int status = process.waitFor();
-        List<String> lines = new ArrayList<>(Files.readAllLines(said, StandardCharsets.UTF_8));
-        lines.add("status " + status);
-        return lines;
-    }
+  /** What it said, with its exit status as the last line. */
+  private List<String> dillcross(String... words) throws IOException, InterruptedException {
+    List<String> command = new ArrayList<>(List.of("../bin/dillcross", "emulate"));
+    command.addAll(List.of(words));
+    Path said = Files.createTempFile(folder, "said", ".txt");
+    Process process =
+        new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(said.toFile()).start();
+    int status = process.waitFor();
+    List<String> lines = new ArrayList<>(Files.readAllLines(said, StandardCharsets.UTF_8));
+    lines.add("status " + status);
+    return lines;
+  }
 
-    private static String last(List<String> lines) {
-        return lines.get(lines.size() - 1);
-    }
+  private static String last(List<String> lines) {
+    return lines.get(lines.size() - 1);
+  }
 
-    @Test
-    void twoProcessesAndAnyNumberOfJobsSayTheSame() throws IOException, InterruptedException {
-        List<String> one = dillcross("sweep", "../scenarios/mixed.toml", "--seeds", "1..24", "--jobs", "1", "--quiet");
-        List<String> many = dillcross("sweep", "../scenarios/mixed.toml", "--seeds", "1..24", "--jobs", "6", "--quiet");
-        assertEquals("status 0", last(one));
-        assertEquals(one.subList(1, one.size()), many.subList(1, many.size()), "all but the first line, which tells the time");
-        assertEquals("seeds 24 violations 0", one.get(one.size() - 2));
-    }
+  @Test
+  void twoProcessesAndAnyNumberOfJobsSayTheSame() throws IOException, InterruptedException {
+    List<String> one =
+        dillcross("sweep", "../scenarios/mixed.toml", "--seeds", "1..24", "--jobs", "1", "--quiet");
+    List<String> many =
+        dillcross("sweep", "../scenarios/mixed.toml", "--seeds", "1..24", "--jobs", "6", "--quiet");
+    assertEquals("status 0", last(one));
+    assertEquals(
+        one.subList(1, one.size()),
+        many.subList(1, many.size()),
+        "all but the first line, which tells the time");
+    assertEquals("seeds 24 violations 0", one.get(one.size() - 2));
+  }
 
-    @Test
-    void aTraceIsTheSameByteForByteAndItsDigestIsTold() throws Exception {
-        Path a = folder.resolve("a.json");
-        Path b = folder.resolve("b.json");
-        List<String> first = dillcross("run", "../scenarios/mixed.toml", "--seed", "11", "--trace", a.toString());
-        dillcross("run", "../scenarios/mixed.toml", "--seed", "11", "--trace", b.toString());
-        assertEquals(-1, Files.mismatch(a, b));
-        String digest = java.util.HexFormat.of().formatHex(java.security.MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(a)));
-        assertTrue(first.contains("sha256:" + digest), first.toString());
-        dillcross("run", "../scenarios/mixed.toml", "--seed", "12", "--trace", b.toString());
-        assertNotEquals(-1, Files.mismatch(a, b));
-    }
+  @Test
+  void aTraceIsTheSameByteForByteAndItsDigestIsTold() throws Exception {
+    Path a = folder.resolve("a.json");
+    Path b = folder.resolve("b.json");
+    List<String> first =
+        dillcross("run", "../scenarios/mixed.toml", "--seed", "11", "--trace", a.toString());
+    dillcross("run", "../scenarios/mixed.toml", "--seed", "11", "--trace", b.toString());
+    assertEquals(-1, Files.mismatch(a, b));
+    String digest =
+        java.util.HexFormat.of()
+            .formatHex(
+                java.security.MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(a)));
+    assertTrue(first.contains("sha256:" + digest), first.toString());
+    dillcross("run", "../scenarios/mixed.toml", "--seed", "12", "--trace", b.toString());
+    assertNotEquals(-1, Files.mismatch(a, b));
+  }
 
-    @Test
-    void whatIsWrongWithTheInputIsSaidWithStatusTwo() throws IOException, InterruptedException {
-        Path bad = Files.writeString(folder.resolve("bad.toml"), "second = 1\n[[category]]\nname = \"a\"\n");
-        assertEquals(List.of(bad + ":1: second: unknown key; did you mean seconds?", "status 2"), dillcross("run", bad.toString(), "--seed", "1"));
-        assertEquals("status 2", last(dillcross("run", folder.resolve("none.toml").toString(), "--seed", "1")));
-        assertEquals("status 2", last(dillcross("run", "../scenarios/calm.toml")));
-        assertEquals("status 2", last(dillcross("run", "../scenarios/calm.toml", "--seed", "1", "--trace", folder.resolve("no/such").toString())));
-        assertEquals("status 2", last(dillcross("sweep", "../scenarios/calm.toml", "--seeds", "3")));
-        assertEquals("status 2", last(dillcross("sweep", "../scenarios/calm.toml", "--seeds", "3..1")));
-        assertEquals("status 2", last(dillcross("sweep", "../scenarios/calm.toml", "--seeds", "1..2", "--jobs", "0")));
-        assertEquals("status 2", last(dillcross("explain", "../scenarios/calm.toml", "--seed", "1", "--op", "none")));
-        assertEquals("status 2", last(dillcross()));
-    }
+  @Test
+  void whatIsWrongWithTheInputIsSaidWithStatusTwo() throws IOException, InterruptedException {
+    Path bad =
+        Files.writeString(folder.resolve("bad.toml"), "second = 1\n[[category]]\nname = \"a\"\n");
+    assertEquals(
+        List.of(bad + ":1: second: unknown key; did you mean seconds?", "status 2"),
+        dillcross("run", bad.toString(), "--seed", "1"));
+    assertEquals(
+        "status 2", last(dillcross("run", folder.resolve("none.toml").toString(), "--seed", "1")));
+    assertEquals("status 2", last(dillcross("run", "../scenarios/calm.toml")));
+    assertEquals(
+        "status 2",
+        last(
+            dillcross(
+                "run",
+                "../scenarios/calm.toml",
+                "--seed",
+                "1",
+                "--trace",
+                folder.resolve("no/such").toString())));
+    assertEquals("status 2", last(dillcross("sweep", "../scenarios/calm.toml", "--seeds", "3")));
+    assertEquals("status 2", last(dillcross("sweep", "../scenarios/calm.toml", "--seeds", "3..1")));
+    assertEquals(
+        "status 2",
+        last(dillcross("sweep", "../scenarios/calm.toml", "--seeds", "1..2", "--jobs", "0")));
+    assertEquals(
+        "status 2",
+        last(dillcross("explain", "../scenarios/calm.toml", "--seed", "1", "--op", "none")));
+    assertEquals("status 2", last(dillcross()));
+  }
 
-    /** Every ordered pair of kinds of event, once on each scenario, and some triples: clean, the same each time, and counted. */
-    @Test
-    void eventsThatCrossBreakNoRule() throws IOException, InterruptedException {
-        String[] files = {"../scenarios/crossings.toml", "../scenarios/crossings-strict.toml"};
-        List<String> pairs = dillcross("crossings", files[0], files[1], "--brief");
-        int kinds = dillcross.emulator.run.Crossings.events().size();
-        assertEquals("status 0", last(pairs), pairs.toString());
-        assertEquals("crossings " + 2 * kinds * kinds + " violations 0", pairs.get(pairs.size() - 2));
-        List<String> triples = dillcross("crossings", files[0], files[1], "--triples", "1..150", "--jobs", "2");
-        assertEquals("status 0", last(triples), triples.toString());
-        assertEquals("crossings 300 violations 0", triples.get(triples.size() - 2));
-        List<String> again = dillcross("crossings", files[0], files[1], "--triples", "1..150");
-        assertEquals(triples.get(triples.size() - 3), again.get(again.size() - 3), "the digest of all of its days");
-    }
+  /**
+   * Every ordered pair of kinds of event, once on each scenario, and some triples: clean, the same
+   * each time, and counted.
+   */
+  @Test
+  void eventsThatCrossBreakNoRule() throws IOException, InterruptedException {
+    String[] files = {"../scenarios/crossings.toml", "../scenarios/crossings-strict.toml"};
+    List<String> pairs = dillcross("crossings", files[0], files[1], "--brief");
+    int kinds = dillcross.emulator.run.Crossings.events().size();
+    assertEquals("status 0", last(pairs), pairs.toString());
+    assertEquals("crossings " + 2 * kinds * kinds + " violations 0", pairs.get(pairs.size() - 2));
+    List<String> triples =
+        dillcross("crossings", files[0], files[1], "--triples", "1..150", "--jobs", "2");
+    assertEquals("status 0", last(triples), triples.toString());
+    assertEquals("crossings 300 violations 0", triples.get(triples.size() - 2));
+    List<String> again = dillcross("crossings", files[0], files[1], "--triples", "1..150");
+    assertEquals(
+        triples.get(triples.size() - 3),
+        again.get(again.size() - 3),
+        "the digest of all of its days");
+  }
 
-    @Test
-    void aCrossingThatBreaksARuleIsToldWithWhatReplaysIt() throws IOException, InterruptedException {
-        Path strict = Files.writeString(folder.resolve("strict.toml"), Files.readString(Path.of("../scenarios/crossings.toml"))
-                .replace("start_ms = [50, 200]", "start_ms = [50, 200]\nturn_us = 20000") + "\n[rules]\nanswer_slack_ms = 0\n"); // a turn too late breaks a rule
-        Path out = folder.resolve("out");
-        List<String> found = dillcross("crossings", strict.toString(), "--pairs", "silence,slow", "--out", out.toString());
-        assertEquals("status 1", last(found));
-        String replay = found.stream().filter(line -> line.startsWith("    bin/dillcross emulate run ")).findFirst().orElseThrow();
-        String[] words = replay.strip().split(" ");
-        assertEquals("status 1", last(dillcross("run", words[3], "--seed", words[5])));
-        assertEquals("status 1", last(dillcross("shrink", words[3], "--seed", words[5])));
-        List<String> wrong = dillcross("crossings", strict.toString(), "--pairs", "die,nothing");
-        assertTrue(wrong.get(0).startsWith("dillcross: --pairs knows no nothing; known are die, vanish"), wrong.toString());
-        assertEquals("status 2", last(wrong));
-        assertEquals("status 2", last(dillcross("crossings", strict.toString(), "--pairs", "die")));
-        assertEquals(List.of("../scenarios/cold.toml: has troubles of its own, and crossings brings them", "status 2"), dillcross("crossings", "../scenarios/cold.toml"));
-        assertEquals("status 2", last(dillcross("crossings", folder.resolve("none.toml").toString())));
-    }
+  @Test
+  void aCrossingThatBreaksARuleIsToldWithWhatReplaysIt() throws IOException, InterruptedException {
+    Path strict =
+        Files.writeString(
+            folder.resolve("strict.toml"),
+            Files.readString(Path.of("../scenarios/crossings.toml"))
+                    .replace("start_ms = [50, 200]", "start_ms = [50, 200]\nturn_us = 20000")
+                + "\n[rules]\nanswer_slack_ms = 0\n"); // a turn too late breaks a rule
+    Path out = folder.resolve("out");
+    List<String> found =
+        dillcross(
+            "crossings", strict.toString(), "--pairs", "silence,slow", "--out", out.toString());
+    assertEquals("status 1", last(found));
+    String replay =
+        found.stream()
+            .filter(line -> line.startsWith("    bin/dillcross emulate run "))
+            .findFirst()
+            .orElseThrow();
+    String[] words = replay.strip().split(" ");
+    assertEquals("status 1", last(dillcross("run", words[3], "--seed", words[5])));
+    assertEquals("status 1", last(dillcross("shrink", words[3], "--seed", words[5])));
+    List<String> wrong = dillcross("crossings", strict.toString(), "--pairs", "die,nothing");
+    assertTrue(
+        wrong.get(0).startsWith("dillcross: --pairs knows no nothing; known are die, vanish"),
+        wrong.toString());
+    assertEquals("status 2", last(wrong));
+    assertEquals("status 2", last(dillcross("crossings", strict.toString(), "--pairs", "die")));
+    assertEquals(
+        List.of(
+            "../scenarios/cold.toml: has troubles of its own, and crossings brings them",
+            "status 2"),
+        dillcross("crossings", "../scenarios/cold.toml"));
+    assertEquals("status 2", last(dillcross("crossings", folder.resolve("none.toml").toString())));
+  }
 
-    @Test
-    void aDayThatBreaksARuleIsFoundCutAndExplained() throws IOException, InterruptedException {
-        Path strict = Files.writeString(folder.resolve("strict.toml"), Files.readString(Path.of("../scenarios/cold.toml"))
+  @Test
+  void aDayThatBreaksARuleIsFoundCutAndExplained() throws IOException, InterruptedException {
+    Path strict =
+        Files.writeString(
+            folder.resolve("strict.toml"),
+            Files.readString(Path.of("../scenarios/cold.toml"))
                 .replaceFirst("\n\\[\\[trouble", "\n[rules]\ncold_slack = 0.1\n\n[[trouble"));
-        List<String> swept = dillcross("sweep", strict.toString(), "--seeds", "1..40", "--quiet");
-        assertEquals("status 1", last(swept));
-        String seed = swept.get(0).split(" +")[1];
-        List<String> day = dillcross("run", strict.toString(), "--seed", seed);
-        assertEquals("status 1", last(day));
-        Path cut = folder.resolve("cut.toml");
-        assertEquals("status 1", last(dillcross("shrink", strict.toString(), "--seed", seed, "--out", cut.toString())));
-        String again = Files.readString(cut).replaceFirst("(?s).*?--seed ([0-9]+).*", "$1");
-        assertEquals("status 1", last(dillcross("run", cut.toString(), "--seed", again)));
-        List<String> story = dillcross("explain", cut.toString(), "--seed", again, "--op", "s0-1");
-        assertTrue(story.get(0).startsWith("op s0-1, seed ") && story.stream().anyMatch(line -> line.contains("ANSWERED")), story.toString());
-    }
+    List<String> swept = dillcross("sweep", strict.toString(), "--seeds", "1..40", "--quiet");
+    assertEquals("status 1", last(swept));
+    String seed = swept.get(0).split(" +")[1];
+    List<String> day = dillcross("run", strict.toString(), "--seed", seed);
+    assertEquals("status 1", last(day));
+    Path cut = folder.resolve("cut.toml");
+    assertEquals(
+        "status 1",
+        last(dillcross("shrink", strict.toString(), "--seed", seed, "--out", cut.toString())));
+    String again = Files.readString(cut).replaceFirst("(?s).*?--seed ([0-9]+).*", "$1");
+    assertEquals("status 1", last(dillcross("run", cut.toString(), "--seed", again)));
+    List<String> story = dillcross("explain", cut.toString(), "--seed", again, "--op", "s0-1");
+    assertTrue(
+        story.get(0).startsWith("op s0-1, seed ")
+            && story.stream().anyMatch(line -> line.contains("ANSWERED")),
+        story.toString());
+  }
 }
--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -21,19 +21,20 @@
 
 /** Memberships in virtual time: all short sequences of three, and many under each fault. */
 class MembershipTest {
-    private static final int DEPTH = 2; // in each build; 3 and 4 by hand, see docs/membership.md
-    @TempDir
-    private Path folder;
+  private static final int DEPTH = 2; // in each build; 3 and 4 by hand, see docs/membership.md
+  @TempDir private Path folder;
 
-    @Test
-    void noShortSequenceOfStepsBreaksARule() {
-        AtomicLong played = new AtomicLong();
-        assertNull(Explorer.explore(DEPTH, 11, played));
-        assertEquals(Explorer.sequences(DEPTH), played.get());
-    }
+  @Test
+  void noShortSequenceOfStepsBreaksARule() {
+    AtomicLong played = new AtomicLong();
+    assertNull(Explorer.explore(DEPTH, 11, played));
+    assertEquals(Explorer.sequences(DEPTH), played.get());
+  }
 
-    @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest(name = "{0}")
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "a refutation that raises nothing | raise(self.boot(), claim.incarnation() + 1) | raise(self.boot(), claim.incarnation())",
         "a death that is never declared | held.claim.state() == State.SUSPECT && now >= held.deadUs | held.claim.state() == State.SUSPECT && now < 0",
         "an older process taken for the newer | boot > other.boot | boot < other.boot",
@@ -44,53 +45,70 @@
         "the dead probed and not the living | held = one != null && one.claim.state().live() ? one : null; | held = one != null && !one.claim.state().live() ? one : null;",
         "a member that never probes | if (now >= probeUs) { | if (now < 0) {",
         "seeds that are never asked | Math.min(live == 0 ? 2 * HELPERS : 1, lost.size()) | 0",
-        "a refutation that is not believed | incarnation > other.incarnation | incarnation < other.incarnation"})
-    void aPlantedFaultIsFound(String name, String text, String instead) throws Exception {
-        String found = null;
-        try (URLClassLoader own = Changed.loader(folder, "membership/" + (text.startsWith("boot") || text.startsWith("incarnation") ? "Claim" : "Membership") + ".java", text, instead)) {
-            @SuppressWarnings("unchecked")
-            IntFunction<String> search = (IntFunction<String>) own.loadClass(Search.class.getName()).getDeclaredConstructor().newInstance();
-            for (int depth = 1; depth <= 3 && found == null; depth++) {
-                found = search.apply(depth);
-            }
-        }
-        assertNotNull(found, "no sequence of 3 steps shows it");
-        System.out.println("planted: " + name + " | " + found);
+        "a refutation that is not believed | incarnation > other.incarnation | incarnation < other.incarnation"
+      })
+  void aPlantedFaultIsFound(String name, String text, String instead) throws Exception {
+    String found = null;
+    try (URLClassLoader own =
+        Changed.loader(
+            folder,
+            "membership/"
+                + (text.startsWith("boot") || text.startsWith("incarnation")
+                    ? "Claim"
+                    : "Membership")
+                + ".java",
+            text,
+            instead)) {
+      @SuppressWarnings("unchecked")
+      IntFunction<String> search =
+          (IntFunction<String>)
+              own.loadClass(Search.class.getName()).getDeclaredConstructor().newInstance();
+      for (int depth = 1; depth <= 3 && found == null; depth++) {
+        found = search.apply(depth);
+      }
     }
+    assertNotNull(found, "no sequence of 3 steps shows it");
+    System.out.println("planted: " + name + " | " + found);
+  }
 
-    @ParameterizedTest
-    @EnumSource(Trial.Fault.class)
-    void twentyFourFindWhoDiedAndAgreeInTheEnd(Trial.Fault fault) {
-        Trial.Result result = Trial.play(24, fault, 5);
-        assertTrue(result.convergedMs() >= 0, result::toString);
-        assertTrue(result.detectMs().size() > 0, result::toString);
-        if (fault == Trial.Fault.NONE || fault == Trial.Fault.ONE_WAY || fault == Trial.Fault.SLOW) {
-            assertEquals(0, result.falseDeaths(), result::toString);
-        }
+  @ParameterizedTest
+  @EnumSource(Trial.Fault.class)
+  void twentyFourFindWhoDiedAndAgreeInTheEnd(Trial.Fault fault) {
+    Trial.Result result = Trial.play(24, fault, 5);
+    assertTrue(result.convergedMs() >= 0, result::toString);
+    assertTrue(result.detectMs().size() > 0, result::toString);
+    if (fault == Trial.Fault.NONE || fault == Trial.Fault.ONE_WAY || fault == Trial.Fault.SLOW) {
+      assertEquals(0, result.falseDeaths(), result::toString);
     }
+  }
 
-    @Test
-    void theSameSeedPlaysTheSame() {
-        assertEquals(Trial.play(16, Trial.Fault.ALL, 3).toString(), Trial.play(16, Trial.Fault.ALL, 3).toString());
-    }
+  @Test
+  void theSameSeedPlaysTheSame() {
+    assertEquals(
+        Trial.play(16, Trial.Fault.ALL, 3).toString(),
+        Trial.play(16, Trial.Fault.ALL, 3).toString());
+  }
 
-    @Test
-    void aWordOfAnotherPartComesToAllAndTheNewestHolds() {
-        Swarm swarm = new Swarm(40, 3, 1, 1_000_000, 400, 9);
-        for (int i = 0; i < 40; i++) {
-            swarm.start(i, 0);
-        }
-        swarm.pass(30_000_000);
-        swarm.of(7).publish(swarm.now(), 2, new byte[] {1});
-        swarm.of(7).publish(swarm.now(), 2, new byte[] {2});
-        swarm.pass(30_000_000);
-        for (int i = 0; i < 40; i++) {
-            assertEquals(State.ALIVE, i == 7 ? State.ALIVE : swarm.holds(i, 7));
-            assertTrue(i == 7 || swarm.of(i).payload("s7", 2).bytes()[0] == 2 && swarm.of(i).payload("s7", 2).version() == 2);
-        }
-        swarm.kill(9);
-        swarm.start(9, 0); // who comes later hears of it as well
-        swarm.pass(30_000_000);
-        assertEquals(2, swarm.of(9).payload("s7", 2).bytes()[0]);
+  @Test
+  void aWordOfAnotherPartComesToAllAndTheNewestHolds() {
+    Swarm swarm = new Swarm(40, 3, 1, 1_000_000, 400, 9);
+    for (int i = 0; i < 40; i++) {
+      swarm.start(i, 0);
+    }
+    swarm.pass(30_000_000);
+    swarm.of(7).publish(swarm.now(), 2, new byte[] {1});
+    swarm.of(7).publish(swarm.now(), 2, new byte[] {2});
+    swarm.pass(30_000_000);
+    for (int i = 0; i < 40; i++) {
+      assertEquals(State.ALIVE, i == 7 ? State.ALIVE : swarm.holds(i, 7));
+      assertTrue(
+          i == 7
+              || swarm.of(i).payload("s7", 2).bytes()[0] == 2
+                  && swarm.of(i).payload("s7", 2).version() == 2);
     }
+    swarm.kill(9);
+    swarm.start(9, 0); // who comes later hears of it as well
+    swarm.pass(30_000_000);
+    assertEquals(2, swarm.of(9).payload("s7", 2).bytes()[0]);
+  }
 }
--- a/emulator/src/test/java/dillcross/emulator/PackagesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PackagesTest.java
@@ -7,30 +7,74 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** What may know what: above all, the oracle must not see the books of those it judges, and no day may read a clock. */
+/**
+ * What may know what: above all, the oracle must not see the books of those it judges, and no day
+ * may read a clock.
+ */
 class PackagesTest {
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("dillcross.emulator");
-    private static final String[] SIDECAR = {"dillcross.balancer..", "dillcross.model..", "dillcross.sidecar..", "dillcross.net..", "dillcross.config.."};
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+          .importPackages("dillcross.emulator");
+  private static final String[] SIDECAR = {
+    "dillcross.balancer..",
+    "dillcross.model..",
+    "dillcross.sidecar..",
+    "dillcross.net..",
+    "dillcross.config.."
+  };
 
-    @Test
-    void theOracleSeesTheWorldsSideAlone() {
-        noClasses().that().resideInAnyPackage("dillcross.emulator.oracle..").should().dependOnClassesThat()
-                .resideInAnyPackage(SIDECAR).check(CLASSES);
-        noClasses().that().resideInAnyPackage("dillcross.emulator.oracle..").should().dependOnClassesThat()
-                .resideInAnyPackage("dillcross.emulator.world..", "dillcross.emulator.wire..").check(CLASSES);
-    }
+  @Test
+  void theOracleSeesTheWorldsSideAlone() {
+    noClasses()
+        .that()
+        .resideInAnyPackage("dillcross.emulator.oracle..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(SIDECAR)
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAnyPackage("dillcross.emulator.oracle..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("dillcross.emulator.world..", "dillcross.emulator.wire..")
+        .check(CLASSES);
+  }
 
-    @Test
-    void theWorldReadsNothingOfTheSidecarsCodec() {
-        noClasses().that().haveSimpleName("Incoming").or().haveSimpleName("Server").or().haveSimpleName("Clients").or().haveSimpleName("Directory")
-                .should().dependOnClassesThat().resideInAnyPackage(SIDECAR).check(CLASSES);
-    }
+  @Test
+  void theWorldReadsNothingOfTheSidecarsCodec() {
+    noClasses()
+        .that()
+        .haveSimpleName("Incoming")
+        .or()
+        .haveSimpleName("Server")
+        .or()
+        .haveSimpleName("Clients")
+        .or()
+        .haveSimpleName("Directory")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(SIDECAR)
+        .check(CLASSES);
+  }
 
-    @Test
-    void onlyWhatCountsRealTimeReadsAClock() {
-        noClasses().that().resideOutsideOfPackages("dillcross.emulator.run..", "dillcross.emulator.cli..").should()
-                .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
-        noClasses().should().callMethod(Math.class, "random").orShould().dependOnClassesThat().belongToAnyOf(java.util.Random.class).check(CLASSES);
-    }
+  @Test
+  void onlyWhatCountsRealTimeReadsAClock() {
+    noClasses()
+        .that()
+        .resideOutsideOfPackages("dillcross.emulator.run..", "dillcross.emulator.cli..")
+        .should()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(CLASSES);
+    noClasses()
+        .should()
+        .callMethod(Math.class, "random")
+        .orShould()
+        .dependOnClassesThat()
+        .belongToAnyOf(java.util.Random.class)
+        .check(CLASSES);
+  }
 }
--- a/emulator/src/test/java/dillcross/emulator/Search.java
+++ b/emulator/src/test/java/dillcross/emulator/Search.java
@@ -6,8 +6,8 @@
 
 /** Explores sequences of steps with the class that its loader has; what broke, or null. */
 public final class Search implements IntFunction<String> {
-    @Override
-    public String apply(int depth) {
-        return Explorer.explore(depth, 11, new AtomicLong());
-    }
+  @Override
+  public String apply(int depth) {
+    return Explorer.explore(depth, 11, new AtomicLong());
+  }
 }
--- a/emulator/src/test/java/dillcross/emulator/WireContractTest.java
+++ b/emulator/src/test/java/dillcross/emulator/WireContractTest.java
@@ -24,329 +24,423 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What the program above can tell of a connection is the same on sockets under Grizzly and on the emulated wire. */
+/**
+ * What the program above can tell of a connection is the same on sockets under Grizzly and on the
+ * emulated wire.
+ */
 class WireContractTest {
-    private static final int LARGE = 8 << 20; // more than any system's buffers of one connection hold
-
-    /** A case: it runs on the network's thread, and notes what it sees. */
-    private abstract static class Case {
-        final List<String> seen = new ArrayList<>();
-        final CountDownLatch done = new CountDownLatch(1);
-        Network network;
-        Wire theirs; // accepted
-        Wire ours; // asked for
-        long read;
-
-        abstract void begin() throws Exception;
-
-        void note(String what) {
-            if (done.getCount() > 0) { // what the selector tells once more is of no interest
-                seen.add(what);
-            }
-        }
+  private static final int LARGE = 8 << 20; // more than any system's buffers of one connection hold
+
+  /** A case: it runs on the network's thread, and notes what it sees. */
+  private abstract static class Case {
+    final List<String> seen = new ArrayList<>();
+    final CountDownLatch done = new CountDownLatch(1);
+    Network network;
+    Wire theirs; // accepted
+    Wire ours; // asked for
+    long read;
+
+    abstract void begin() throws Exception;
+
+    void note(String what) {
+      if (done.getCount() > 0) { // what the selector tells once more is of no interest
+        seen.add(what);
+      }
+    }
 
-        void end() {
-            done.countDown();
-        }
+    void end() {
+      done.countDown();
+    }
 
-        /** Both sides; the accepted one hears here. */
-        String listen(Network.Ear ear) throws IOException {
-            return network.bind(new InetSocketAddress("127.0.0.1", 0), wire -> {
+    /** Both sides; the accepted one hears here. */
+    String listen(Network.Ear ear) throws IOException {
+      return network
+          .bind(
+              new InetSocketAddress("127.0.0.1", 0),
+              wire -> {
                 note("accepted");
                 theirs = wire;
                 return ear;
-            }).address();
-        }
-
-        void connect(String to, Network.Ear ear, Runnable up) {
-            network.connect(Address.parse(to), new Network.Asker() {
-                @Override
-                public Network.Ear opening(Wire wire) {
-                    ours = wire;
-                    return ear;
-                }
-
-                @Override
-                public void up() {
-                    up.run();
-                }
-
-                @Override
-                public void failed() {
-                    note("failed");
-                    end();
-                }
-            });
-        }
-
-        void write(Wire to, int bytes, Runnable sent) {
-            to.write(ByteBuffer.allocate(bytes), new Wire.Sent() {
-                @Override
-                public void sent() {
-                    sent.run();
-                }
-
-                @Override
-                public void broke() {
-                    note("broke");
-                }
-            });
-        }
-
-        /** Reads all there is: how it ended. */
-        String drain(Wire from) {
-            ByteBuffer into = ByteBuffer.allocate(1 << 16);
-            try {
-                for (int got; (got = from.read(into.clear())) != 0;) {
-                    if (got < 0) {
-                        return "end";
-                    }
-                    read += got;
-                }
-                return "more";
-            } catch (IOException reset) {
-                return "reset";
-            }
-        }
-    }
-
-    private static Network.Ear ear(Runnable readable, Runnable closed) {
-        return new Network.Ear() {
-            @Override
-            public void readable() {
-                readable.run();
-            }
-
-            @Override
-            public void closed() {
-                closed.run();
-            }
-        };
+              })
+          .address();
     }
 
-    private interface Making {
-        Case make();
-    }
-
-    /** Plays it on both, and wants the same of both. */
-    private static void same(Making making, String... wanted) throws Exception {
-        Case real = making.make();
-        Queue<Runnable> todo = new ConcurrentLinkedQueue<>();
-        GrizzlyNetwork sockets = new GrizzlyNetwork();
-        real.network = sockets;
-        sockets.start(new Network.Turns() {
+    void connect(String to, Network.Ear ear, Runnable up) {
+      network.connect(
+          Address.parse(to),
+          new Network.Asker() {
             @Override
-            public void look() {
-                // no clock is needed
+            public Network.Ear opening(Wire wire) {
+              ours = wire;
+              return ear;
             }
 
             @Override
-            public void turn() {
-                for (Runnable next; (next = todo.poll()) != null;) {
-                    next.run();
-                }
+            public void up() {
+              up.run();
             }
 
             @Override
-            public long dueInUs() {
-                return 20_000;
-            }
-        });
-        List<Exception> thrown = new ArrayList<>();
-        todo.add(() -> begin(real, thrown));
-        assertTrue(real.done.await(20, TimeUnit.SECONDS), () -> "on sockets it saw " + real.seen);
-        assertEquals(List.of(), thrown);
-        assertEquals(List.of(wanted), real.seen, "on sockets");
-
-        Case emulated = making.make();
-        Timeline time = new Timeline(1_000_000);
-        Fabric fabric = new Fabric(time, Chance.of(1), 100, 1000, 0);
-        boolean[] begun = new boolean[1];
-        EmulatedNetwork wire = new EmulatedNetwork(time, fabric, new Host("one", "a"), "127.0.0.1", 20, () -> { });
-        emulated.network = wire;
-        wire.start(new Network.Turns() {
-            @Override
-            public void look() {
-                // no clock is needed
+            public void failed() {
+              note("failed");
+              end();
             }
+          });
+    }
 
+    void write(Wire to, int bytes, Runnable sent) {
+      to.write(
+          ByteBuffer.allocate(bytes),
+          new Wire.Sent() {
             @Override
-            public void turn() {
-                if (!begun[0]) {
-                    begun[0] = true;
-                    begin(emulated, thrown);
-                }
+            public void sent() {
+              sent.run();
             }
 
             @Override
-            public long dueInUs() {
-                return 20_000;
+            public void broke() {
+              note("broke");
             }
-        });
-        while (emulated.done.getCount() > 0 && time.step(30_000_000)) {
-            // until it is done
-        }
-        assertEquals(List.of(), thrown);
-        assertEquals(List.of(wanted), emulated.seen, "emulated");
+          });
     }
 
-    private static void begin(Case of, List<Exception> thrown) {
-        try {
-            of.begin();
-        } catch (Exception e) {
-            thrown.add(e);
-            of.end();
+    /** Reads all there is: how it ended. */
+    String drain(Wire from) {
+      ByteBuffer into = ByteBuffer.allocate(1 << 16);
+      try {
+        for (int got; (got = from.read(into.clear())) != 0; ) {
+          if (got < 0) {
+            return "end";
+          }
+          read += got;
         }
+        return "more";
+      } catch (IOException reset) {
+        return "reset";
+      }
     }
-
-    @Test
-    void whoConnectsToNobodyIsToldSo() throws Exception {
-        int nobody;
-        try (ServerSocket free = new ServerSocket(0)) {
-            nobody = free.getLocalPort();
-        }
-        same(() -> new Case() {
-            @Override
-            void begin() {
-                connect("127.0.0.1:" + nobody, ear(() -> { }, () -> note("closed")), () -> note("up"));
+  }
+
+  private static Network.Ear ear(Runnable readable, Runnable closed) {
+    return new Network.Ear() {
+      @Override
+      public void readable() {
+        readable.run();
+      }
+
+      @Override
+      public void closed() {
+        closed.run();
+      }
+    };
+  }
+
+  private interface Making {
+    Case make();
+  }
+
+  /** Plays it on both, and wants the same of both. */
+  private static void same(Making making, String... wanted) throws Exception {
+    Case real = making.make();
+    Queue<Runnable> todo = new ConcurrentLinkedQueue<>();
+    GrizzlyNetwork sockets = new GrizzlyNetwork();
+    real.network = sockets;
+    sockets.start(
+        new Network.Turns() {
+          @Override
+          public void look() {
+            // no clock is needed
+          }
+
+          @Override
+          public void turn() {
+            for (Runnable next; (next = todo.poll()) != null; ) {
+              next.run();
             }
-        }, "failed");
-    }
+          }
 
-    @Test
-    void whoEndsItsSendingStillReads() throws Exception {
-        same(() -> new Case() {
-            @Override
-            void begin() throws IOException {
-                connect(listen(ear(() -> {
-                    if (drain(theirs).equals("end")) {
-                        note("theirs: end after " + read);
-                        read = 0;
-                        write(theirs, 500, () -> theirs.close());
-                    }
-                }, () -> note("theirs: closed"))), ear(() -> {
-                    if (drain(ours).equals("end")) {
-                        note("ours: end after " + read);
-                        ours.close();
-                        end();
-                    }
-                }, () -> note("ours: closed")), () -> write(ours, 300, () -> {
-                    try {
-                        ours.endSending();
-                    } catch (IOException e) {
-                        note("" + e);
-                    }
-                }));
+          @Override
+          public long dueInUs() {
+            return 20_000;
+          }
+        });
+    List<Exception> thrown = new ArrayList<>();
+    todo.add(() -> begin(real, thrown));
+    assertTrue(real.done.await(20, TimeUnit.SECONDS), () -> "on sockets it saw " + real.seen);
+    assertEquals(List.of(), thrown);
+    assertEquals(List.of(wanted), real.seen, "on sockets");
+
+    Case emulated = making.make();
+    Timeline time = new Timeline(1_000_000);
+    Fabric fabric = new Fabric(time, Chance.of(1), 100, 1000, 0);
+    boolean[] begun = new boolean[1];
+    EmulatedNetwork wire =
+        new EmulatedNetwork(time, fabric, new Host("one", "a"), "127.0.0.1", 20, () -> {});
+    emulated.network = wire;
+    wire.start(
+        new Network.Turns() {
+          @Override
+          public void look() {
+            // no clock is needed
+          }
+
+          @Override
+          public void turn() {
+            if (!begun[0]) {
+              begun[0] = true;
+              begin(emulated, thrown);
             }
-        }, "accepted", "theirs: end after 300", "theirs: closed", "ours: end after 500", "ours: closed");
-    }
+          }
 
-    @Test
-    void aCutIsNoEnd() throws Exception {
-        same(() -> new Case() {
-            @Override
-            void begin() throws IOException {
-                connect(listen(ear(() -> {
-                    if (drain(theirs).equals("more") && read == 300) {
-                        try {
-                            theirs.cuts();
-                        } catch (IOException e) {
-                            note("" + e);
-                        }
-                        theirs.close();
-                    }
-                }, () -> note("theirs: closed"))), ear(() -> {
-                    String how = drain(ours);
-                    if (!how.equals("more")) {
-                        note("ours: " + how);
-                        end();
-                    }
-                }, () -> note("ours: closed")), () -> write(ours, 300, () -> { }));
-            }
-        }, "accepted", "theirs: closed", "ours: reset");
+          @Override
+          public long dueInUs() {
+            return 20_000;
+          }
+        });
+    while (emulated.done.getCount() > 0 && time.step(30_000_000)) {
+      // until it is done
     }
-
-    @Test
-    void whoClosesWithBytesUnreadEndsFirst() throws Exception {
-        same(() -> new Case() {
-            @Override
-            void begin() throws IOException {
-                connect(listen(ear(() -> {
-                    note("theirs: closes");
-                    theirs.close();
-                }, () -> note("theirs: closed"))), ear(() -> {
-                    note("ours: " + drain(ours));
-                    end();
-                }, () -> { }), () -> write(ours, 300, () -> { }));
-            }
-        }, "accepted", "theirs: closes", "theirs: closed", "ours: end");
+    assertEquals(List.of(), thrown);
+    assertEquals(List.of(wanted), emulated.seen, "emulated");
+  }
+
+  private static void begin(Case of, List<Exception> thrown) {
+    try {
+      of.begin();
+    } catch (Exception e) {
+      thrown.add(e);
+      of.end();
     }
+  }
 
-    @Test
-    void whatNobodyReadsWaitsAndIsToldWhenItIsTaken() throws Exception {
-        same(() -> new Case() {
-            private boolean sent;
-
-            @Override
-            void begin() throws IOException {
-                connect(listen(ear(() -> {
-                    if (read == 0) {
-                        note("theirs: readable, all sent " + sent);
-                        read = 1;
-                        tells(false);
-                        write(theirs, 1, () -> { });
-                    } else {
-                        drain(theirs);
-                        if (read == LARGE + 1) {
-                            note("theirs: all came");
+  @Test
+  void whoConnectsToNobodyIsToldSo() throws Exception {
+    int nobody;
+    try (ServerSocket free = new ServerSocket(0)) {
+      nobody = free.getLocalPort();
+    }
+    same(
+        () ->
+            new Case() {
+              @Override
+              void begin() {
+                connect(
+                    "127.0.0.1:" + nobody, ear(() -> {}, () -> note("closed")), () -> note("up"));
+              }
+            },
+        "failed");
+  }
+
+  @Test
+  void whoEndsItsSendingStillReads() throws Exception {
+    same(
+        () ->
+            new Case() {
+              @Override
+              void begin() throws IOException {
+                connect(
+                    listen(
+                        ear(
+                            () -> {
+                              if (drain(theirs).equals("end")) {
+                                note("theirs: end after " + read);
+                                read = 0;
+                                write(theirs, 500, () -> theirs.close());
+                              }
+                            },
+                            () -> note("theirs: closed"))),
+                    ear(
+                        () -> {
+                          if (drain(ours).equals("end")) {
+                            note("ours: end after " + read);
+                            ours.close();
                             end();
-                        }
-                    }
-                }, () -> { })), ear(() -> {
-                    drain(ours);
-                    read = 1;
-                    note("ours: told to wait, all sent " + sent);
-                    tells(true);
-                }, () -> { }), () -> write(ours, LARGE, () -> {
-                    sent = true;
-                    note("ours: all sent");
-                }));
-            }
-
-            private void tells(boolean now) {
+                          }
+                        },
+                        () -> note("ours: closed")),
+                    () ->
+                        write(
+                            ours,
+                            300,
+                            () -> {
+                              try {
+                                ours.endSending();
+                              } catch (IOException e) {
+                                note("" + e);
+                              }
+                            }));
+              }
+            },
+        "accepted",
+        "theirs: end after 300",
+        "theirs: closed",
+        "ours: end after 500",
+        "ours: closed");
+  }
+
+  @Test
+  void aCutIsNoEnd() throws Exception {
+    same(
+        () ->
+            new Case() {
+              @Override
+              void begin() throws IOException {
+                connect(
+                    listen(
+                        ear(
+                            () -> {
+                              if (drain(theirs).equals("more") && read == 300) {
+                                try {
+                                  theirs.cuts();
+                                } catch (IOException e) {
+                                  note("" + e);
+                                }
+                                theirs.close();
+                              }
+                            },
+                            () -> note("theirs: closed"))),
+                    ear(
+                        () -> {
+                          String how = drain(ours);
+                          if (!how.equals("more")) {
+                            note("ours: " + how);
+                            end();
+                          }
+                        },
+                        () -> note("ours: closed")),
+                    () -> write(ours, 300, () -> {}));
+              }
+            },
+        "accepted",
+        "theirs: closed",
+        "ours: reset");
+  }
+
+  @Test
+  void whoClosesWithBytesUnreadEndsFirst() throws Exception {
+    same(
+        () ->
+            new Case() {
+              @Override
+              void begin() throws IOException {
+                connect(
+                    listen(
+                        ear(
+                            () -> {
+                              note("theirs: closes");
+                              theirs.close();
+                            },
+                            () -> note("theirs: closed"))),
+                    ear(
+                        () -> {
+                          note("ours: " + drain(ours));
+                          end();
+                        },
+                        () -> {}),
+                    () -> write(ours, 300, () -> {}));
+              }
+            },
+        "accepted",
+        "theirs: closes",
+        "theirs: closed",
+        "ours: end");
+  }
+
+  @Test
+  void whatNobodyReadsWaitsAndIsToldWhenItIsTaken() throws Exception {
+    same(
+        () ->
+            new Case() {
+              private boolean sent;
+
+              @Override
+              void begin() throws IOException {
+                connect(
+                    listen(
+                        ear(
+                            () -> {
+                              if (read == 0) {
+                                note("theirs: readable, all sent " + sent);
+                                read = 1;
+                                tells(false);
+                                write(theirs, 1, () -> {});
+                              } else {
+                                drain(theirs);
+                                if (read == LARGE + 1) {
+                                  note("theirs: all came");
+                                  end();
+                                }
+                              }
+                            },
+                            () -> {})),
+                    ear(
+                        () -> {
+                          drain(ours);
+                          read = 1;
+                          note("ours: told to wait, all sent " + sent);
+                          tells(true);
+                        },
+                        () -> {}),
+                    () ->
+                        write(
+                            ours,
+                            LARGE,
+                            () -> {
+                              sent = true;
+                              note("ours: all sent");
+                            }));
+              }
+
+              private void tells(boolean now) {
                 try {
-                    theirs.tells(now);
+                  theirs.tells(now);
                 } catch (IOException e) {
-                    note("" + e);
+                  note("" + e);
                 }
-            }
-        }, "accepted", "theirs: readable, all sent false", "ours: told to wait, all sent false", "ours: all sent", "theirs: all came");
-    }
-
-    @Test
-    void whatIsLeftUnreadIsToldOfOnceMoreButNotWithinTheCall() throws Exception {
-        same(() -> new Case() {
-            private int calls;
-            private boolean within;
-
-            @Override
-            void begin() throws IOException {
-                connect(listen(ear(() -> {
-                    note("readable" + (within ? " within the call" : ""));
-                    drain(theirs);
-                    if (++calls == 1) {
-                        within = true;
-                        try {
-                            theirs.again();
-                        } catch (IOException e) {
-                            note("" + e);
-                        }
-                        within = false;
-                    } else {
-                        end();
-                    }
-                }, () -> { })), ear(() -> { }, () -> { }), () -> write(ours, 10, () -> { }));
-            }
-        }, "accepted", "readable", "readable");
-    }
+              }
+            },
+        "accepted",
+        "theirs: readable, all sent false",
+        "ours: told to wait, all sent false",
+        "ours: all sent",
+        "theirs: all came");
+  }
+
+  @Test
+  void whatIsLeftUnreadIsToldOfOnceMoreButNotWithinTheCall() throws Exception {
+    same(
+        () ->
+            new Case() {
+              private int calls;
+              private boolean within;
+
+              @Override
+              void begin() throws IOException {
+                connect(
+                    listen(
+                        ear(
+                            () -> {
+                              note("readable" + (within ? " within the call" : ""));
+                              drain(theirs);
+                              if (++calls == 1) {
+                                within = true;
+                                try {
+                                  theirs.again();
+                                } catch (IOException e) {
+                                  note("" + e);
+                                }
+                                within = false;
+                              } else {
+                                end();
+                              }
+                            },
+                            () -> {})),
+                    ear(() -> {}, () -> {}),
+                    () -> write(ours, 10, () -> {}));
+              }
+            },
+        "accepted",
+        "readable",
+        "readable");
+  }
 }
--- a/fleet/src/main/java/dillcross/fleet/Load.java
+++ b/fleet/src/main/java/dillcross/fleet/Load.java
@@ -16,72 +16,86 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop clients of one sidecar: ops leave at their times whether or not earlier ones were answered, and each is timed from when it was
- * meant to leave.
+ * Open-loop clients of one sidecar: ops leave at their times whether or not earlier ones were
+ * answered, and each is timed from when it was meant to leave.
  */
 final class Load implements AutoCloseable {
-    static final int TTL_MS = 1000;
-    final Histogram latencyUs = new ConcurrentHistogram(60_000_000L, 3);
-    final AtomicLong sent = new AtomicLong();
-    final AtomicLong acked = new AtomicLong();
-    final AtomicLong nacked = new AtomicLong();
-    final AtomicLong failed = new AtomicLong();
-    final AtomicLong unheard = new AtomicLong(); // no sidecar there, or no answer
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(task, "load");
-        thread.setDaemon(true);
-        return thread;
-    });
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(Duration.ofMillis(TTL_MS)).build();
-    private final Supplier<String> address; // null while there is none
-    private final String name;
-    private final long startNs = System.nanoTime();
-    private final long everyNs;
-    private long next;
+  static final int TTL_MS = 1000;
+  final Histogram latencyUs = new ConcurrentHistogram(60_000_000L, 3);
+  final AtomicLong sent = new AtomicLong();
+  final AtomicLong acked = new AtomicLong();
+  final AtomicLong nacked = new AtomicLong();
+  final AtomicLong failed = new AtomicLong();
+  final AtomicLong unheard = new AtomicLong(); // no sidecar there, or no answer
+  private final ScheduledExecutorService clock =
+      Executors.newSingleThreadScheduledExecutor(
+          task -> {
+            Thread thread = new Thread(task, "load");
+            thread.setDaemon(true);
+            return thread;
+          });
+  private final HttpClient client =
+      HttpClient.newBuilder()
+          .version(HttpClient.Version.HTTP_1_1)
+          .connectTimeout(Duration.ofMillis(TTL_MS))
+          .build();
+  private final Supplier<String> address; // null while there is none
+  private final String name;
+  private final long startNs = System.nanoTime();
+  private final long everyNs;
+  private long next;
 
-    Load(String name, Supplier<String> address, double perS) {
-        this.name = name;
-        this.address = address;
-        everyNs = Math.round(1e9 / perS);
-        clock.scheduleAtFixedRate(this::due, 0, 1, TimeUnit.MILLISECONDS);
-    }
+  Load(String name, Supplier<String> address, double perS) {
+    this.name = name;
+    this.address = address;
+    everyNs = Math.round(1e9 / perS);
+    clock.scheduleAtFixedRate(this::due, 0, 1, TimeUnit.MILLISECONDS);
+  }
 
-    private void due() {
-        for (long at; (at = startNs + next * everyNs) <= System.nanoTime(); next++) {
-            one(at, name + "-" + next);
-        }
+  private void due() {
+    for (long at; (at = startNs + next * everyNs) <= System.nanoTime(); next++) {
+      one(at, name + "-" + next);
     }
+  }
 
-    private void one(long meantNs, String id) {
-        sent.incrementAndGet();
-        String to = address.get();
-        if (to == null) {
-            unheard.incrementAndGet();
-            return;
-        }
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + to + "/read/thing")).timeout(Duration.ofMillis(TTL_MS + 500))
-                .header("Request-Id", id).header("Request-Timeout-Ms", Integer.toString(TTL_MS)).build();
-        client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).whenComplete((answer, broken) -> {
-            if (broken != null) {
+  private void one(long meantNs, String id) {
+    sent.incrementAndGet();
+    String to = address.get();
+    if (to == null) {
+      unheard.incrementAndGet();
+      return;
+    }
+    HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://" + to + "/read/thing"))
+            .timeout(Duration.ofMillis(TTL_MS + 500))
+            .header("Request-Id", id)
+            .header("Request-Timeout-Ms", Integer.toString(TTL_MS))
+            .build();
+    client
+        .sendAsync(request, HttpResponse.BodyHandlers.ofString())
+        .whenComplete(
+            (answer, broken) -> {
+              if (broken != null) {
                 unheard.incrementAndGet();
-            } else {
+              } else {
                 latencyUs.recordValue(Math.min(59_000_000L, (System.nanoTime() - meantNs) / 1000));
-                (answer.statusCode() == 200 ? acked : answer.statusCode() == 503 ? nacked : failed).incrementAndGet();
-            }
-        });
-    }
+                (answer.statusCode() == 200 ? acked : answer.statusCode() == 503 ? nacked : failed)
+                    .incrementAndGet();
+              }
+            });
+  }
 
-    @Override
-    public void close() {
-        clock.shutdownNow();
-    }
+  @Override
+  public void close() {
+    clock.shutdownNow();
+  }
 
-    static List<Load> all(Fleet fleet, double perS) {
-        List<Load> loads = new ArrayList<>();
-        for (int i = 0; i < fleet.size(); i++) {
-            int member = i;
-            loads.add(new Load(Fleet.name(i), () -> fleet.listensNow(member), perS));
-        }
-        return loads;
+  static List<Load> all(Fleet fleet, double perS) {
+    List<Load> loads = new ArrayList<>();
+    for (int i = 0; i < fleet.size(); i++) {
+      int member = i;
+      loads.add(new Load(Fleet.name(i), () -> fleet.listensNow(member), perS));
     }
+    return loads;
+  }
 }
--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -16,95 +16,189 @@
 
 /** What a run came to, as text, as charts, and as one page that needs nothing else. */
 final class Report {
-    private Report() {
-    }
+  private Report() {}
 
-    static String text(Run.Result result) {
-        StringBuilder all = new StringBuilder();
-        all.append(String.format(Locale.ROOT, "%s, seed %d: %d sidecars, joined after %.1f s%n", result.experiment().name(), result.seed(), result.experiment().sidecars(),
-                result.joinedMs() / 1000.0));
-        for (Schedule.Drawn drawn : result.faults()) {
-            all.append(String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.told()));
-        }
-        all.append(String.format(Locale.ROOT, "deaths detected by %d observers: p50 %.1f s, p99 %.1f s, worst %.1f s (seen at the admin endpoint every %d ms)%n", result.detectMs().getTotalCount(),
-                result.detectMs().getValueAtPercentile(50) / 1000.0, result.detectMs().getValueAtPercentile(99) / 1000.0, result.detectMs().getMaxValue() / 1000.0, Run.LOOK_MS));
-        all.append(String.format(Locale.ROOT, "false deaths %d pairs in %.2f member hours; agreed %.1f s after the last fault%n", result.falseDeaths(), result.memberHours(),
-                result.agreedMs() / 1000.0));
-        all.append(String.format(Locale.ROOT, "a member: %.0f bytes/s sent, %.1f ms CPU a second%n", result.bytesASecond(), result.cpuMsASecond()));
-        all.append("counts ").append(result.counts()).append('\n');
-        result.violations().forEach(v -> all.append("violation: ").append(v).append('\n'));
-        return all.append("violations ").append(result.violations().size()).append('\n').toString();
+  static String text(Run.Result result) {
+    StringBuilder all = new StringBuilder();
+    all.append(
+        String.format(
+            Locale.ROOT,
+            "%s, seed %d: %d sidecars, joined after %.1f s%n",
+            result.experiment().name(),
+            result.seed(),
+            result.experiment().sidecars(),
+            result.joinedMs() / 1000.0));
+    for (Schedule.Drawn drawn : result.faults()) {
+      all.append(String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.told()));
     }
+    all.append(
+        String.format(
+            Locale.ROOT,
+            "deaths detected by %d observers: p50 %.1f s, p99 %.1f s, worst %.1f s (seen at the admin endpoint every %d ms)%n",
+            result.detectMs().getTotalCount(),
+            result.detectMs().getValueAtPercentile(50) / 1000.0,
+            result.detectMs().getValueAtPercentile(99) / 1000.0,
+            result.detectMs().getMaxValue() / 1000.0,
+            Run.LOOK_MS));
+    all.append(
+        String.format(
+            Locale.ROOT,
+            "false deaths %d pairs in %.2f member hours; agreed %.1f s after the last fault%n",
+            result.falseDeaths(),
+            result.memberHours(),
+            result.agreedMs() / 1000.0));
+    all.append(
+        String.format(
+            Locale.ROOT,
+            "a member: %.0f bytes/s sent, %.1f ms CPU a second%n",
+            result.bytesASecond(),
+            result.cpuMsASecond()));
+    all.append("counts ").append(result.counts()).append('\n');
+    result.violations().forEach(v -> all.append("violation: ").append(v).append('\n'));
+    return all.append("violations ").append(result.violations().size()).append('\n').toString();
+  }
 
-    static void write(Run.Result result, Path out) throws IOException {
-        String chart = svg(held(result));
-        Files.writeString(out.resolve("held.svg"), chart);
-        StringBuilder rows = new StringBuilder();
-        for (Map.Entry<String, Long> count : result.counts().entrySet()) {
-            rows.append("<tr><td>").append(count.getKey()).append("</td><td>").append(count.getValue()).append("</td></tr>");
-        }
-        Files.writeString(out.resolve("report.html"), page(result.experiment().name() + ", seed " + result.seed(), text(result),
-                "<h2>Who held whom for what</h2>" + inline(chart) + "<h2>Counts of all members</h2><table>" + rows + "</table>"));
+  static void write(Run.Result result, Path out) throws IOException {
+    String chart = svg(held(result));
+    Files.writeString(out.resolve("held.svg"), chart);
+    StringBuilder rows = new StringBuilder();
+    for (Map.Entry<String, Long> count : result.counts().entrySet()) {
+      rows.append("<tr><td>")
+          .append(count.getKey())
+          .append("</td><td>")
+          .append(count.getValue())
+          .append("</td></tr>");
     }
+    Files.writeString(
+        out.resolve("report.html"),
+        page(
+            result.experiment().name() + ", seed " + result.seed(),
+            text(result),
+            "<h2>Who held whom for what</h2>"
+                + inline(chart)
+                + "<h2>Counts of all members</h2><table>"
+                + rows
+                + "</table>"));
+  }
 
-    /** One page that needs nothing else. */
-    private static String page(String title, String text, String rest) {
-        return "<!doctype html><html><head><meta charset=\"utf-8\"><title>" + escape(title) + "</title><style>body{font-family:sans-serif;max-width:64em;margin:2em auto}"
-                + "pre{background:#f4f4f4;padding:1em;white-space:pre-wrap}td{padding:0 1em 0 0}</style></head><body><h1>" + escape(title) + "</h1><pre>" + escape(text) + "</pre>" + rest
-                + "</body></html>\n";
-    }
+  /** One page that needs nothing else. */
+  private static String page(String title, String text, String rest) {
+    return "<!doctype html><html><head><meta charset=\"utf-8\"><title>"
+        + escape(title)
+        + "</title><style>body{font-family:sans-serif;max-width:64em;margin:2em auto}"
+        + "pre{background:#f4f4f4;padding:1em;white-space:pre-wrap}td{padding:0 1em 0 0}</style></head><body><h1>"
+        + escape(title)
+        + "</h1><pre>"
+        + escape(text)
+        + "</pre>"
+        + rest
+        + "</body></html>\n";
+  }
 
-    /** Without what a file of its own begins with. */
-    private static String inline(String svg) {
-        return svg.substring(svg.indexOf("<svg"));
-    }
+  /** Without what a file of its own begins with. */
+  private static String inline(String svg) {
+    return svg.substring(svg.indexOf("<svg"));
+  }
 
-    /** The demo's: pushes by endpoint and ops by outcome, a second. */
-    static void demo(Path out, List<String> news, String told, List<String> endpoints, List<double[]> pushes, List<double[]> ops, double stepS) throws IOException {
-        String first = svg(rates("pushes to each endpoint", endpoints, pushes, stepS));
-        String second = svg(rates("ops of clients", List.of("acked", "nacked or failed", "no sidecar there"), ops, stepS));
-        Files.writeString(out.resolve("pushes.svg"), first);
-        Files.writeString(out.resolve("ops.svg"), second);
-        Files.writeString(out.resolve("report.html"), page("dillcross demo", String.join("\n", news) + "\n" + told, inline(first) + inline(second)));
-    }
+  /** The demo's: pushes by endpoint and ops by outcome, a second. */
+  static void demo(
+      Path out,
+      List<String> news,
+      String told,
+      List<String> endpoints,
+      List<double[]> pushes,
+      List<double[]> ops,
+      double stepS)
+      throws IOException {
+    String first = svg(rates("pushes to each endpoint", endpoints, pushes, stepS));
+    String second =
+        svg(
+            rates(
+                "ops of clients",
+                List.of("acked", "nacked or failed", "no sidecar there"),
+                ops,
+                stepS));
+    Files.writeString(out.resolve("pushes.svg"), first);
+    Files.writeString(out.resolve("ops.svg"), second);
+    Files.writeString(
+        out.resolve("report.html"),
+        page(
+            "dillcross demo",
+            String.join("\n", news) + "\n" + told,
+            inline(first) + inline(second)));
+  }
 
-    private static XYChart rates(String title, List<String> names, List<double[]> sums, double stepS) {
-        XYChart chart = new XYChartBuilder().width(900).height(360).title(title).xAxisTitle("seconds").yAxisTitle("a second").build();
-        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideS).setLegendLayout(Styler.LegendLayout.Horizontal);
-        for (int k = 0; k < names.size(); k++) {
-            double[] x = new double[sums.size() - 1];
-            double[] y = new double[sums.size() - 1];
-            for (int i = 1; i < sums.size(); i++) {
-                x[i - 1] = i * stepS;
-                y[i - 1] = (sums.get(i)[k] - sums.get(i - 1)[k]) / stepS;
-            }
-            add(chart, names.get(k), x, y);
-        }
-        return chart;
+  private static XYChart rates(
+      String title, List<String> names, List<double[]> sums, double stepS) {
+    XYChart chart =
+        new XYChartBuilder()
+            .width(900)
+            .height(360)
+            .title(title)
+            .xAxisTitle("seconds")
+            .yAxisTitle("a second")
+            .build();
+    chart
+        .getStyler()
+        .setLegendPosition(Styler.LegendPosition.OutsideS)
+        .setLegendLayout(Styler.LegendLayout.Horizontal);
+    for (int k = 0; k < names.size(); k++) {
+      double[] x = new double[sums.size() - 1];
+      double[] y = new double[sums.size() - 1];
+      for (int i = 1; i < sums.size(); i++) {
+        x[i - 1] = i * stepS;
+        y[i - 1] = (sums.get(i)[k] - sums.get(i - 1)[k]) / stepS;
+      }
+      add(chart, names.get(k), x, y);
     }
+    return chart;
+  }
 
-    private static XYChart held(Run.Result result) {
-        XYChart chart = new XYChartBuilder().width(900).height(420).title("pairs of observer and member").xAxisTitle("seconds").yAxisTitle("pairs").build();
-        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideS).setLegendLayout(Styler.LegendLayout.Horizontal);
-        double[] s = result.moments().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
-        add(chart, "held alive", s, result.moments().stream().mapToDouble(Run.Moment::alive).toArray());
-        add(chart, "held suspect", s, result.moments().stream().mapToDouble(Run.Moment::suspect).toArray());
-        add(chart, "held dead or left", s, result.moments().stream().mapToDouble(Run.Moment::dead).toArray());
-        add(chart, "observer gives no view", s, result.moments().stream().mapToDouble(Run.Moment::unseen).toArray());
-        return chart;
-    }
+  private static XYChart held(Run.Result result) {
+    XYChart chart =
+        new XYChartBuilder()
+            .width(900)
+            .height(420)
+            .title("pairs of observer and member")
+            .xAxisTitle("seconds")
+            .yAxisTitle("pairs")
+            .build();
+    chart
+        .getStyler()
+        .setLegendPosition(Styler.LegendPosition.OutsideS)
+        .setLegendLayout(Styler.LegendLayout.Horizontal);
+    double[] s = result.moments().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
+    add(chart, "held alive", s, result.moments().stream().mapToDouble(Run.Moment::alive).toArray());
+    add(
+        chart,
+        "held suspect",
+        s,
+        result.moments().stream().mapToDouble(Run.Moment::suspect).toArray());
+    add(
+        chart,
+        "held dead or left",
+        s,
+        result.moments().stream().mapToDouble(Run.Moment::dead).toArray());
+    add(
+        chart,
+        "observer gives no view",
+        s,
+        result.moments().stream().mapToDouble(Run.Moment::unseen).toArray());
+    return chart;
+  }
 
-    private static void add(XYChart chart, String name, double[] x, double[] y) {
-        chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
-    }
+  private static void add(XYChart chart, String name, double[] x, double[] y) {
+    chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
+  }
 
-    private static String svg(XYChart chart) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        VectorGraphicsEncoder.saveVectorGraphic(chart, bytes, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
-        return bytes.toString(StandardCharsets.UTF_8);
-    }
+  private static String svg(XYChart chart) throws IOException {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    VectorGraphicsEncoder.saveVectorGraphic(
+        chart, bytes, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+    return bytes.toString(StandardCharsets.UTF_8);
+  }
 
-    private static String escape(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
-    }
+  private static String escape(String text) {
+    return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
+  }
 }
--- a/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
+++ b/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
@@ -15,43 +15,47 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ExperimentTest {
-    private static final Path SHIPPED = Path.of("../experiments");
-    @TempDir
-    private Path folder;
+  private static final Path SHIPPED = Path.of("../experiments");
+  @TempDir private Path folder;
 
-    @Test
-    void theScheduleIsTheSameForTheSameSeedAndAnotherForAnother() throws Exception {
-        assertEquals(told(3), told(3));
-        assertNotEquals(told(3), told(4));
-    }
+  @Test
+  void theScheduleIsTheSameForTheSameSeedAndAnotherForAnother() throws Exception {
+    assertEquals(told(3), told(3));
+    assertNotEquals(told(3), told(4));
+  }
 
-    private static java.util.List<String> told(long seed) throws Exception {
-        return Schedule.draw(Experiment.read(SHIPPED.resolve("short.toml")), seed).faults().stream().map(d -> d.atMs() + " " + d.told()).toList();
-    }
+  private static java.util.List<String> told(long seed) throws Exception {
+    return Schedule.draw(Experiment.read(SHIPPED.resolve("short.toml")), seed).faults().stream()
+        .map(d -> d.atMs() + " " + d.told())
+        .toList();
+  }
 
-    @Test
-    void allThatShipAreRead() throws Exception {
-        try (Stream<Path> files = Files.list(SHIPPED)) {
-            for (Path file : files.toList()) {
-                assertTrue(Schedule.draw(Experiment.read(file), 1).endMs() >= 0, file.toString());
-            }
-        }
+  @Test
+  void allThatShipAreRead() throws Exception {
+    try (Stream<Path> files = Files.list(SHIPPED)) {
+      for (Path file : files.toList()) {
+        assertTrue(Schedule.draw(Experiment.read(file), 1).endMs() >= 0, file.toString());
+      }
     }
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "sidecars = 2 | 1 | sidecars",
         "sidecars = 6;seeds = [6] | 2 | seeds",
         "[[fault]];kind = \"melt\" | 2 | kind",
         "[[fault]];kind = \"kill\";of = \"zone\" | 3 | of",
         "[[fault]];kind = \"kill\";at_s = [3, 1] | 3 | at_s",
         "[[fault]];kind = \"kill\";wen = 3 | 3 | wen",
-        "[[fault]];kind = | 2 | "})
-    void aFaultNamesLineAndKey(String text, int line, String key) throws Exception {
-        Path file = folder.resolve("x.toml");
-        Files.writeString(file, text.replace(';', '\n'));
-        String said = assertThrows(Faulty.class, () -> Experiment.read(file)).getMessage();
-        assertTrue(said.contains("line " + line) && said.contains(key == null ? "" : key), said);
-        assertEquals(2, Main.run("fleet", "run", file.toString(), "--out", folder.toString()));
-    }
+        "[[fault]];kind = | 2 | "
+      })
+  void aFaultNamesLineAndKey(String text, int line, String key) throws Exception {
+    Path file = folder.resolve("x.toml");
+    Files.writeString(file, text.replace(';', '\n'));
+    String said = assertThrows(Faulty.class, () -> Experiment.read(file)).getMessage();
+    assertTrue(said.contains("line " + line) && said.contains(key == null ? "" : key), said);
+    assertEquals(2, Main.run("fleet", "run", file.toString(), "--out", folder.toString()));
+  }
 }
--- a/fleet/src/test/java/dillcross/fleet/Orphans.java
+++ b/fleet/src/test/java/dillcross/fleet/Orphans.java
@@ -5,14 +5,14 @@
 
 /** A rig that is killed: starts three processes, one of them stopped, names them, and waits. */
 final class Orphans {
-    private Orphans() {
-    }
+  private Orphans() {}
 
-    public static void main(String[] args) throws Exception {
-        Fleet fleet = new Fleet(Fleet.root(), Path.of(args[0]), 3, List.of("east"), List.of(0), 200, 1);
-        fleet.startAll();
-        fleet.signal(2, "STOP");
-        System.out.println(fleet.child(0).pid() + " " + fleet.child(1).pid() + " " + fleet.child(2).pid());
-        Thread.sleep(60_000);
-    }
+  public static void main(String[] args) throws Exception {
+    Fleet fleet = new Fleet(Fleet.root(), Path.of(args[0]), 3, List.of("east"), List.of(0), 200, 1);
+    fleet.startAll();
+    fleet.signal(2, "STOP");
+    System.out.println(
+        fleet.child(0).pid() + " " + fleet.child(1).pid() + " " + fleet.child(2).pid());
+    Thread.sleep(60_000);
+  }
 }
--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -4,8 +4,8 @@
 
 /**
  * Bounds what is in flight. By Little's law the answers of a second times their baseline latency
- * would be in flight without a queue; a multiple bounds the queue, and falls as answers slow down, so
- * that overloaded endpoints can rest.
+ * would be in flight without a queue; a multiple bounds the queue, and falls as answers slow down,
+ * so that overloaded endpoints can rest.
  */
 final class AdmissionControl {
   /** In flight at an endpoint by all sidecars together, before anything is known. */
@@ -46,7 +46,9 @@
     return Math.max(floor, queue * baseline);
   }
 
-  /** Whether there is capacity for one more; a small limit binds the mean, or thin traffic starves. */
+  /**
+   * Whether there is capacity for one more; a small limit binds the mean, or thin traffic starves.
+   */
   boolean admits(Request request, long nowUs) {
     double limit = concurrencyLimit(nowUs) * request.limitShare;
     double belowMean = limit - inFlight.meanResponsive(nowUs);
--- a/sidecar/src/main/java/dillcross/balancer/Attempt.java
+++ b/sidecar/src/main/java/dillcross/balancer/Attempt.java
@@ -13,7 +13,9 @@
   /** Null while in flight. */
   AttemptOutcome outcome;
 
-  /** Whether it counts as in flight: not while its body arrives, its answer streams, or it ended. */
+  /**
+   * Whether it counts as in flight: not while its body arrives, its answer streams, or it ended.
+   */
   boolean countsAsLoad;
 
   /** Whether its silence was counted as a failure. */
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -4,8 +4,8 @@
 import java.util.Queue;
 
 /**
- * The one way out: every attempt, whether first, retry, hedge or probation, passes {@link #send}, and
- * with it every rule.
+ * The one way out: every attempt, whether first, retry, hedge or probation, passes {@link #send},
+ * and with it every rule.
  */
 final class AttemptDispatcher {
   private final SlowStart slowStart;
--- a/sidecar/src/main/java/dillcross/balancer/ClassState.java
+++ b/sidecar/src/main/java/dillcross/balancer/ClassState.java
@@ -41,7 +41,9 @@
     return lateShare;
   }
 
-  /** Takes a new latency in; the baseline rises towards a higher mean by {@code rise} of the way. */
+  /**
+   * Takes a new latency in; the baseline rises towards a higher mean by {@code rise} of the way.
+   */
   void recordLatency(double latencyUs, double rise) {
     successes++;
     meanLatencyUs += (latencyUs - meanLatencyUs) * Math.max(0.02, 1.0 / successes);
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -3,7 +3,9 @@
 import dillcross.model.DeduplicationScope;
 import dillcross.model.RequestClass;
 
-/** No request runs twice: where a further attempt of one that may have run is harmless, and when. */
+/**
+ * No request runs twice: where a further attempt of one that may have run is harmless, and when.
+ */
 final class DuplicateGuard {
   private static final double WINDOW_SHARE = 0.9; // of the time that a scope remembers a key
   private static final double PATH_DELAY_FACTOR = 4; // times what a zone owes: a repeat may take it
@@ -50,7 +52,9 @@
     };
   }
 
-  /** When the scope forgets the key of the attempts before {@code repeat}, which has to end then. */
+  /**
+   * When the scope forgets the key of the attempts before {@code repeat}, which has to end then.
+   */
   long memoryEndsUs(Request request, Attempt repeat) {
     long firstSentUs = Long.MAX_VALUE;
     for (Attempt earlier : request.attempts) {
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -32,7 +32,9 @@
     }
   }
 
-  /** All endpoints that are remembered, a live view, in the order in which they were first named. */
+  /**
+   * All endpoints that are remembered, a live view, in the order in which they were first named.
+   */
   Collection<EndpointState> all() {
     return endpoints.values();
   }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -3,7 +3,9 @@
 import dillcross.model.Endpoint;
 import java.util.ArrayDeque;
 
-/** What is known of one endpoint. Plain state and statistics; each group names who decides by it. */
+/**
+ * What is known of one endpoint. Plain state and statistics; each group names who decides by it.
+ */
 final class EndpointState {
   private static final double WEIGHT_RENEWAL_SHARE = 0.2;
   private static final double LATENCY_SAMPLE_WEIGHT = 0.15;
@@ -99,8 +101,8 @@
   }
 
   /**
-   * Takes the list's weight. Where weights fall with load the largest seen is the size, and the rest
-   * is occupancy, smoothed: sidecars that all follow one late figure would herd.
+   * Takes the list's weight. Where weights fall with load the largest seen is the size, and the
+   * rest is occupancy, smoothed: sidecars that all follow one late figure would herd.
    */
   void updateWeight(double weight, boolean dynamic) {
     nominalWeight = dynamic ? Math.max(nominalWeight, weight) : weight;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Which endpoints this sidecar uses: some of its own zone and some of the next, from its own position
- * on a ring. Sidecars differ, endpoints share alike, and a change of the list moves few. Spread over
- * all, a sidecar with little traffic would learn nothing of any.
+ * Which endpoints this sidecar uses: some of its own zone and some of the next, from its own
+ * position on a ring. Sidecars differ, endpoints share alike, and a change of the list moves few.
+ * Spread over all, a sidecar with little traffic would learn nothing of any.
  */
 final class EndpointSubset {
   private static final double MIN_SIZE = 1.5; // mean endpoint sizes of a zone
@@ -76,8 +76,7 @@
     // Or all sidecars whose own endpoints are full would turn to the same one.
     Collections.rotate(sets.available, -(int) (position * sets.available.size()));
     selectZones(ring);
-    sets.largestWeight =
-        ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
+    sets.largestWeight = ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
     return true;
   }
 
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -16,15 +16,18 @@
 
 /**
  * Every decision of one sidecar. Inputs ({@code on...}, {@link #applySettings}) carry the time in
- * whole microseconds of one clock that never goes back, and only note what is known. Then pull {@link
- * #next} until it is null and carry out each {@link Decision}. Not safe for use by several threads.
+ * whole microseconds of one clock that never goes back, and only note what is known. Then pull
+ * {@link #next} until it is null and carry out each {@link Decision}. Not safe for use by several
+ * threads.
  *
  * <p>The design decides the ordinary path: five consecutive failures eject an endpoint, a jittered
- * penalty ends in one real request on probation, a failed probation doubles the penalty, and among the
- * rest the better of two random choices by smoothed latency x (own in flight + 1). Beside it stand:
+ * penalty ends in one real request on probation, a failed probation doubles the penalty, and among
+ * the rest the better of two random choices by smoothed latency x (own in flight + 1). Beside it
+ * stand:
  *
  * <ol>
- *   <li>{@link SlowStart}: a fresh or readmitted endpoint gets what its answers and our share allow.
+ *   <li>{@link SlowStart}: a fresh or readmitted endpoint gets what its answers and our share
+ *       allow.
  *   <li>{@link SilenceMonitor}: an overdue attempt counts as a failure before its deadline.
  *   <li>{@link RetryBudget}: retries and hedges are paid for by first attempts.
  *   <li>{@link AdmissionControl}: a concurrency limit; a short wait, then a rejection.
@@ -65,7 +68,9 @@
   private long nextSequence;
   private long timerUs = Long.MAX_VALUE;
 
-  /** A load balancer that knows no endpoints yet. The same seed and calls give the same decisions. */
+  /**
+   * A load balancer that knows no endpoints yet. The same seed and calls give the same decisions.
+   */
   public LoadBalancer(long seed, BalancerSettings settings) {
     Random random = new Random(seed);
     demand = new DemandTracker(classes.values());
@@ -126,7 +131,8 @@
 
   private void configureClasses(List<RequestClass> configured) {
     meanObjectiveUs =
-        (long) configured.stream().mapToLong(RequestClass::latencyObjectiveUs).average().orElse(1e6);
+        (long)
+            configured.stream().mapToLong(RequestClass::latencyObjectiveUs).average().orElse(1e6);
     traffic.widenSpan(meanObjectiveUs);
     for (RequestClass requestClass : configured) {
       ClassState state =
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -4,8 +4,8 @@
 import java.util.Random;
 
 /**
- * Ejects endpoints after consecutive failures or too large a share of failures, for a jittered penalty
- * that ends in one request on probation and doubles where that fails.
+ * Ejects endpoints after consecutive failures or too large a share of failures, for a jittered
+ * penalty that ends in one request on probation and doubles where that fails.
  */
 final class OutlierEjection {
   private static final int CONSECUTIVE_FAILURES = 5; // the design's threshold
@@ -49,7 +49,8 @@
   }
 
   private void eject(EjectionState state, boolean bySilence, long nowUs) {
-    // It doubles soon after the last, too: who fails half of its requests passes probation at times.
+    // It doubles soon after the last, too: who fails half of its requests passes probation at
+    // times.
     boolean isRepeated =
         state.penaltyUs > 0 && nowUs < state.untilUs + 2 * state.penaltyUs + FIRST_PENALTY_US;
     state.penaltyUs = isRepeated ? Math.min(MAX_PENALTY_US, 2 * state.penaltyUs) : FIRST_PENALTY_US;
@@ -79,7 +80,8 @@
   /** Whether the request may be the endpoint's one attempt on probation. */
   boolean isProbationDue(EndpointState endpoint, Request request, long nowUs) {
     EjectionState state = endpoint.ejection;
-    long extraUs = request.isIdempotent() ? 0 : state.penaltyUs; // it could not be retried elsewhere
+    long extraUs =
+        request.isIdempotent() ? 0 : state.penaltyUs; // it could not be retried elsewhere
     return state.isEjected
         && state.probation == null
         && nowUs >= endpoint.retryAfterUs
--- a/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
+++ b/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
@@ -3,10 +3,10 @@
 import dillcross.model.DiscoveryPolicy;
 
 /**
- * Whether an endpoint that the list removes without draining it is used on. A list can be wrong, and
- * the endpoint's own answers say whether it is there: it stays until it refuses or resets. Guards
- * against lists that shrink or go back; costs one attempt for each sidecar where a machine dies as it
- * leaves the list.
+ * Whether an endpoint that the list removes without draining it is used on. A list can be wrong,
+ * and the endpoint's own answers say whether it is there: it stays until it refuses or resets.
+ * Guards against lists that shrink or go back; costs one attempt for each sidecar where a machine
+ * dies as it leaves the list.
  */
 final class RemovalGrace {
   private static final long MAX_KEPT_US = 60_000_000; // after removal and last answer
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -69,8 +69,7 @@
     } else { // it answers others: check again, it may fall silent yet
       long hedgeUs = hedgeAfterUs(request);
       long nextUs = elapsedUs < hedgeUs ? hedgeUs - elapsedUs : overdueUs / 2;
-      checks.schedule(
-          nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
+      checks.schedule(nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
       if (isOverdue && !attempt.isConnectionSuspect) {
         inFlight.markConnectionSuspect(attempt);
       }
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Whether the endpoint may get one more attempt, where {@code endpointsInUse} share this sidecar's
-   * requests.
+   * Whether the endpoint may get one more attempt, where {@code endpointsInUse} share this
+   * sidecar's requests.
    */
   boolean hasBudget(EndpointState endpoint, long nowUs, int endpointsInUse) {
     SlowStartState state = endpoint.slowStart;
@@ -47,8 +47,7 @@
     double initialShare = policy.initialCapacityShare();
     double progress = Math.max(0, (double) elapsedUs / policy.warmUpUs());
     double capacityShare = initialShare + (1 - initialShare) * progress;
-    double usual =
-        traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpointsInUse);
+    double usual = traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpointsInUse);
     double floor = AdmissionControl.INITIAL_LIMIT_PER_ENDPOINT / instances;
     double budget =
         BUDGET_SHARE * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
--- a/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
@@ -41,9 +41,9 @@
   }
 
   /**
-   * How much more of a class comes late than of the least late one. What is slow wherever it goes (a
-   * store behind the endpoints) is no queue there; a queue makes all late. Costs where a generous
-   * objective hides a queue that a short one shows: the limit then falls later.
+   * How much more of a class comes late than of the least late one. What is slow wherever it goes
+   * (a store behind the endpoints) is no queue there; a queue makes all late. Costs where a
+   * generous objective hides a queue that a short one shows: the limit then falls later.
    */
   private double excessLateness(ClassState classState) {
     double least =
--- a/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
+++ b/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
@@ -1,6 +1,8 @@
 package dillcross.balancer;
 
-/** Measures this sidecar's traffic as a whole, as means over a span that is long where it is thin. */
+/**
+ * Measures this sidecar's traffic as a whole, as means over a span that is long where it is thin.
+ */
 final class TrafficMeter {
   private final DecayingAverage baselineWork = new DecayingAverage(); // microseconds a microsecond
   private final DecayingAverage successRate = new DecayingAverage(); // a microsecond
--- a/sidecar/src/main/java/dillcross/cli/Commands.java
+++ b/sidecar/src/main/java/dillcross/cli/Commands.java
@@ -15,64 +15,93 @@
 import picocli.CommandLine.Option;
 
 /** The command line of dillcross. */
-@Command(name = "dillcross", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
-        description = "Client-side load balancer that runs as a sidecar beside each calling process.")
+@Command(
+    name = "dillcross",
+    mixinStandardHelpOptions = true,
+    versionProvider = Commands.Version.class,
+    description = "Client-side load balancer that runs as a sidecar beside each calling process.")
 final class Commands implements Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
-    }
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
+  }
 
-    @Command(name = "simhost", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Host many instances of the decision module on the simulator's wire (stdin, stdout).")
-    int simhost() throws IOException {
-        try (var out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Host(System.in, out).run();
-            return 0;
-        } catch (WireException malformed) {
-            log().severe(malformed.getMessage());
-            return 3;
-        }
+  @Command(
+      name = "simhost",
+      mixinStandardHelpOptions = true,
+      versionProvider = Version.class,
+      description =
+          "Host many instances of the decision module on the simulator's wire (stdin, stdout).")
+  int simhost() throws IOException {
+    try (var out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+      new Host(System.in, out).run();
+      return 0;
+    } catch (WireException malformed) {
+      log().severe(malformed.getMessage());
+      return 3;
     }
+  }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Run one sidecar: listen for clients, push to endpoints, follow the list.")
-    int serve(@Option(names = "--config", paramLabel = "FILE",
-            description = "Configuration as JSON (default: $NODE_CONFIG).") String file,
-            @Option(names = "--check", description = "Check the configuration, start, warm up and exit.")
-            boolean check,
-            @Option(names = "--operator", paramLabel = "FILE",
-            description = "What operators switch on, as TOML (default: $NODE_OPERATOR; without it all of it is off).") String operator,
-            @Option(names = "--clock-shift-ms", paramLabel = "MS", hidden = true, defaultValue = "0") long shiftMs)
-            throws InterruptedException {
-        return Serve.run(file, operator, check, shiftMs);
-    }
+  @Command(
+      name = "serve",
+      mixinStandardHelpOptions = true,
+      versionProvider = Version.class,
+      description = "Run one sidecar: listen for clients, push to endpoints, follow the list.")
+  int serve(
+      @Option(
+              names = "--config",
+              paramLabel = "FILE",
+              description = "Configuration as JSON (default: $NODE_CONFIG).")
+          String file,
+      @Option(names = "--check", description = "Check the configuration, start, warm up and exit.")
+          boolean check,
+      @Option(
+              names = "--operator",
+              paramLabel = "FILE",
+              description =
+                  "What operators switch on, as TOML (default: $NODE_OPERATOR; without it all of it is off).")
+          String operator,
+      @Option(names = "--clock-shift-ms", paramLabel = "MS", hidden = true, defaultValue = "0")
+          long shiftMs)
+      throws InterruptedException {
+    return Serve.run(file, operator, check, shiftMs);
+  }
 
-    @Command(name = "members", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "Show whom a running sidecar holds for its fellows.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:shown", "1:no answer, or it knows of no others", "2:faulty input"})
-    int members(@picocli.CommandLine.Parameters(paramLabel = "ADDR", description = "Its admin endpoint (admin_addr).") String admin,
-            @Option(names = "--json", description = "As the admin endpoint gives it.") boolean json) {
-        return MembersView.show(admin, json, System.out, System.err);
-    }
+  @Command(
+      name = "members",
+      mixinStandardHelpOptions = true,
+      versionProvider = Version.class,
+      description = "Show whom a running sidecar holds for its fellows.",
+      exitCodeListHeading = "%nExit status:%n",
+      exitCodeList = {"0:shown", "1:no answer, or it knows of no others", "2:faulty input"})
+  int members(
+      @picocli.CommandLine.Parameters(
+              paramLabel = "ADDR",
+              description = "Its admin endpoint (admin_addr).")
+          String admin,
+      @Option(names = "--json", description = "As the admin endpoint gives it.") boolean json) {
+    return MembersView.show(admin, json, System.out, System.err);
+  }
 
-    /** Made only when there is something to say: starting the logger costs CPU that a run is billed for. */
-    private static Logger log() {
-        return Logger.getLogger(Commands.class.getName());
-    }
+  /**
+   * Made only when there is something to say: starting the logger costs CPU that a run is billed
+   * for.
+   */
+  private static Logger log() {
+    return Logger.getLogger(Commands.class.getName());
+  }
 
-    /** Reads the version that the build wrote. */
-    static final class Version implements IVersionProvider {
-        @Override
-        public String[] getVersion() throws IOException {
-            Properties built = new Properties();
-            try (InputStream in = Commands.class.getResourceAsStream("/dillcross.properties")) {
-                built.load(in);
-            }
-            return new String[] {"dillcross " + built.getProperty("version")};
-        }
+  /** Reads the version that the build wrote. */
+  static final class Version implements IVersionProvider {
+    @Override
+    public String[] getVersion() throws IOException {
+      Properties built = new Properties();
+      try (InputStream in = Commands.class.getResourceAsStream("/dillcross.properties")) {
+        built.load(in);
+      }
+      return new String[] {"dillcross " + built.getProperty("version")};
     }
+  }
 }
--- a/sidecar/src/main/java/dillcross/membership/Member.java
+++ b/sidecar/src/main/java/dillcross/membership/Member.java
@@ -1,5 +1,4 @@
 package dillcross.membership;
 
 /** A member as it is held here, since when by this instance's clock, in microseconds. */
-public record Member(Claim claim, long sinceUs) {
-}
+public record Member(Claim claim, long sinceUs) {}
--- a/sidecar/src/main/java/dillcross/membership/Sent.java
+++ b/sidecar/src/main/java/dillcross/membership/Sent.java
@@ -1,5 +1,4 @@
 package dillcross.membership;
 
 /** A packet on its way out. */
-public record Sent(String to, Packet packet) {
-}
+public record Sent(String to, Packet packet) {}
--- a/sidecar/src/main/java/dillcross/model/AttemptOutcome.java
+++ b/sidecar/src/main/java/dillcross/model/AttemptOutcome.java
@@ -8,7 +8,9 @@
   ERROR(true, true),
   /** Rejected unseen by an endpoint that is full or draining; does not count against its health. */
   OVERLOADED(false, false),
-  /** The request itself is at fault, at any endpoint; final, and no mark against this one's health. */
+  /**
+   * The request itself is at fault, at any endpoint; final, and no mark against this one's health.
+   */
   CLIENT_ERROR(false, false),
   /** No answer within the attempt's deadline. */
   TIMED_OUT(true, true),
--- a/sidecar/src/main/java/dillcross/model/BalancerSettings.java
+++ b/sidecar/src/main/java/dillcross/model/BalancerSettings.java
@@ -15,7 +15,8 @@
  * @param weightPerWork whether priority weights count per unit of work and not per request
  * @param discovery how the endpoint list is learned
  * @param maxRetryAfterUs the longest Retry-After that may be given, in microseconds; 0 for none
- * @param crossZonePrice what a request that leaves its zone costs, compared with its priority weight
+ * @param crossZonePrice what a request that leaves its zone costs, compared with its priority
+ *     weight
  * @param objective the objective beside priority weights
  */
 public record BalancerSettings(
--- a/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
+++ b/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
@@ -27,7 +27,9 @@
     NOT_SENT
   }
 
-  /** What it means to the load balancer; {@code timedOut} where it was abandoned for its deadline. */
+  /**
+   * What it means to the load balancer; {@code timedOut} where it was abandoned for its deadline.
+   */
   AttemptOutcome outcome(boolean timedOut) {
     return switch (kind) {
       case SUCCEEDED -> AttemptOutcome.SUCCEEDED;
@@ -36,8 +38,7 @@
       case CLIENT_ERROR -> AttemptOutcome.CLIENT_ERROR;
       case CONNECTION_BROKEN -> ifWritten(AttemptOutcome.RESET);
       case NOT_SENT -> AttemptOutcome.NOT_SENT;
-      case ABANDONED ->
-          timedOut ? ifWritten(AttemptOutcome.TIMED_OUT) : AttemptOutcome.CANCELLED;
+      case ABANDONED -> timedOut ? ifWritten(AttemptOutcome.TIMED_OUT) : AttemptOutcome.CANCELLED;
     };
   }
 
--- a/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
+++ b/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /**
- * One sidecar without I/O and without a clock: turns what the network reports into calls of the load
- * balancer, and its decisions into commands for the network. Inputs only note; then pull {@link #next}
- * until it is null. It decides nothing itself: it keeps time for the load balancer, and remembers
- * which client waits for which request. All times are in microseconds of the caller's clock. Belongs
- * to the selector thread.
+ * One sidecar without I/O and without a clock: turns what the network reports into calls of the
+ * load balancer, and its decisions into commands for the network. Inputs only note; then pull
+ * {@link #next} until it is null. It decides nothing itself: it keeps time for the load balancer,
+ * and remembers which client waits for which request. All times are in microseconds of the caller's
+ * clock. Belongs to the selector thread.
  */
 public final class RequestCoordinator {
   private static final long UNANSWERED_GRACE_US = 10_000; // after the deadline
@@ -68,8 +68,8 @@
   }
 
   /**
-   * An update from the address where the list was before it moved, while the new one has not answered
-   * yet; version numbers there say nothing here.
+   * An update from the address where the list was before it moved, while the new one has not
+   * answered yet; version numbers there say nothing here.
    */
   public void onFormerEndpointList(long nowUs, boolean complete, List<EndpointEntry> updates) {
     applyEndpoints(nowUs, complete, updates);
@@ -98,7 +98,9 @@
     entries.keySet().removeAll(unlisted);
   }
 
-  /** The list is at another address now: ask for all of it at once, as versions there may differ. */
+  /**
+   * The list is at another address now: ask for all of it at once, as versions there may differ.
+   */
   public void onDiscoveryMoved(long nowUs) {
     listVersion = 0;
     balancer.onEndpointList(nowUs, false, List.of()); // earlier failures are no reason to wait here
@@ -225,7 +227,8 @@
     AttemptOutcome outcome = result.outcome(attempt.hasTimedOut);
     answerClient(request, attempt, outcome, result.content());
     boolean hasStreamed = attempt.streamingSinceUs > 0;
-    long endUs = hasStreamed ? attempt.streamingSinceUs : nowUs; // the rest is the client's doing too
+    long endUs =
+        hasStreamed ? attempt.streamingSinceUs : nowUs; // the rest is the client's doing too
     balancer.onAttemptEnded(
         nowUs, id, attemptNumber, outcome, endUs - attempt.sentUs, request.isOver);
     if (request.isOver && request.attemptsInFlight == 0) {
@@ -266,7 +269,9 @@
         && target.isSameProcess(entries.get(target.endpoint().id()));
   }
 
-  /** When the next timer is due; a network with nothing to report must call {@link #next} by then. */
+  /**
+   * When the next timer is due; a network with nothing to report must call {@link #next} by then.
+   */
   public long nextTimerUs() {
     return timers.nextDueUs();
   }
--- a/sidecar/src/test/java/dillcross/KnownRedTest.java
+++ b/sidecar/src/test/java/dillcross/KnownRedTest.java
@@ -13,56 +13,86 @@
 
 /** What CI passes over, and that it takes no list which is not in order. */
 class KnownRedTest {
-    private static final Path ROOT = Path.of("..");
-    private static final String GOOD = "LifeTest#oneLifeCycle | a cause | issue 35\n";
-    @TempDir
-    private Path folder;
+  private static final Path ROOT = Path.of("..");
+  private static final String GOOD = "LifeTest#oneLifeCycle | a cause | issue 35\n";
+  @TempDir private Path folder;
 
-    private record Ended(int status, String out, String said) { }
+  private record Ended(int status, String out, String said) {}
 
-    private Ended check(Path file) throws Exception {
-        Path out = folder.resolve("out");
-        Path said = folder.resolve("said");
-        Process process = new ProcessBuilder("bash", ROOT.resolve(".ci/known-red").toString(), file.toString(), ROOT.toString())
-                .redirectOutput(out.toFile()).redirectError(said.toFile()).start();
-        int status = process.waitFor();
-        return new Ended(status, Files.readString(out), Files.readString(said));
-    }
+  private Ended check(Path file) throws Exception {
+    Path out = folder.resolve("out");
+    Path said = folder.resolve("said");
+    Process process =
+        new ProcessBuilder(
+                "bash", ROOT.resolve(".ci/known-red").toString(), file.toString(), ROOT.toString())
+            .redirectOutput(out.toFile())
+            .redirectError(said.toFile())
+            .start();
+    int status = process.waitFor();
+    return new Ended(status, Files.readString(out), Files.readString(said));
+  }
 
-    private Ended check(String lines) throws Exception {
-        return check(Files.writeString(folder.resolve("KNOWN-RED.txt"), lines, StandardCharsets.UTF_8));
-    }
+  private Ended check(String lines) throws Exception {
+    return check(Files.writeString(folder.resolve("KNOWN-RED.txt"), lines, StandardCharsets.UTF_8));
+  }
 
-    @Test
-    void justTheListedTestsArePassedOver() throws Exception {
-        assertEquals(new Ended(0, "", ""), check(folder.resolve("nothing")));
-        assertEquals(new Ended(0, "", ""), check("\n"));
-        assertEquals(new Ended(0, "-Dtest=!LifeTest#oneLifeCycle,!RingTest#" + inRing() + "\n-Dit.test=!ServeIT#eachOutcome\n"
-                + "-Dsurefire.failIfNoSpecifiedTests=false\n-Dfailsafe.failIfNoSpecifiedTests=false\n", "known red, passed over: " + GOOD
-                + "known red, passed over: ServeIT#eachOutcome | another | issue 36\n" + "known red, passed over: RingTest#" + inRing() + " | a third | issue 36\n"),
-                check(GOOD + "ServeIT#eachOutcome | another | issue 36\nRingTest#" + inRing() + " | a third | issue 36"));
-    }
+  @Test
+  void justTheListedTestsArePassedOver() throws Exception {
+    assertEquals(new Ended(0, "", ""), check(folder.resolve("nothing")));
+    assertEquals(new Ended(0, "", ""), check("\n"));
+    assertEquals(
+        new Ended(
+            0,
+            "-Dtest=!LifeTest#oneLifeCycle,!RingTest#"
+                + inRing()
+                + "\n-Dit.test=!ServeIT#eachOutcome\n"
+                + "-Dsurefire.failIfNoSpecifiedTests=false\n-Dfailsafe.failIfNoSpecifiedTests=false\n",
+            "known red, passed over: "
+                + GOOD
+                + "known red, passed over: ServeIT#eachOutcome | another | issue 36\n"
+                + "known red, passed over: RingTest#"
+                + inRing()
+                + " | a third | issue 36\n"),
+        check(
+            GOOD
+                + "ServeIT#eachOutcome | another | issue 36\nRingTest#"
+                + inRing()
+                + " | a third | issue 36"));
+  }
 
-    private static String inRing() throws Exception {
-        return List.of(Files.readString(Path.of("src/test/java/dillcross/net/RingTest.java")).split("    void ")).get(1).split("\\(")[0];
-    }
+  private static String inRing() throws Exception {
+    return List.of(
+            Files.readString(Path.of("src/test/java/dillcross/net/RingTest.java"))
+                .split("    void "))
+        .get(1)
+        .split("\\(")[0];
+  }
 
-    @ParameterizedTest
-    @CsvSource({"oneLifeCycle | a cause | issue 35,malformed", "LifeTest#oneLifeCycle,malformed", "LifeTest#oneLifeCycle | a cause,malformed",
-        "LifeTest#oneLifeCycle |  | issue 35,malformed", "LifeTest#oneLifeCycle | a cause | 35,malformed", "*#* | a cause | issue 35,malformed",
-        "LifeTest#noSuchMethod | a cause | issue 35,names no test", "NoSuchTest#oneLifeCycle | a cause | issue 35,names no test",
-        "Life#ready | a cause | issue 35,names no test"})
-    void aLineThatIsNotInOrderFails(String line, String said) throws Exception {
-        Ended ended = check(GOOD + line + "\n");
-        assertEquals(1, ended.status());
-        assertEquals(true, ended.said().contains("line 2") && ended.said().contains(said), ended.said());
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "oneLifeCycle | a cause | issue 35,malformed",
+    "LifeTest#oneLifeCycle,malformed",
+    "LifeTest#oneLifeCycle | a cause,malformed",
+    "LifeTest#oneLifeCycle |  | issue 35,malformed",
+    "LifeTest#oneLifeCycle | a cause | 35,malformed",
+    "*#* | a cause | issue 35,malformed",
+    "LifeTest#noSuchMethod | a cause | issue 35,names no test",
+    "NoSuchTest#oneLifeCycle | a cause | issue 35,names no test",
+    "Life#ready | a cause | issue 35,names no test"
+  })
+  void aLineThatIsNotInOrderFails(String line, String said) throws Exception {
+    Ended ended = check(GOOD + line + "\n");
+    assertEquals(1, ended.status());
+    assertEquals(
+        true, ended.said().contains("line 2") && ended.said().contains(said), ended.said());
+  }
 
-    @Test
-    void aFourthLineFails() throws Exception {
-        assertEquals(0, check(GOOD.repeat(3)).status());
-        Ended ended = check(GOOD.repeat(4));
-        assertEquals(1, ended.status());
-        assertEquals(true, ended.said().contains("line 4") && ended.said().contains("three"), ended.said());
-    }
+  @Test
+  void aFourthLineFails() throws Exception {
+    assertEquals(0, check(GOOD.repeat(3)).status());
+    Ended ended = check(GOOD.repeat(4));
+    assertEquals(1, ended.status());
+    assertEquals(
+        true, ended.said().contains("line 4") && ended.said().contains("three"), ended.said());
+  }
 }
--- a/sidecar/src/test/java/dillcross/PackagesTest.java
+++ b/sidecar/src/test/java/dillcross/PackagesTest.java
@@ -10,43 +10,114 @@
 
 /** Which package may know which: the directions in which the parts depend on each other. */
 class PackagesTest {
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("dillcross");
-    private static final String[] IO = {"java.io..", "java.net..", "java.nio..", "java.util.concurrent..", "java.time..", "org.glassfish.."};
-
-    @Test
-    void theBalancerSeesTheModelAlone() {
-        classes().that().resideInAPackage("dillcross.balancer").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("dillcross.balancer", "dillcross.model", "java.lang..", "java.util", "java.util.stream", "java.util.function").check(CLASSES);
-        classes().that().resideInAPackage("dillcross.model").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("dillcross.model", "java.lang..", "java.util", "java.util.stream", "java.util.function").check(CLASSES);
-    }
-
-    @Test
-    void balancerAndCoordinatorHaveNoInputOutputAndNoClock() {
-        noClasses().that().resideInAnyPackage("dillcross.balancer", "dillcross.model", "dillcross.sidecar..", "dillcross.membership..").should().dependOnClassesThat()
-                .resideInAnyPackage(IO).check(CLASSES);
-        noClasses().that().resideInAnyPackage("dillcross.balancer", "dillcross.model", "dillcross.sidecar..", "dillcross.membership..").should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
-    }
-
-    @Test
-    void membershipKnowsNothingOfTheRest() {
-        classes().that().resideInAPackage("dillcross.membership..").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("dillcross.membership..", "java.lang..", "java.util", "java.util.stream", "java.util.function").check(CLASSES);
-    }
-
-    @Test
-    void theNetworkReadsNoClockOfItsOwn() {
-        noClasses().that().resideInAPackage("dillcross.net..").should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
-    }
-
-    @Test
-    void configurationIsReadBelowTheNetwork() {
-        noClasses().that().resideInAnyPackage("dillcross.config..", "dillcross.sidecar..").should().dependOnClassesThat()
-                .resideInAnyPackage("dillcross.net..", "dillcross.simhost..", "dillcross.cli..").check(CLASSES);
-        noClasses().that().resideInAPackage("dillcross.net..").should().dependOnClassesThat()
-                .resideInAnyPackage("dillcross.config..", "dillcross.cli..", "dillcross.simhost..").check(CLASSES);
-    }
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+          .importPackages("dillcross");
+  private static final String[] IO = {
+    "java.io..",
+    "java.net..",
+    "java.nio..",
+    "java.util.concurrent..",
+    "java.time..",
+    "org.glassfish.."
+  };
+
+  @Test
+  void theBalancerSeesTheModelAlone() {
+    classes()
+        .that()
+        .resideInAPackage("dillcross.balancer")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideInAnyPackage(
+            "dillcross.balancer",
+            "dillcross.model",
+            "java.lang..",
+            "java.util",
+            "java.util.stream",
+            "java.util.function")
+        .check(CLASSES);
+    classes()
+        .that()
+        .resideInAPackage("dillcross.model")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideInAnyPackage(
+            "dillcross.model", "java.lang..", "java.util", "java.util.stream", "java.util.function")
+        .check(CLASSES);
+  }
+
+  @Test
+  void balancerAndCoordinatorHaveNoInputOutputAndNoClock() {
+    noClasses()
+        .that()
+        .resideInAnyPackage(
+            "dillcross.balancer",
+            "dillcross.model",
+            "dillcross.sidecar..",
+            "dillcross.membership..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(IO)
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAnyPackage(
+            "dillcross.balancer",
+            "dillcross.model",
+            "dillcross.sidecar..",
+            "dillcross.membership..")
+        .should()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(CLASSES);
+  }
+
+  @Test
+  void membershipKnowsNothingOfTheRest() {
+    classes()
+        .that()
+        .resideInAPackage("dillcross.membership..")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideInAnyPackage(
+            "dillcross.membership..",
+            "java.lang..",
+            "java.util",
+            "java.util.stream",
+            "java.util.function")
+        .check(CLASSES);
+  }
+
+  @Test
+  void theNetworkReadsNoClockOfItsOwn() {
+    noClasses()
+        .that()
+        .resideInAPackage("dillcross.net..")
+        .should()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(CLASSES);
+  }
+
+  @Test
+  void configurationIsReadBelowTheNetwork() {
+    noClasses()
+        .that()
+        .resideInAnyPackage("dillcross.config..", "dillcross.sidecar..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("dillcross.net..", "dillcross.simhost..", "dillcross.cli..")
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAPackage("dillcross.net..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("dillcross.config..", "dillcross.cli..", "dillcross.simhost..")
+        .check(CLASSES);
+  }
 }
--- a/sidecar/src/test/java/dillcross/balancer/PolicyFilesTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/PolicyFilesTest.java
@@ -23,45 +23,64 @@
 
 /** The files that the deployment names as policy: their size, and that nothing else decides. */
 class PolicyFilesTest {
-    private static final int MAX_NON_BLANK_LINES = 980;
-    private static final int MAX_LINE_LENGTH = 110;
-    private static final Path ROOT = Path.of("..");
-    private static final Pattern POLICY = Pattern.compile("^policy = \\[([^]]*)]", Pattern.MULTILINE);
-    private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
+  private static final int MAX_NON_BLANK_LINES = 980;
+  private static final int MAX_LINE_LENGTH = 110;
+  private static final Path ROOT = Path.of("..");
+  private static final Pattern POLICY = Pattern.compile("^policy = \\[([^]]*)]", Pattern.MULTILINE);
+  private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
 
-    private static List<Path> policyFiles() throws IOException {
-        String deployment = Files.readString(ROOT.resolve("deploy/balancer.toml"));
-        String list = POLICY.matcher(deployment).results().findFirst().orElseThrow().group(1);
-        return QUOTED.matcher(list).results().map(result -> ROOT.resolve(result.group(1))).toList();
-    }
+  private static List<Path> policyFiles() throws IOException {
+    String deployment = Files.readString(ROOT.resolve("deploy/balancer.toml"));
+    String list = POLICY.matcher(deployment).results().findFirst().orElseThrow().group(1);
+    return QUOTED.matcher(list).results().map(result -> ROOT.resolve(result.group(1))).toList();
+  }
 
-    @Test
-    void staysWithinItsLimits() throws IOException {
-        int total = 0;
-        for (Path file : policyFiles()) {
-            List<String> lines = Files.readAllLines(file);
-            total += (int) lines.stream().filter(line -> !line.isBlank()).count();
-            assertEquals(List.of(), lines.stream().filter(line -> line.length() > MAX_LINE_LENGTH).toList(), file.toString());
-        }
-        assertTrue(total <= MAX_NON_BLANK_LINES, "non-blank lines of all policy files: " + total);
+  @Test
+  void staysWithinItsLimits() throws IOException {
+    int total = 0;
+    for (Path file : policyFiles()) {
+      List<String> lines = Files.readAllLines(file);
+      total += (int) lines.stream().filter(line -> !line.isBlank()).count();
+      assertEquals(
+          List.of(),
+          lines.stream().filter(line -> line.length() > MAX_LINE_LENGTH).toList(),
+          file.toString());
     }
+    assertTrue(total <= MAX_NON_BLANK_LINES, "non-blank lines of all policy files: " + total);
+  }
 
-    /** Sending, rejecting, failing and cancelling, and whatever is drawn by chance, are decisions. */
-    @Test
-    void nothingElseDecides() throws IOException {
-        Set<String> policy = policyFiles().stream()
-                .map(file -> "dillcross.balancer." + file.getFileName().toString().replace(".java", ""))
-                .collect(Collectors.toSet());
-        DescribedPredicate<JavaClass> outsidePolicy = DescribedPredicate.describe("are not named as policy",
-                type -> !policy.contains(type.getName().replaceAll("\\$.*", "")));
-        JavaClasses classes = new ClassFileImporter().withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("dillcross");
-        noClasses().that(resideInAPackage("dillcross..").and(outsidePolicy)).should()
-                .callConstructor(Decision.SendAttempt.class, long.class, String.class, long.class)
-                .orShould().callConstructor(Decision.Reject.class, long.class, long.class)
-                .orShould().callConstructor(Decision.Fail.class, long.class)
-                .orShould().callConstructor(Decision.CancelAttempt.class, long.class, int.class)
-                .check(classes);
-        noClasses().that(resideInAPackage("dillcross.balancer").and(outsidePolicy)).should()
-                .callMethod(Random.class, "nextDouble").orShould().callMethod(Random.class, "nextInt", int.class).check(classes);
-    }
+  /** Sending, rejecting, failing and cancelling, and whatever is drawn by chance, are decisions. */
+  @Test
+  void nothingElseDecides() throws IOException {
+    Set<String> policy =
+        policyFiles().stream()
+            .map(file -> "dillcross.balancer." + file.getFileName().toString().replace(".java", ""))
+            .collect(Collectors.toSet());
+    DescribedPredicate<JavaClass> outsidePolicy =
+        DescribedPredicate.describe(
+            "are not named as policy",
+            type -> !policy.contains(type.getName().replaceAll("\\$.*", "")));
+    JavaClasses classes =
+        new ClassFileImporter()
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("dillcross");
+    noClasses()
+        .that(resideInAPackage("dillcross..").and(outsidePolicy))
+        .should()
+        .callConstructor(Decision.SendAttempt.class, long.class, String.class, long.class)
+        .orShould()
+        .callConstructor(Decision.Reject.class, long.class, long.class)
+        .orShould()
+        .callConstructor(Decision.Fail.class, long.class)
+        .orShould()
+        .callConstructor(Decision.CancelAttempt.class, long.class, int.class)
+        .check(classes);
+    noClasses()
+        .that(resideInAPackage("dillcross.balancer").and(outsidePolicy))
+        .should()
+        .callMethod(Random.class, "nextDouble")
+        .orShould()
+        .callMethod(Random.class, "nextInt", int.class)
+        .check(classes);
+  }
 }
