--- a/sidecar/src/test/java/dillcross/config/GivenTest.java
+++ b/sidecar/src/test/java/dillcross/config/GivenTest.java
@@ -14,16 +14,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class GivenTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private Given given(String json) throws IOException {
-        return Given.file(Files.writeString(folder.resolve("c.json"), json).toString(),
-                Map.of("NODE_LISTEN", "from-env", "NODE_NAME", "x"));
-    }
+  private Given given(String json) throws IOException {
+    return Given.file(
+        Files.writeString(folder.resolve("c.json"), json).toString(),
+        Map.of("NODE_LISTEN", "from-env", "NODE_NAME", "x"));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
         "{\"settings\":{\"categories\":[{\"name\":\"a\"}],\"rules\":{\"fall_ms\":\"soon\"}}}!settings.rules.fall_ms",
         "{\"settings\":{\"categories\":[{\"name\":\"a\",\"target_latency_ms\":[]}]}}!settings.categories.0.target_latency_ms",
         "{\"settings\":{\"categories\":[{\"effect\":\"idempotent\"}]}}!settings.categories.0.name",
@@ -47,59 +49,90 @@
         "{\"settings\":{\"categories\":[{\"name\":\"a\"}],\"limits\":{\"max_pushes\":0}}}!settings.limits.max_pushes",
         "{\"settings\":{\"categories\":[{\"name\":\"a\"}],\"rules\":{\"start_capacity\":1.2}}}!settings.rules.start_capacity",
         "{\"settings\":{\"categories\":[{\"name\":\"a\"}],\"tenants\":[{\"quota_per_s\":5}]}}!settings.tenants.0.name",
-        "{\"seed\":\"xyz\"}!seed", "{\"limits\":{\"sockets\":3}}!limits.sockets", "{!c.json"})
-    void aFaultNamesItsKey(String json, String key) {
-        var fault = assertThrows(FaultyKey.class, () -> {
-            Given given = given(json);
-            given.seed();
-            given.descriptors();
-            Given settings = given.below("settings");
-            settings.balancerSettings(settings.subscribes());
-            settings.connectUs();
-        });
-        assertTrue(fault.getMessage().startsWith(key) || fault.getMessage().contains(key + ":"), fault.getMessage());
-    }
+        "{\"seed\":\"xyz\"}!seed",
+        "{\"limits\":{\"sockets\":3}}!limits.sockets",
+        "{!c.json"
+      })
+  void aFaultNamesItsKey(String json, String key) {
+    var fault =
+        assertThrows(
+            FaultyKey.class,
+            () -> {
+              Given given = given(json);
+              given.seed();
+              given.descriptors();
+              Given settings = given.below("settings");
+              settings.balancerSettings(settings.subscribes());
+              settings.connectUs();
+            });
+    assertTrue(
+        fault.getMessage().startsWith(key) || fault.getMessage().contains(key + ":"),
+        fault.getMessage());
+  }
 
-    /** What may take the place of a running configuration, or the key that forbids it. */
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {"'{'!'{'!", "b1!b2!", "\"a\"!\"other\"!", "\"max_pushes\":3!\"max_pushes\":1!", "idempotent!at_most_once!",
-        "\"ttl_ms\":900!\"ttl_ms\":90000!", "{\"name\":\"a\"!{\"name\":\"z\",\"effect\":\"idempotent\",\"target_latency_ms\":1,\"ttl_ms\":2,\"benefit\":1},{\"name\":\"a\"!",
-        "\"ttl_ms\":900!\"x\":1!settings.categories.0.ttl_ms: is missing", "\"ttl_ms\":900!\"ttl_ms\":0!settings.categories.0.ttl_ms: has to be above 0",
-        "\"ttl_ms\":900!\"ttl_ms\":-3!settings.categories.0.ttl_ms: out of range", "\"ttl_ms\":900!\"ttl_ms\":\"NaN\"!settings.categories.0.ttl_ms: out of range",
+  /** What may take the place of a running configuration, or the key that forbids it. */
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
+        "'{'!'{'!",
+        "b1!b2!",
+        "\"a\"!\"other\"!",
+        "\"max_pushes\":3!\"max_pushes\":1!",
+        "idempotent!at_most_once!",
+        "\"ttl_ms\":900!\"ttl_ms\":90000!",
+        "{\"name\":\"a\"!{\"name\":\"z\",\"effect\":\"idempotent\",\"target_latency_ms\":1,\"ttl_ms\":2,\"benefit\":1},{\"name\":\"a\"!",
+        "\"ttl_ms\":900!\"x\":1!settings.categories.0.ttl_ms: is missing",
+        "\"ttl_ms\":900!\"ttl_ms\":0!settings.categories.0.ttl_ms: has to be above 0",
+        "\"ttl_ms\":900!\"ttl_ms\":-3!settings.categories.0.ttl_ms: out of range",
+        "\"ttl_ms\":900!\"ttl_ms\":\"NaN\"!settings.categories.0.ttl_ms: out of range",
         "\"ttl_ms\":900!\"ttl_ms\":null!settings.categories.0.ttl_ms: is missing",
         "\"target_latency_ms\":300!\"target_latency_ms\":0!settings.categories.0.target_latency_ms: has to be above 0",
-        "\"effect\":\"idempotent\"!\"x\":1!settings.categories.0.effect: is missing", "\"effect\":\"idempotent\"!\"effect\":\"deduplicated\"!settings.categories.0.key_scope: is missing",
-        "\"benefit\":1!\"x\":1!settings.categories.0.benefit: is missing", "\"max_pushes\":3!\"x\":1!settings.limits.max_pushes: is missing",
-        "\"max_pushes\":3!\"max_pushes\":0!settings.limits.max_pushes: out of range", "\"max_pushes\":3!\"max_pushes\":1.5!settings.limits.max_pushes: out of range",
-        "\"cancel\":true!\"x\":1!settings.limits.cancel: is missing", "\"fall_ms\":1500!\"x\":1!settings.rules.fall_ms: is missing, and stood in the last one",
-        "\"rules\"!\"ruled\"!settings.rules.fall_ms: is missing, and stood in the last one", "\"categories\":[!\"categories\":[],\"x\":[!settings.categories: is missing or empty",
-        "\"discovery\"!\"found\"!discovery: is missing", "\"seed\"!\"sown\"!seed: is missing, and stood in the last one"})
-    void whatMayTakeThePlaceOfARunningConfiguration(String was, String is, String fault) throws IOException {
-        String good = "{\"discovery\":\"b1\",\"seed\":\"1\",\"settings\":{\"categories\":[{\"name\":\"a\",\"effect\":\"idempotent\",\"target_latency_ms\":300,"
-                + "\"ttl_ms\":900,\"benefit\":1}],\"tenants\":[],\"limits\":{\"max_pushes\":3,\"may_duplicate\":true,\"cancel\":true},\"rules\":{\"fall_ms\":1500}}}";
-        Given before = given(good);
-        assertTrue(good.contains(was));
-        Given next = given(good.replace(was, is));
-        String told = null;
-        try {
-            next.needed("discovery");
-            next.below("settings").balancerSettings(true);
-            next.below("settings").mostTtlUs();
-            next.replaces(before);
-        } catch (FaultyKey faulty) {
-            told = faulty.getMessage();
-        }
-        assertEquals(fault == null, told == null, told);
-        assertTrue(fault == null || told.startsWith(fault), told);
+        "\"effect\":\"idempotent\"!\"x\":1!settings.categories.0.effect: is missing",
+        "\"effect\":\"idempotent\"!\"effect\":\"deduplicated\"!settings.categories.0.key_scope: is missing",
+        "\"benefit\":1!\"x\":1!settings.categories.0.benefit: is missing",
+        "\"max_pushes\":3!\"x\":1!settings.limits.max_pushes: is missing",
+        "\"max_pushes\":3!\"max_pushes\":0!settings.limits.max_pushes: out of range",
+        "\"max_pushes\":3!\"max_pushes\":1.5!settings.limits.max_pushes: out of range",
+        "\"cancel\":true!\"x\":1!settings.limits.cancel: is missing",
+        "\"fall_ms\":1500!\"x\":1!settings.rules.fall_ms: is missing, and stood in the last one",
+        "\"rules\"!\"ruled\"!settings.rules.fall_ms: is missing, and stood in the last one",
+        "\"categories\":[!\"categories\":[],\"x\":[!settings.categories: is missing or empty",
+        "\"discovery\"!\"found\"!discovery: is missing",
+        "\"seed\"!\"sown\"!seed: is missing, and stood in the last one"
+      })
+  void whatMayTakeThePlaceOfARunningConfiguration(String was, String is, String fault)
+      throws IOException {
+    String good =
+        "{\"discovery\":\"b1\",\"seed\":\"1\",\"settings\":{\"categories\":[{\"name\":\"a\",\"effect\":\"idempotent\",\"target_latency_ms\":300,"
+            + "\"ttl_ms\":900,\"benefit\":1}],\"tenants\":[],\"limits\":{\"max_pushes\":3,\"may_duplicate\":true,\"cancel\":true},\"rules\":{\"fall_ms\":1500}}}";
+    Given before = given(good);
+    assertTrue(good.contains(was));
+    Given next = given(good.replace(was, is));
+    String told = null;
+    try {
+      next.needed("discovery");
+      next.below("settings").balancerSettings(true);
+      next.below("settings").mostTtlUs();
+      next.replaces(before);
+    } catch (FaultyKey faulty) {
+      told = faulty.getMessage();
     }
+    assertEquals(fault == null, told == null, told);
+    assertTrue(fault == null || told.startsWith(fault), told);
+  }
 
-    @Test
-    void theFileComesBeforeTheEnvironment() throws IOException {
-        Given given = given("{\"name\":\"n1\",\"seed\":\"8c1f30d27a5be964\"}");
-        assertEquals("n1", given.needed("name"));
-        assertEquals("NODE_CONFIG: is missing", assertThrows(FaultyKey.class, () -> Given.file(null, Map.of())).getMessage());
-        assertEquals("from-env", given.needed("listen"));
-        assertEquals(0x8c1f30d27a5be964L, given.seed());
-        assertEquals("discovery: is missing", assertThrows(FaultyKey.class, () -> given.needed("discovery")).getMessage());
-    }
+  @Test
+  void theFileComesBeforeTheEnvironment() throws IOException {
+    Given given = given("{\"name\":\"n1\",\"seed\":\"8c1f30d27a5be964\"}");
+    assertEquals("n1", given.needed("name"));
+    assertEquals(
+        "NODE_CONFIG: is missing",
+        assertThrows(FaultyKey.class, () -> Given.file(null, Map.of())).getMessage());
+    assertEquals("from-env", given.needed("listen"));
+    assertEquals(0x8c1f30d27a5be964L, given.seed());
+    assertEquals(
+        "discovery: is missing",
+        assertThrows(FaultyKey.class, () -> given.needed("discovery")).getMessage());
+  }
 }
--- a/sidecar/src/test/java/dillcross/config/OperatorTest.java
+++ b/sidecar/src/test/java/dillcross/config/OperatorTest.java
@@ -15,33 +15,50 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class OperatorTest {
-    @TempDir
-    private Path folder;
-
-    private Operator.Members members(String text) throws IOException {
-        Path file = folder.resolve("operator.toml");
-        Files.writeString(file, text);
-        return Operator.file(file.toString()).members("n1", "east");
-    }
-
-    @Test
-    void whatIsNotNamedIsOff() throws IOException {
-        assertNull(members("# nothing yet\n"));
-    }
-
-    @Test
-    void absentKeysHaveCarefulDefaults() throws IOException {
-        Operator.Members members = members("[membership]\nbind = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7947\"]\n");
-        assertEquals(new Operator.Members("dillcross", "n1", "east", "127.0.0.1:7946", "", List.of("127.0.0.1:7947"), 1_000_000, 300_000, 4096, 1200, 20_000), members);
-    }
-
-    @Test
-    void theExampleIsRead() {
-        assertEquals("127.0.0.1:7946", Operator.file("../deploy/operator-example.toml").members("n1", "east").bind());
-    }
-
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @TempDir private Path folder;
+
+  private Operator.Members members(String text) throws IOException {
+    Path file = folder.resolve("operator.toml");
+    Files.writeString(file, text);
+    return Operator.file(file.toString()).members("n1", "east");
+  }
+
+  @Test
+  void whatIsNotNamedIsOff() throws IOException {
+    assertNull(members("# nothing yet\n"));
+  }
+
+  @Test
+  void absentKeysHaveCarefulDefaults() throws IOException {
+    Operator.Members members =
+        members("[membership]\nbind = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7947\"]\n");
+    assertEquals(
+        new Operator.Members(
+            "dillcross",
+            "n1",
+            "east",
+            "127.0.0.1:7946",
+            "",
+            List.of("127.0.0.1:7947"),
+            1_000_000,
+            300_000,
+            4096,
+            1200,
+            20_000),
+        members);
+  }
+
+  @Test
+  void theExampleIsRead() {
+    assertEquals(
+        "127.0.0.1:7946",
+        Operator.file("../deploy/operator-example.toml").members("n1", "east").bind());
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "[membership] | 1 | membership.bind",
         "[membership];bind = \"localhost:1\" | 2 | membership.bind",
         "[membership];bind = \"127.0.0.1:1\";interval_ms = 5 | 3 | membership.interval_ms",
@@ -49,14 +66,19 @@
         "[membership];bind = \"127.0.0.1:1\";seeds = [\"x\"] | 3 | membership.seeds",
         "[membership];bind = \"127.0.0.1:1\";sedes = [] | 3 | membership.sedes",
         "[membershop];bind = 1 | 1 | membershop",
-        "[membership;bind = 1 | 1 | not TOML"})
-    void aFaultNamesLineAndKey(String text, int line, String key) {
-        String said = assertThrows(FaultyKey.class, () -> members(text.replace(';', '\n'))).getMessage();
-        assertTrue(said.contains(key) && said.contains("line " + line), said);
-    }
-
-    @Test
-    void aFileThatIsNotThereIsAFault() {
-        assertTrue(assertThrows(FaultyKey.class, () -> Operator.file("/no/such/file.toml")).getMessage().contains("can't be read"));
-    }
+        "[membership;bind = 1 | 1 | not TOML"
+      })
+  void aFaultNamesLineAndKey(String text, int line, String key) {
+    String said =
+        assertThrows(FaultyKey.class, () -> members(text.replace(';', '\n'))).getMessage();
+    assertTrue(said.contains(key) && said.contains("line " + line), said);
+  }
+
+  @Test
+  void aFileThatIsNotThereIsAFault() {
+    assertTrue(
+        assertThrows(FaultyKey.class, () -> Operator.file("/no/such/file.toml"))
+            .getMessage()
+            .contains("can't be read"));
+  }
 }
--- a/sidecar/src/test/java/dillcross/net/DiscoveryTest.java
+++ b/sidecar/src/test/java/dillcross/net/DiscoveryTest.java
@@ -6,17 +6,17 @@
 
 import dillcross.balancer.LoadBalancer;
 import dillcross.model.BalancerSettings;
-import dillcross.model.RequestClass;
-import dillcross.model.SlowStartPolicy;
-import dillcross.model.Idempotency;
-import dillcross.model.Endpoint;
-import dillcross.model.ServiceObjective;
 import dillcross.model.DeduplicationScope;
 import dillcross.model.DiscoveryPolicy;
+import dillcross.model.Endpoint;
+import dillcross.model.Idempotency;
+import dillcross.model.RequestClass;
 import dillcross.model.RetryPolicy;
-import dillcross.sidecar.RequestCoordinator;
+import dillcross.model.ServiceObjective;
+import dillcross.model.SlowStartPolicy;
 import dillcross.sidecar.EndpointEntry;
 import dillcross.sidecar.NetworkCommand;
+import dillcross.sidecar.RequestCoordinator;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -30,256 +30,363 @@
 
 /** Calls to a list that fails in every way, one after another, on a clock that the test moves. */
 class DiscoveryTest {
-    private static final long STEP_US = 20_000;
-    private static final long TOLD_US = 6_000_000; // the protocol's
-    private static final String FIRST = "127.0.0.1:1";
-    private static final String SECOND = "127.0.0.1:2";
+  private static final long STEP_US = 20_000;
+  private static final long TOLD_US = 6_000_000; // the protocol's
+  private static final String FIRST = "127.0.0.1:1";
+  private static final String SECOND = "127.0.0.1:2";
 
-    /** What can happen to it; the last four last for a while, and it can't be reached during three of them. */
-    private enum Event { NOTHING, OPEN_CALLS_FALL_SILENT, LOSES_NEXT_CALL, FAILS_NEXT_CALL, MOVES, RESTARTS, REFUSES, HANGS, SAYS_NO, IS_SLOW }
+  /**
+   * What can happen to it; the last four last for a while, and it can't be reached during three of
+   * them.
+   */
+  private enum Event {
+    NOTHING,
+    OPEN_CALLS_FALL_SILENT,
+    LOSES_NEXT_CALL,
+    FAILS_NEXT_CALL,
+    MOVES,
+    RESTARTS,
+    REFUSES,
+    HANGS,
+    SAYS_NO,
+    IS_SLOW
+  }
 
-    /** The service, as each connection to it sees it. */
-    private final class Service {
-        private record Call(long since, long atUs, long untilUs) { }
+  /** The service, as each connection to it sees it. */
+  private final class Service {
+    private record Call(long since, long atUs, long untilUs) {}
 
-        private final Map<Lines.Line, Call> calls = new HashMap<>();
-        private final List<Lines.Line> dead = new ArrayList<>();
-        private Event is = Event.NOTHING;
-        private long endsUs;
-        private long slowUs = 2_000_000;
-        private long version = 1;
-        private int lost; // of the next calls, so many get no answer
-        private int failed; // ... or a 503
-        private int most; // calls out at a time
-        private String only; // the address that it concerns; null where both
+    private final Map<Lines.Line, Call> calls = new HashMap<>();
+    private final List<Lines.Line> dead = new ArrayList<>();
+    private Event is = Event.NOTHING;
+    private long endsUs;
+    private long slowUs = 2_000_000;
+    private long version = 1;
+    private int lost; // of the next calls, so many get no answer
+    private int failed; // ... or a 503
+    private int most; // calls out at a time
+    private String only; // the address that it concerns; null where both
 
+    void begins(Event event, long forUs) {
+      lost += event == Event.LOSES_NEXT_CALL ? 1 : 0;
+      failed += event == Event.FAILS_NEXT_CALL ? 1 : 0;
+      if (event == Event.OPEN_CALLS_FALL_SILENT || event == Event.HANGS) {
+        dead.addAll(calls.keySet());
+      } else if (event == Event.REFUSES) {
+        List.copyOf(calls.keySet()).forEach(Lines.Line::breaks);
+      }
+      if (event.compareTo(Event.REFUSES) >= 0) {
+        is = event;
+        endsUs = now + forUs;
+      }
+    }
 
-        void begins(Event event, long forUs) {
-            lost += event == Event.LOSES_NEXT_CALL ? 1 : 0;
-            failed += event == Event.FAILS_NEXT_CALL ? 1 : 0;
-            if (event == Event.OPEN_CALLS_FALL_SILENT || event == Event.HANGS) {
-                dead.addAll(calls.keySet());
-            } else if (event == Event.REFUSES) {
-                List.copyOf(calls.keySet()).forEach(Lines.Line::breaks);
-            }
-            if (event.compareTo(Event.REFUSES) >= 0) {
-                is = event;
-                endsUs = now + forUs;
-            }
-        }
+    boolean out() {
+      return is != Event.NOTHING && is != Event.IS_SLOW;
+    }
 
-        boolean out() {
-            return is != Event.NOTHING && is != Event.IS_SLOW;
+    void step() {
+      is = now >= endsUs ? Event.NOTHING : is;
+      Event both = is;
+      for (Lines.Line line : List.copyOf(network.lines)) {
+        is = only == null || only.equals(line.to) ? both : Event.NOTHING;
+        if (!line.isOpen()) {
+          network.lines.remove(line);
+          calls.remove(line);
+        } else if (line.asker != null && is != Event.HANGS) {
+          Network.Asker asker = line.asker;
+          line.asker = null;
+          if (is == Event.REFUSES) {
+            network.lines.remove(line);
+            asker.failed();
+          } else {
+            asker.up();
+          }
         }
-
-        void step() {
-            is = now >= endsUs ? Event.NOTHING : is;
-            Event both = is;
-            for (Lines.Line line : List.copyOf(network.lines)) {
-                is = only == null || only.equals(line.to) ? both : Event.NOTHING;
-                if (!line.isOpen()) {
-                    network.lines.remove(line);
-                    calls.remove(line);
-                } else if (line.asker != null && is != Event.HANGS) {
-                    Network.Asker asker = line.asker;
-                    line.asker = null;
-                    if (is == Event.REFUSES) {
-                        network.lines.remove(line);
-                        asker.failed();
-                    } else {
-                        asker.up();
-                    }
-                }
-                String request = line.takes();
-                if (!request.isEmpty()) {
-                    calls.put(line, new Call(number(request, "since="), now, now + 1000 * number(request, "timeout_ms=")));
-                    if (is == Event.HANGS || lost > 0 && !out()) {
-                        dead.add(line);
-                        lost -= is == Event.HANGS ? 0 : 1;
-                    }
-                }
-                answer(line, calls.get(line));
-            }
-            is = both;
-            most = (int) Math.max(most, calls.keySet().stream().filter(Lines.Line::isOpen).count());
+        String request = line.takes();
+        if (!request.isEmpty()) {
+          calls.put(
+              line,
+              new Call(
+                  number(request, "since="), now, now + 1000 * number(request, "timeout_ms=")));
+          if (is == Event.HANGS || lost > 0 && !out()) {
+            dead.add(line);
+            lost -= is == Event.HANGS ? 0 : 1;
+          }
         }
+        answer(line, calls.get(line));
+      }
+      is = both;
+      most = (int) Math.max(most, calls.keySet().stream().filter(Lines.Line::isOpen).count());
+    }
 
-        private void answer(Lines.Line line, Call call) {
-            boolean due = call != null && !dead.contains(line) && now >= call.atUs + (is == Event.IS_SLOW ? slowUs : STEP_US);
-            boolean fails = due && failed > 0 && !out();
-            failed -= fails ? 1 : 0;
-            if (due && is == Event.SAYS_NO || fails) {
-                calls.remove(line);
-                line.brings("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-            } else if (due && (call.since < version || now >= call.untilUs)) {
-                calls.remove(line);
-                String entries = call.since < version ? "{\"id\":\"a\",\"addr\":\"127.0.0.1:9\",\"state\":\"" + (version > 1 ? "terminating" : "in_service") + "\"}" : "";
-                String body = "{\"version\":" + version + ",\"full\":" + (call.since == 0) + ",\"servers\":[" + entries + "]}";
-                line.brings("HTTP/1.1 200 x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            }
-        }
+    private void answer(Lines.Line line, Call call) {
+      boolean due =
+          call != null
+              && !dead.contains(line)
+              && now >= call.atUs + (is == Event.IS_SLOW ? slowUs : STEP_US);
+      boolean fails = due && failed > 0 && !out();
+      failed -= fails ? 1 : 0;
+      if (due && is == Event.SAYS_NO || fails) {
+        calls.remove(line);
+        line.brings("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+      } else if (due && (call.since < version || now >= call.untilUs)) {
+        calls.remove(line);
+        String entries =
+            call.since < version
+                ? "{\"id\":\"a\",\"addr\":\"127.0.0.1:9\",\"state\":\""
+                    + (version > 1 ? "terminating" : "in_service")
+                    + "\"}"
+                : "";
+        String body =
+            "{\"version\":"
+                + version
+                + ",\"full\":"
+                + (call.since == 0)
+                + ",\"servers\":["
+                + entries
+                + "]}";
+        line.brings("HTTP/1.1 200 x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+      }
+    }
 
-        private static long number(String in, String name) {
-            return Long.parseLong(in.replaceAll("(?s).*" + name + "([0-9]+).*", "$1"));
-        }
+    private static long number(String in, String name) {
+      return Long.parseLong(in.replaceAll("(?s).*" + name + "([0-9]+).*", "$1"));
     }
+  }
 
-    private static final java.util.logging.Logger LOG = java.util.logging.Logger.getLogger(Discovery.class.getName()); // held, or its level is forgotten
+  private static final java.util.logging.Logger LOG =
+      java.util.logging.Logger.getLogger(
+          Discovery.class.getName()); // held, or its level is forgotten
 
-    private final Lines network = new Lines();
-    private long now;
-    private LoadBalancer logic;
-    private RequestCoordinator core;
-    private Discovery discovery;
-    private Service service;
+  private final Lines network = new Lines();
+  private long now;
+  private LoadBalancer logic;
+  private RequestCoordinator core;
+  private Discovery discovery;
+  private Service service;
 
-    @BeforeAll
-    static void saysNothing() {
-        LOG.setLevel(java.util.logging.Level.OFF); // thousands of failures
-    }
+  @BeforeAll
+  static void saysNothing() {
+    LOG.setLevel(java.util.logging.Level.OFF); // thousands of failures
+  }
 
-    @AfterAll
-    static void saysAll() {
-        LOG.setLevel(null);
-    }
+  @AfterAll
+  static void saysAll() {
+    LOG.setLevel(null);
+  }
 
-    /** A process starts, with a list that has the endpoint in service. */
-    private void start(long seed, int sidecars, boolean pushed) {
-        logic = new LoadBalancer(seed, new BalancerSettings("", 0, sidecars, List.of(new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1)), List.of(),
-                new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000), new RetryPolicy(3, true, true), false,
-                new DiscoveryPolicy(true, 5_000_000, false, false), 0, 0, new ServiceObjective(0, 0)));
-        core = new RequestCoordinator(logic);
-        core.onEndpointList(now, 1, true, List.of(new EndpointEntry(new Endpoint("a", Endpoint.Health.UP, 0, 0, "", 1), "127.0.0.1:9")), false);
-        discovery = new Discovery(network, core, () -> now, FIRST, new Budget(1 << 24));
-        discovery.limits(1_000_000);
-        if (pushed) {
-            core.onDiscoveryMoved(now);
-        }
+  /** A process starts, with a list that has the endpoint in service. */
+  private void start(long seed, int sidecars, boolean pushed) {
+    logic =
+        new LoadBalancer(
+            seed,
+            new BalancerSettings(
+                "",
+                0,
+                sidecars,
+                List.of(
+                    new RequestClass(
+                        "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1)),
+                List.of(),
+                new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
+                new RetryPolicy(3, true, true),
+                false,
+                new DiscoveryPolicy(true, 5_000_000, false, false),
+                0,
+                0,
+                new ServiceObjective(0, 0)));
+    core = new RequestCoordinator(logic);
+    core.onEndpointList(
+        now,
+        1,
+        true,
+        List.of(
+            new EndpointEntry(new Endpoint("a", Endpoint.Health.UP, 0, 0, "", 1), "127.0.0.1:9")),
+        false);
+    discovery = new Discovery(network, core, () -> now, FIRST, new Budget(1 << 24));
+    discovery.limits(1_000_000);
+    if (pushed) {
+      core.onDiscoveryMoved(now);
     }
+  }
 
-    private void step() {
-        now += STEP_US;
-        service.step();
-        discovery.expire(now);
-        for (NetworkCommand order; (order = core.next(now)) != null;) {
-            if (order instanceof NetworkCommand.WatchEndpoints watch) {
-                discovery.watch(watch);
-            }
-        }
+  private void step() {
+    now += STEP_US;
+    service.step();
+    discovery.expire(now);
+    for (NetworkCommand order; (order = core.next(now)) != null; ) {
+      if (order instanceof NetworkCommand.WatchEndpoints watch) {
+        discovery.watch(watch);
+      }
     }
+  }
 
-    private void happens(Event event, long forUs, long seed, int sidecars, boolean pushed) {
-        if (event == Event.MOVES) {
-            discovery.move(SECOND);
-            core.onDiscoveryMoved(now);
-        } else if (event == Event.RESTARTS) {
-            List.copyOf(network.lines).forEach(Lines.Line::close);
-            start(seed + 1, sidecars, pushed);
-        } else {
-            service.begins(event, forUs);
-        }
+  private void happens(Event event, long forUs, long seed, int sidecars, boolean pushed) {
+    if (event == Event.MOVES) {
+      discovery.move(SECOND);
+      core.onDiscoveryMoved(now);
+    } else if (event == Event.RESTARTS) {
+      List.copyOf(network.lines).forEach(Lines.Line::close);
+      start(seed + 1, sidecars, pushed);
+    } else {
+      service.begins(event, forUs);
     }
+  }
 
-    /** How long after it had the news and could be reached the program had it, at the most and over every pair of events. */
-    private long latestUs(int sidecars, boolean pushed) {
-        long worst = 0;
-        long seed = 0;
-        for (Event first : Event.values()) {
-            for (Event second : Event.values()) {
-                for (long lastsUs : new long[] {700_000, 3_100_000, 9_300_000}) {
-                    for (long apartUs : new long[] {0, 1_000_000, 2_500_000, 4_000_000, lastsUs - 700_000, lastsUs, lastsUs + 1_000_000, lastsUs + 2_000_000}) {
-                        for (long changeUs : new long[] {0, 1_100_000}) {
-                            long took = played(++seed, sidecars, pushed, first, second, apartUs, lastsUs, changeUs);
-                            assertTrue(took <= TOLD_US, first + ", " + apartUs + " us later " + second + ", each for " + lastsUs + " us, news " + changeUs
-                                    + " us later: had " + took + " us late");
-                            worst = Math.max(worst, took);
-                        }
-                    }
-                }
+  /**
+   * How long after it had the news and could be reached the program had it, at the most and over
+   * every pair of events.
+   */
+  private long latestUs(int sidecars, boolean pushed) {
+    long worst = 0;
+    long seed = 0;
+    for (Event first : Event.values()) {
+      for (Event second : Event.values()) {
+        for (long lastsUs : new long[] {700_000, 3_100_000, 9_300_000}) {
+          for (long apartUs :
+              new long[] {
+                0,
+                1_000_000,
+                2_500_000,
+                4_000_000,
+                lastsUs - 700_000,
+                lastsUs,
+                lastsUs + 1_000_000,
+                lastsUs + 2_000_000
+              }) {
+            for (long changeUs : new long[] {0, 1_100_000}) {
+              long took =
+                  played(++seed, sidecars, pushed, first, second, apartUs, lastsUs, changeUs);
+              assertTrue(
+                  took <= TOLD_US,
+                  first
+                      + ", "
+                      + apartUs
+                      + " us later "
+                      + second
+                      + ", each for "
+                      + lastsUs
+                      + " us, news "
+                      + changeUs
+                      + " us later: had "
+                      + took
+                      + " us late");
+              worst = Math.max(worst, took);
             }
+          }
         }
-        return worst;
+      }
     }
+    return worst;
+  }
 
-    private long played(long seed, int sidecars, boolean pushed, Event first, Event second, long apartUs, long lastsUs, long changeUs) {
-        network.lines.clear();
-        service = new Service();
-        now = 1_000_000_000;
-        start(seed, sidecars, pushed);
-        long firstUs = now + 3_000_000 + seed % 100 * STEP_US;
-        long changedUs = firstUs + apartUs + changeUs;
-        long from = changedUs;
-        boolean begun = false;
-        boolean followed = false;
-        while (logic.isListed("a")) {
-            if (!begun && now >= firstUs) {
-                begun = true;
-                happens(first, lastsUs, seed, sidecars, pushed);
-            }
-            if (!followed && now >= firstUs + apartUs) {
-                followed = true;
-                happens(second, lastsUs, seed, sidecars, pushed);
-            }
-            service.version = now >= changedUs ? 2 : 1;
-            step();
-            from = service.out() ? Math.max(from, now) : from;
-            if (now > changedUs + 30_000_000) {
-                return now - from;
-            }
-        }
-        assertTrue(service.most <= 3, "two calls at a time and one where it was before, and not " + service.most);
+  private long played(
+      long seed,
+      int sidecars,
+      boolean pushed,
+      Event first,
+      Event second,
+      long apartUs,
+      long lastsUs,
+      long changeUs) {
+    network.lines.clear();
+    service = new Service();
+    now = 1_000_000_000;
+    start(seed, sidecars, pushed);
+    long firstUs = now + 3_000_000 + seed % 100 * STEP_US;
+    long changedUs = firstUs + apartUs + changeUs;
+    long from = changedUs;
+    boolean begun = false;
+    boolean followed = false;
+    while (logic.isListed("a")) {
+      if (!begun && now >= firstUs) {
+        begun = true;
+        happens(first, lastsUs, seed, sidecars, pushed);
+      }
+      if (!followed && now >= firstUs + apartUs) {
+        followed = true;
+        happens(second, lastsUs, seed, sidecars, pushed);
+      }
+      service.version = now >= changedUs ? 2 : 1;
+      step();
+      from = service.out() ? Math.max(from, now) : from;
+      if (now > changedUs + 30_000_000) {
         return now - from;
+      }
     }
+    assertTrue(
+        service.most <= 3,
+        "two calls at a time and one where it was before, and not " + service.most);
+    return now - from;
+  }
 
-    /** Whatever became of earlier calls, news is had within six seconds of its being there to be had; in fleets of every size. */
-    @ParameterizedTest
-    @CsvSource({"5,false", "100,false", "1000,false", "5,true", "100,true", "1000,true"})
-    void newsIsHadBeforeItCountsAsTold(int sidecars, boolean pushed) {
-        long worst = latestUs(sidecars, pushed);
-        assertTrue(worst > 2_000_000, "a watch that falls silent is not noticed sooner: " + worst);
-    }
+  /**
+   * Whatever became of earlier calls, news is had within six seconds of its being there to be had;
+   * in fleets of every size.
+   */
+  @ParameterizedTest
+  @CsvSource({"5,false", "100,false", "1000,false", "5,true", "100,true", "1000,true"})
+  void newsIsHadBeforeItCountsAsTold(int sidecars, boolean pushed) {
+    long worst = latestUs(sidecars, pushed);
+    assertTrue(worst > 2_000_000, "a watch that falls silent is not noticed sooner: " + worst);
+  }
 
-    /** The list moves, and the new one has no answer yet, in whatever way: what the old one tells meanwhile counts at once, and to the end. */
-    @ParameterizedTest
-    @EnumSource(value = Event.class, names = {"REFUSES", "HANGS", "SAYS_NO", "IS_SLOW"})
-    void theListBeforeIsHeardUntilTheNewOneAnswers(Event event) {
-        service = new Service();
-        now = 1_000_000_000;
-        start(1, 100, false);
-        while (!core.hasReceivedWatchEvent()) {
-            step();
-        }
-        service.only = SECOND;
-        service.begins(event, 8_000_000);
-        happens(Event.MOVES, 0, 1, 100, false);
-        for (long untilUs = now + 1_900_000; now < untilUs;) {
-            step();
-        }
-        service.version = 2;
-        step();
-        step();
-        assertFalse(logic.isListed("a"), "its watch was open");
-        for (long untilUs = now + 12_000_000; now < untilUs;) {
-            step();
-        }
-        assertEquals(List.of(SECOND), network.lines.stream().filter(Lines.Line::isOpen).map(l -> l.to).toList(), "once it has answered");
+  /**
+   * The list moves, and the new one has no answer yet, in whatever way: what the old one tells
+   * meanwhile counts at once, and to the end.
+   */
+  @ParameterizedTest
+  @EnumSource(
+      value = Event.class,
+      names = {"REFUSES", "HANGS", "SAYS_NO", "IS_SLOW"})
+  void theListBeforeIsHeardUntilTheNewOneAnswers(Event event) {
+    service = new Service();
+    now = 1_000_000_000;
+    start(1, 100, false);
+    while (!core.hasReceivedWatchEvent()) {
+      step();
+    }
+    service.only = SECOND;
+    service.begins(event, 8_000_000);
+    happens(Event.MOVES, 0, 1, 100, false);
+    for (long untilUs = now + 1_900_000; now < untilUs; ) {
+      step();
     }
+    service.version = 2;
+    step();
+    step();
+    assertFalse(logic.isListed("a"), "its watch was open");
+    for (long untilUs = now + 12_000_000; now < untilUs; ) {
+      step();
+    }
+    assertEquals(
+        List.of(SECOND),
+        network.lines.stream().filter(Lines.Line::isOpen).map(l -> l.to).toList(),
+        "once it has answered");
+  }
 
-    /** An answer that had to wait its turn is taken, also when the next call is out; and that one is not left open. */
-    @Test
-    void aSlowAnswerIsTaken() {
-        network.lines.clear();
-        service = new Service();
-        now = 1_000_000_000;
-        start(1, 1, true);
-        service.slowUs = 4_000_000; // longer than a call has before the next
-        service.begins(Event.IS_SLOW, 60_000_000);
-        while (!core.hasReceivedWatchEvent() && now < 1_030_000_000) {
-            step();
-        }
-        assertEquals(0, (now - 1_000_000_000 - service.slowUs) / 200_000, "with the first answer, " + (now - 1_000_000_000));
-        assertTrue(service.most > 1, "another was out");
-        step();
-        assertEquals(1, network.lines.stream().filter(Lines.Line::isOpen).count());
+  /**
+   * An answer that had to wait its turn is taken, also when the next call is out; and that one is
+   * not left open.
+   */
+  @Test
+  void aSlowAnswerIsTaken() {
+    network.lines.clear();
+    service = new Service();
+    now = 1_000_000_000;
+    start(1, 1, true);
+    service.slowUs = 4_000_000; // longer than a call has before the next
+    service.begins(Event.IS_SLOW, 60_000_000);
+    while (!core.hasReceivedWatchEvent() && now < 1_030_000_000) {
+      step();
     }
+    assertEquals(
+        0,
+        (now - 1_000_000_000 - service.slowUs) / 200_000,
+        "with the first answer, " + (now - 1_000_000_000));
+    assertTrue(service.most > 1, "another was out");
+    step();
+    assertEquals(1, network.lines.stream().filter(Lines.Line::isOpen).count());
+  }
 }
--- a/sidecar/src/test/java/dillcross/net/LifeTest.java
+++ b/sidecar/src/test/java/dillcross/net/LifeTest.java
@@ -7,41 +7,68 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class LifeTest {
-    /** After those calls: healthy to the front, able to serve, leaving (answers close), letting go of what is idle 1 s and 2 s later. */
-    @ParameterizedTest
-    @CsvSource({"'',no no no no no", "ready,yes yes no no no", "drain,no no no no no", "drain ready,no yes yes no yes", "drain resume ready,yes yes no no no",
-        "ready drain,no yes yes no yes", "ready drain drain,no yes yes no yes", "ready resume,yes yes no no no", "ready drain resume,yes yes no no no",
-        "ready drain resume resume drain,no yes yes no yes", "stop,no no yes yes yes", "ready stop,no no yes yes yes", "ready drain stop,no no yes yes yes",
-        "ready stop resume,no no yes yes yes", "ready stop drain resume,no no yes yes yes", "stop ready,no no yes yes yes"})
-    void oneLifeCycle(String calls, String told) {
-        Life life = new Life();
-        long now = 1_000_000;
-        for (String call : calls.split(" ")) {
-            switch (call) {
-                case "ready" -> life.ready(now);
-                case "drain" -> life.drain(now);
-                case "resume" -> life.resume();
-                case "stop" -> life.stop(now);
-                default -> { }
-            }
-        }
-        StringBuilder is = new StringBuilder();
-        for (boolean yes : new boolean[] {life.healthy(), life.able(), life.leaving(), life.lettingGo(now + 1_000_000), life.lettingGo(now + 2_000_000)}) {
-            is.append(yes ? "yes " : "no ");
-        }
-        assertEquals(told, is.toString().trim());
+  /**
+   * After those calls: healthy to the front, able to serve, leaving (answers close), letting go of
+   * what is idle 1 s and 2 s later.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "'',no no no no no",
+    "ready,yes yes no no no",
+    "drain,no no no no no",
+    "drain ready,no yes yes no yes",
+    "drain resume ready,yes yes no no no",
+    "ready drain,no yes yes no yes",
+    "ready drain drain,no yes yes no yes",
+    "ready resume,yes yes no no no",
+    "ready drain resume,yes yes no no no",
+    "ready drain resume resume drain,no yes yes no yes",
+    "stop,no no yes yes yes",
+    "ready stop,no no yes yes yes",
+    "ready drain stop,no no yes yes yes",
+    "ready stop resume,no no yes yes yes",
+    "ready stop drain resume,no no yes yes yes",
+    "stop ready,no no yes yes yes"
+  })
+  void oneLifeCycle(String calls, String told) {
+    Life life = new Life();
+    long now = 1_000_000;
+    for (String call : calls.split(" ")) {
+      switch (call) {
+        case "ready" -> life.ready(now);
+        case "drain" -> life.drain(now);
+        case "resume" -> life.resume();
+        case "stop" -> life.stop(now);
+        default -> {}
+      }
     }
-
-    /** What comes late into a stop has its answer before the process may be killed, the longest TTL and 0.7 s after it began. */
-    @Test
-    void aTtlEndsWithTheWayOut() {
-        Life life = new Life();
-        life.ready(0);
-        assertEquals(3_000_000, life.within(3_000_000, 3_000_000, 500));
-        life.stop(1000);
-        assertEquals(3_000_000, life.within(3_000_000, 3_000_000, 1000));
-        assertEquals(1_600_000, life.within(3_000_000, 3_000_000, 2_001_000));
-        assertEquals(200_000, life.within(200_000, 3_000_000, 2_001_000));
-        assertEquals(1, life.within(3_000_000, 3_000_000, 9_000_000));
+    StringBuilder is = new StringBuilder();
+    for (boolean yes :
+        new boolean[] {
+          life.healthy(),
+          life.able(),
+          life.leaving(),
+          life.lettingGo(now + 1_000_000),
+          life.lettingGo(now + 2_000_000)
+        }) {
+      is.append(yes ? "yes " : "no ");
     }
+    assertEquals(told, is.toString().trim());
+  }
+
+  /**
+   * What comes late into a stop has its answer before the process may be killed, the longest TTL
+   * and 0.7 s after it began.
+   */
+  @Test
+  void aTtlEndsWithTheWayOut() {
+    Life life = new Life();
+    life.ready(0);
+    assertEquals(3_000_000, life.within(3_000_000, 3_000_000, 500));
+    life.stop(1000);
+    assertEquals(3_000_000, life.within(3_000_000, 3_000_000, 1000));
+    assertEquals(1_600_000, life.within(3_000_000, 3_000_000, 2_001_000));
+    assertEquals(200_000, life.within(200_000, 3_000_000, 2_001_000));
+    assertEquals(1, life.within(3_000_000, 3_000_000, 9_000_000));
+  }
 }
--- a/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
+++ b/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
@@ -19,87 +19,96 @@
 import org.junit.jupiter.api.Test;
 
 class PacketCodecTest {
-    private static final Claim ONE = new Claim("s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, State.SUSPECT, "s2");
-    private static final Packet FULL = new Packet(Packet.Kind.TOLD, Long.MAX_VALUE, ONE, ONE, new int[] {1, -1, Integer.MIN_VALUE}, List.of(ONE, ONE),
-            List.of(new Payload("s3", 1L << 60, 7, Long.MAX_VALUE, new byte[Payload.MOST_BYTES])));
-    private final PacketCodec codec = new PacketCodec("east-fleet");
+  private static final Claim ONE =
+      new Claim("s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, State.SUSPECT, "s2");
+  private static final Packet FULL =
+      new Packet(
+          Packet.Kind.TOLD,
+          Long.MAX_VALUE,
+          ONE,
+          ONE,
+          new int[] {1, -1, Integer.MIN_VALUE},
+          List.of(ONE, ONE),
+          List.of(new Payload("s3", 1L << 60, 7, Long.MAX_VALUE, new byte[Payload.MOST_BYTES])));
+  private final PacketCodec codec = new PacketCodec("east-fleet");
 
-    private Packet read(byte[] bytes) {
-        return codec.read(bytes, 0, bytes.length);
-    }
+  private Packet read(byte[] bytes) {
+    return codec.read(bytes, 0, bytes.length);
+  }
 
-    @Test
-    void whatIsWrittenIsReadAndTakesNoMoreThanItSays() {
-        byte[] bytes = codec.write(FULL);
-        Packet read = read(bytes);
-        assertEquals(FULL.claims(), read.claims());
-        assertEquals(FULL.about(), read.about());
-        assertEquals(FULL.sequence(), read.sequence());
-        assertArrayEquals(FULL.digest(), read.digest());
-        assertArrayEquals(FULL.payloads().get(0).bytes(), read.payloads().get(0).bytes());
-        assertTrue(bytes.length <= FULL.size() + "east-fleet".length(), bytes.length + " of " + FULL.size());
-    }
+  @Test
+  void whatIsWrittenIsReadAndTakesNoMoreThanItSays() {
+    byte[] bytes = codec.write(FULL);
+    Packet read = read(bytes);
+    assertEquals(FULL.claims(), read.claims());
+    assertEquals(FULL.about(), read.about());
+    assertEquals(FULL.sequence(), read.sequence());
+    assertArrayEquals(FULL.digest(), read.digest());
+    assertArrayEquals(FULL.payloads().get(0).bytes(), read.payloads().get(0).bytes());
+    assertTrue(
+        bytes.length <= FULL.size() + "east-fleet".length(), bytes.length + " of " + FULL.size());
+  }
 
-    @Test
-    void cutOffOrChangedBytesAreNoPacketOrAnotherOneAndNeverAFault() {
-        byte[] bytes = codec.write(FULL);
-        for (int i = 0; i < bytes.length; i++) {
-            assertNull(read(Arrays.copyOf(bytes, i)), "cut after " + i);
-        }
-        Random random = new Random(5);
-        int taken = 0;
-        for (int i = 0; i < 20_000; i++) {
-            byte[] changed = bytes.clone();
-            for (int k = 0; k < 1 + i % 4; k++) {
-                changed[random.nextInt(changed.length)] = (byte) random.nextInt();
-            }
-            taken += read(changed) != null ? 1 : 0;
-            byte[] noise = new byte[i % 300];
-            random.nextBytes(noise);
-            assertNull(read(noise));
-        }
-        assertTrue(taken < 16_000, "most changes are seen: " + taken);
+  @Test
+  void cutOffOrChangedBytesAreNoPacketOrAnotherOneAndNeverAFault() {
+    byte[] bytes = codec.write(FULL);
+    for (int i = 0; i < bytes.length; i++) {
+      assertNull(read(Arrays.copyOf(bytes, i)), "cut after " + i);
     }
-
-    @Test
-    void anotherFleetsPacketIsNone() {
-        byte[] bytes = new PacketCodec("other").write(FULL);
-        assertNull(read(bytes));
+    Random random = new Random(5);
+    int taken = 0;
+    for (int i = 0; i < 20_000; i++) {
+      byte[] changed = bytes.clone();
+      for (int k = 0; k < 1 + i % 4; k++) {
+        changed[random.nextInt(changed.length)] = (byte) random.nextInt();
+      }
+      taken += read(changed) != null ? 1 : 0;
+      byte[] noise = new byte[i % 300];
+      random.nextBytes(noise);
+      assertNull(read(noise));
     }
+    assertTrue(taken < 16_000, "most changes are seen: " + taken);
+  }
+
+  @Test
+  void anotherFleetsPacketIsNone() {
+    byte[] bytes = new PacketCodec("other").write(FULL);
+    assertNull(read(bytes));
+  }
 
-    @Test
-    void whatALaterVersionAddsIsPassedOver() throws Exception {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
-            out.writeStartObject();
-            out.writeNumberField("v", 1);
-            out.writeFieldName("new");
-            out.writeStartArray();
-            out.writeStartObject();
-            out.writeStringField("x", "y");
-            out.writeEndObject();
-            out.writeEndArray();
-            out.writeStringField("n", "east-fleet");
-            out.writeNumberField("k", 0);
-            out.writeNumberField("s", 4);
-            out.writeFieldName("f");
-            out.writeStartArray();
-            for (String text : List.of("s1", "127.0.0.1:1", "east")) {
-                out.writeString(text);
-            }
-            out.writeNumber(1);
-            out.writeNumber(0);
-            out.writeNumber(0);
-            out.writeString("");
-            out.writeStartArray();
-            out.writeNumber(9); // an item that this version does not know
-            out.writeEndArray();
-            out.writeEndArray();
-            out.writeEndObject();
-        }
-        Packet read = read(bytes.toByteArray());
-        assertNotNull(read);
-        assertEquals("s1", read.from().name());
-        assertEquals(4, read.sequence());
+  @Test
+  void whatALaterVersionAddsIsPassedOver() throws Exception {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
+      out.writeStartObject();
+      out.writeNumberField("v", 1);
+      out.writeFieldName("new");
+      out.writeStartArray();
+      out.writeStartObject();
+      out.writeStringField("x", "y");
+      out.writeEndObject();
+      out.writeEndArray();
+      out.writeStringField("n", "east-fleet");
+      out.writeNumberField("k", 0);
+      out.writeNumberField("s", 4);
+      out.writeFieldName("f");
+      out.writeStartArray();
+      for (String text : List.of("s1", "127.0.0.1:1", "east")) {
+        out.writeString(text);
+      }
+      out.writeNumber(1);
+      out.writeNumber(0);
+      out.writeNumber(0);
+      out.writeString("");
+      out.writeStartArray();
+      out.writeNumber(9); // an item that this version does not know
+      out.writeEndArray();
+      out.writeEndArray();
+      out.writeEndObject();
     }
+    Packet read = read(bytes.toByteArray());
+    assertNotNull(read);
+    assertEquals("s1", read.from().name());
+    assertEquals(4, read.sequence());
+  }
 }
--- a/sidecar/src/test/java/dillcross/net/ReaderTest.java
+++ b/sidecar/src/test/java/dillcross/net/ReaderTest.java
@@ -15,238 +15,326 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ReaderTest {
-    private static byte[] bytes(String text) {
-        return text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-    }
+  private static byte[] bytes(String text) {
+    return text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+  }
 
-    private static Reader reader(boolean requests) {
-        return new Reader(requests, Reader.WHOLE, 1 << 20);
-    }
+  private static Reader reader(boolean requests) {
+    return new Reader(requests, Reader.WHOLE, 1 << 20);
+  }
 
-    private static Message read(Reader reader, String text, boolean ended) {
-        Ring ring = new Ring(1 << 17, new Budget(1 << 20));
-        assertTrue(ring.add(bytes(text)));
-        return reader.read(ring, ended);
-    }
+  private static Message read(Reader reader, String text, boolean ended) {
+    Ring ring = new Ring(1 << 17, new Budget(1 << 20));
+    assertTrue(ring.add(bytes(text)));
+    return reader.read(ring, ended);
+  }
 
-    /** All that a reader makes of these bytes, fed in pieces of so many at the most: first lines, bodies, faults. */
-    private static String readAll(boolean requests, byte[] all, int piece, Random random) {
-        Ring ring = new Ring(1 << 17, new Budget(1 << 20));
-        Reader reader = reader(requests);
-        StringBuilder told = new StringBuilder();
-        for (int at = 0; at <= all.length && reader.fault() == 0;) {
-            int count = Math.min(Math.min(all.length - at, ring.room(1 << 17)), random == null ? piece : 1 + random.nextInt(piece));
-            ring.add(java.util.Arrays.copyOfRange(all, at, at += count));
-            boolean ended = at == all.length;
-            boolean more = true;
-            while (more && reader.fault() == 0) {
-                Message message = reader.flows() ? null : reader.read(ring, ended);
-                if (message != null) {
-                    told.append(message.first()).append(' ').append(message.second()).append(' ').append(new String(message.body(), StandardCharsets.US_ASCII));
-                }
-                int run = reader.flows() ? reader.run(ring, ended) : 0;
-                if (run > 0) {
-                    byte[] bytes = new byte[run];
-                    ring.copy(0, bytes, 0, run);
-                    ring.skip(run);
-                    reader.took(run);
-                    told.append(new String(bytes, StandardCharsets.US_ASCII));
-                }
-                if (reader.flows() && reader.done()) {
-                    reader.finish();
-                    told.append(" whole");
-                }
-                more = message != null || run > 0;
-            }
-            at += ended ? 1 : 0;
+  /**
+   * All that a reader makes of these bytes, fed in pieces of so many at the most: first lines,
+   * bodies, faults.
+   */
+  private static String readAll(boolean requests, byte[] all, int piece, Random random) {
+    Ring ring = new Ring(1 << 17, new Budget(1 << 20));
+    Reader reader = reader(requests);
+    StringBuilder told = new StringBuilder();
+    for (int at = 0; at <= all.length && reader.fault() == 0; ) {
+      int count =
+          Math.min(
+              Math.min(all.length - at, ring.room(1 << 17)),
+              random == null ? piece : 1 + random.nextInt(piece));
+      ring.add(java.util.Arrays.copyOfRange(all, at, at += count));
+      boolean ended = at == all.length;
+      boolean more = true;
+      while (more && reader.fault() == 0) {
+        Message message = reader.flows() ? null : reader.read(ring, ended);
+        if (message != null) {
+          told.append(message.first())
+              .append(' ')
+              .append(message.second())
+              .append(' ')
+              .append(new String(message.body(), StandardCharsets.US_ASCII));
+        }
+        int run = reader.flows() ? reader.run(ring, ended) : 0;
+        if (run > 0) {
+          byte[] bytes = new byte[run];
+          ring.copy(0, bytes, 0, run);
+          ring.skip(run);
+          reader.took(run);
+          told.append(new String(bytes, StandardCharsets.US_ASCII));
+        }
+        if (reader.flows() && reader.done()) {
+          reader.finish();
+          told.append(" whole");
         }
-        return (told + (reader.fault() == 0 ? "" : " fault " + reader.fault())).trim().replace("a".repeat(500), "#");
+        more = message != null || run > 0;
+      }
+      at += ended ? 1 : 0;
     }
+    return (told + (reader.fault() == 0 ? "" : " fault " + reader.fault()))
+        .trim()
+        .replace("a".repeat(500), "#");
+  }
 
-    /** All forms of a message, each whole, byte by byte and cut at random places: the same comes of it. */
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {"POST /buy/1?x=2 HTTP/1.1|Host: a|Content-Length: 5||hello!POST /buy/1?x=2 hello",
-        "||POST /buy HTTP/1.1|host:a|x: 1|X: 2|content-length: 5||hello!POST /buy hello", "POST /buy HTTP/1.1|Host: a|Content-Length: 5|content-length: 5||hello!POST /buy hello",
-        "POST /buy HTTP/1.1|Host: a|Transfer-Encoding: chunked||3|hel|2;ext=1|lo|0|Trailer: x||!POST /buy hello", "POST /buy HTTP/1.1|Host: a|Transfer-Encoding: Chunked||0||!POST /buy ",
-        "GET http://a.svc:80/read?x HTTP/1.1|Host: a||!GET /read?x ", "GET http://a HTTP/1.1|Host: a||!GET / ", "GET ftp://a/ HTTP/1.1|Host: a||! fault 400",
-        "POST /b HTTP/1.0|Content-Length: 2||ab!POST /b ab", "GET /a HTTP/1.1|Host: a||GET /b HTTP/1.1|Host: a||!GET /a GET /b ",
-        "POST /b HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||ab!POST /b ab", "POST /b HTTP/1.1|Host: a|Transfer-Encoding: chunked||2|abcd! fault 400",
-        "POST /b HTTP/1.1|Host: a|Content-Length: 70000||LARGE!POST /b LARGE whole", "POST /b HTTP/1.1|Host: a|Transfer-Encoding: chunked||CHUNKS0||!POST /b LARGE whole",
+  /**
+   * All forms of a message, each whole, byte by byte and cut at random places: the same comes of
+   * it.
+   */
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
+        "POST /buy/1?x=2 HTTP/1.1|Host: a|Content-Length: 5||hello!POST /buy/1?x=2 hello",
+        "||POST /buy HTTP/1.1|host:a|x: 1|X: 2|content-length: 5||hello!POST /buy hello",
+        "POST /buy HTTP/1.1|Host: a|Content-Length: 5|content-length: 5||hello!POST /buy hello",
+        "POST /buy HTTP/1.1|Host: a|Transfer-Encoding: chunked||3|hel|2;ext=1|lo|0|Trailer: x||!POST /buy hello",
+        "POST /buy HTTP/1.1|Host: a|Transfer-Encoding: Chunked||0||!POST /buy ",
+        "GET http://a.svc:80/read?x HTTP/1.1|Host: a||!GET /read?x ",
+        "GET http://a HTTP/1.1|Host: a||!GET / ",
+        "GET ftp://a/ HTTP/1.1|Host: a||! fault 400",
+        "POST /b HTTP/1.0|Content-Length: 2||ab!POST /b ab",
+        "GET /a HTTP/1.1|Host: a||GET /b HTTP/1.1|Host: a||!GET /a GET /b ",
+        "POST /b HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||ab!POST /b ab",
+        "POST /b HTTP/1.1|Host: a|Transfer-Encoding: chunked||2|abcd! fault 400",
+        "POST /b HTTP/1.1|Host: a|Content-Length: 70000||LARGE!POST /b LARGE whole",
+        "POST /b HTTP/1.1|Host: a|Transfer-Encoding: chunked||CHUNKS0||!POST /b LARGE whole",
         "POST /b HTTP/1.1|Host: a|Content-Length: 70000||LARGEGET /c HTTP/1.1|Host: a||!POST /b LARGE wholeGET /c ",
         "HTTP/1.1 200 OK|Content-Length: 70000||LARGEHTTP/1.1 200 OK|Content-Length: 1||x!HTTP/1.1 200 LARGE wholeHTTP/1.1 200 x",
-        "HTTP/1.1 100 Go on||HTTP/1.1 200 OK|Connection: x, close||LARGE!HTTP/1.1 200 LARGE whole", "HTTP/1.0 200 OK||ab!HTTP/1.0 200 ab",
-        "HTTP/1.1 200|Transfer-Encoding: chunked||CHUNKS0|T: x||!HTTP/1.1 200 LARGE whole", "HTTP/1.1 200|Transfer-Encoding: chunked||CHUNKSzz|!HTTP/1.1 200 LARGE fault 400",
-        "HTTP/1.1 304 No|Content-Length: 5||HTTP/1.1 200|Content-Length: 1||x!HTTP/1.1 304 HTTP/1.1 200 x"})
-    void everyFormIsReadTheSameInAnyPieces(String text, String told) {
-        String chunks = "4e20;x=y|" + "a".repeat(20_000) + "|1|a|" + "C34F|" + "a".repeat(49_999) + "|";
-        byte[] all = bytes(text.replace("LARGE", "a".repeat(70_000)).replace("CHUNKS", chunks));
-        String want = told.trim().replace("LARGE", "#".repeat(140));
-        boolean requests = !text.startsWith("HTTP");
-        assertEquals(want, readAll(requests, all, all.length, null));
-        assertEquals(want, readAll(requests, all, 1, null));
-        Random random = new Random(3);
-        for (int i = 0; i < 20; i++) {
-            assertEquals(want, readAll(requests, all, 1 + random.nextInt(all.length), random));
-        }
+        "HTTP/1.1 100 Go on||HTTP/1.1 200 OK|Connection: x, close||LARGE!HTTP/1.1 200 LARGE whole",
+        "HTTP/1.0 200 OK||ab!HTTP/1.0 200 ab",
+        "HTTP/1.1 200|Transfer-Encoding: chunked||CHUNKS0|T: x||!HTTP/1.1 200 LARGE whole",
+        "HTTP/1.1 200|Transfer-Encoding: chunked||CHUNKSzz|!HTTP/1.1 200 LARGE fault 400",
+        "HTTP/1.1 304 No|Content-Length: 5||HTTP/1.1 200|Content-Length: 1||x!HTTP/1.1 304 HTTP/1.1 200 x"
+      })
+  void everyFormIsReadTheSameInAnyPieces(String text, String told) {
+    String chunks = "4e20;x=y|" + "a".repeat(20_000) + "|1|a|" + "C34F|" + "a".repeat(49_999) + "|";
+    byte[] all = bytes(text.replace("LARGE", "a".repeat(70_000)).replace("CHUNKS", chunks));
+    String want = told.trim().replace("LARGE", "#".repeat(140));
+    boolean requests = !text.startsWith("HTTP");
+    assertEquals(want, readAll(requests, all, all.length, null));
+    assertEquals(want, readAll(requests, all, 1, null));
+    Random random = new Random(3);
+    for (int i = 0; i < 20; i++) {
+      assertEquals(want, readAll(requests, all, 1 + random.nextInt(all.length), random));
     }
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {"hello!0", "hello||!400", "GET  /x HTTP/1.1|Host: a||!400", "GET /x HTTP/2.0|Host: a||!400",
-        "GET x HTTP/1.1|Host: a||!400", "G(T /x HTTP/1.1|Host: a||!400", "GET /x HTTP/1.1||!400", "GET /x HTTP/1.1|Host: a|Host: b||!400",
-        "GET /x HTTP/1.1|Host : a||!400", "GET /x HTTP/1.1|Host: a| folded: b||!400", "GET /x HTTP/1.1|Host: a|y: \u0001||!400",
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
+        "hello!0",
+        "hello||!400",
+        "GET  /x HTTP/1.1|Host: a||!400",
+        "GET /x HTTP/2.0|Host: a||!400",
+        "GET x HTTP/1.1|Host: a||!400",
+        "G(T /x HTTP/1.1|Host: a||!400",
+        "GET /x HTTP/1.1||!400",
+        "GET /x HTTP/1.1|Host: a|Host: b||!400",
+        "GET /x HTTP/1.1|Host : a||!400",
+        "GET /x HTTP/1.1|Host: a| folded: b||!400",
+        "GET /x HTTP/1.1|Host: a|y: \u0001||!400",
         "POST /x HTTP/1.1|Host: a|Content-Length: 1|Content-Length: 2||a!400",
         "POST /x HTTP/1.1|Host: a|Content-Length: 1|Transfer-Encoding: chunked||a!400",
-        "POST /x HTTP/1.1|Host: a|Content-Length: -1||!400", "POST /x HTTP/1.1|Host: a|Content-Length: 1x||!400",
-        "POST /x HTTP/1.1|Host: a|Content-Length: 1048577||!413", "POST /x HTTP/1.1|Host: a|Content-Length: 9999999999999999999||!400",
-        "POST /x HTTP/1.1|Host: a|Transfer-Encoding: gzip||!400", "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||zz|!400",
-        "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||fffffff|!413", "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||1|abc!400",
-        "POST /x HTTP/1.0|Transfer-Encoding: chunked||!400"})
-    void badRequestsAreFaults(String text, int status) {
-        Reader reader = reader(true);
-        assertNull(read(reader, text, false));
-        assertEquals(status, reader.fault());
-    }
+        "POST /x HTTP/1.1|Host: a|Content-Length: -1||!400",
+        "POST /x HTTP/1.1|Host: a|Content-Length: 1x||!400",
+        "POST /x HTTP/1.1|Host: a|Content-Length: 1048577||!413",
+        "POST /x HTTP/1.1|Host: a|Content-Length: 9999999999999999999||!400",
+        "POST /x HTTP/1.1|Host: a|Transfer-Encoding: gzip||!400",
+        "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||zz|!400",
+        "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||fffffff|!413",
+        "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||1|abc!400",
+        "POST /x HTTP/1.0|Transfer-Encoding: chunked||!400"
+      })
+  void badRequestsAreFaults(String text, int status) {
+    Reader reader = reader(true);
+    assertNull(read(reader, text, false));
+    assertEquals(status, reader.fault());
+  }
 
-    @Test
-    void aHeadWithoutAnEndIsAFault() {
-        Reader reader = reader(true);
-        assertNull(read(reader, "GET /x HTTP/1.1|a: " + "b".repeat(17_000), false));
-        assertEquals(431, reader.fault());
-    }
+  @Test
+  void aHeadWithoutAnEndIsAFault() {
+    Reader reader = reader(true);
+    assertNull(read(reader, "GET /x HTTP/1.1|a: " + "b".repeat(17_000), false));
+    assertEquals(431, reader.fault());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {"HTTP/1.1 200 OK|Content-Length: 2||ab!false!ab", "HTTP/1.1 200 OK|Content-Length: 3||ab!true!-",
-        "HTTP/1.1 200 OK|Connection: close||ab!true!ab", "HTTP/1.1 200 OK|Connection: close||ab!false!-", "HTTP/1.0 200 OK||ab!true!ab",
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
+        "HTTP/1.1 200 OK|Content-Length: 2||ab!false!ab",
+        "HTTP/1.1 200 OK|Content-Length: 3||ab!true!-",
+        "HTTP/1.1 200 OK|Connection: close||ab!true!ab",
+        "HTTP/1.1 200 OK|Connection: close||ab!false!-",
+        "HTTP/1.0 200 OK||ab!true!ab",
         "HTTP/1.1 200 OK|Server-Load: \u0001\u00ff|Server-Load: q=1|Content-Length: 1||a!false!a",
-        "HTTP/1.1 102 Wait|X: 1||HTTP/1.1 103 Hints||HTTP/1.1 200 OK|content-length: 1||cHTTP/1.1!false!c", "HTTP/1.1 100 Continue||HTTP/1.1 200 OK|content-length: 1||c!false!c",
-        "HTTP/1.1 204 None||!false!''", "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|0||!false!a", "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|!true!-"})
-    void answersAreWholeOrNone(String text, boolean ended, String body) {
-        Message answer = read(reader(false), text, ended);
-        assertEquals(body, answer == null ? "-" : new String(answer.body(), StandardCharsets.US_ASCII));
-    }
+        "HTTP/1.1 102 Wait|X: 1||HTTP/1.1 103 Hints||HTTP/1.1 200 OK|content-length: 1||cHTTP/1.1!false!c",
+        "HTTP/1.1 100 Continue||HTTP/1.1 200 OK|content-length: 1||c!false!c",
+        "HTTP/1.1 204 None||!false!''",
+        "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|0||!false!a",
+        "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|!true!-"
+      })
+  void answersAreWholeOrNone(String text, boolean ended, String body) {
+    Message answer = read(reader(false), text, ended);
+    assertEquals(body, answer == null ? "-" : new String(answer.body(), StandardCharsets.US_ASCII));
+  }
 
-    /** An answer that can't be one any more ends its push now and not at its TTL, whether or not its end ever comes. */
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {"\u0007\u0003noise!400", "HTTQ!400", "HTTP/1.1 200 OK||a!400", "HTTP/1.1 200 OK|Content-Length: -1||!400",
-        "HTTP/1.1 200 OK|Content-Length: 1|Content-Length: 2||a!400", "HTTP/1.1 200 OK|Content-Length: 3000000000||a!413",
-        "HTTP/1.1 200 OK|Content-Length: 1048577||!413", "HTTP/1.1 200 OK|Content-Length: 1048576||!0", "HTTP/1.1 200 OK|Transfer-Encoding: chunked||ffffff|a!413", "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|abcde|0||!400",
-        "HTTP/1.1 200 OK|Content-Length: 2|Transfer-Encoding: chunked||ab!400", "HTTP/1.1 200 OK|no colon||!400", "HTTP/1.1!0", "||HTTP/1.1 2!0"})
-    void spoiltAnswersAreFaultsAtOnce(String text, int status) {
-        Reader reader = reader(false);
-        assertNull(read(reader, text, false));
-        assertEquals(status, reader.fault());
-        assertNull(read(reader(false), "HTTP/1.1 100 Go on||".repeat(9), false));
-        Reader without = reader(false);
-        assertNull(read(without, "HTTP/1.1 100 Go on||".repeat(99), false));
-        assertEquals(431, without.fault(), "interim answers without end");
-    }
+  /**
+   * An answer that can't be one any more ends its push now and not at its TTL, whether or not its
+   * end ever comes.
+   */
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
+        "\u0007\u0003noise!400",
+        "HTTQ!400",
+        "HTTP/1.1 200 OK||a!400",
+        "HTTP/1.1 200 OK|Content-Length: -1||!400",
+        "HTTP/1.1 200 OK|Content-Length: 1|Content-Length: 2||a!400",
+        "HTTP/1.1 200 OK|Content-Length: 3000000000||a!413",
+        "HTTP/1.1 200 OK|Content-Length: 1048577||!413",
+        "HTTP/1.1 200 OK|Content-Length: 1048576||!0",
+        "HTTP/1.1 200 OK|Transfer-Encoding: chunked||ffffff|a!413",
+        "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|abcde|0||!400",
+        "HTTP/1.1 200 OK|Content-Length: 2|Transfer-Encoding: chunked||ab!400",
+        "HTTP/1.1 200 OK|no colon||!400",
+        "HTTP/1.1!0",
+        "||HTTP/1.1 2!0"
+      })
+  void spoiltAnswersAreFaultsAtOnce(String text, int status) {
+    Reader reader = reader(false);
+    assertNull(read(reader, text, false));
+    assertEquals(status, reader.fault());
+    assertNull(read(reader(false), "HTTP/1.1 100 Go on||".repeat(9), false));
+    Reader without = reader(false);
+    assertNull(read(without, "HTTP/1.1 100 Go on||".repeat(99), false));
+    assertEquals(431, without.fault(), "interim answers without end");
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {"GET /x HTTP/1.1|Host: a||!true", "GET /x HTTP/1.1|Host: a|Connection: close||!false",
-        "GET /x HTTP/1.0||!false", "GET /x HTTP/1.0|Connection: keep-alive||!true"})
-    void connectionsAreKeptAsAsked(String text, boolean kept) {
-        assertEquals(kept, read(reader(true), text, false).keepsAlive());
-    }
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '!',
+      value = {
+        "GET /x HTTP/1.1|Host: a||!true",
+        "GET /x HTTP/1.1|Host: a|Connection: close||!false",
+        "GET /x HTTP/1.0||!false",
+        "GET /x HTTP/1.0|Connection: keep-alive||!true"
+      })
+  void connectionsAreKeptAsAsked(String text, boolean kept) {
+    assertEquals(kept, read(reader(true), text, false).keepsAlive());
+  }
 
-    @Test
-    void whoWaitsToBeAskedForTheBodyIsAskedOnce() {
-        Ring ring = new Ring(1 << 17, new Budget(1 << 20));
-        Reader reader = reader(true);
-        ring.add(bytes("POST /x HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||"));
-        assertNull(reader.read(ring, false));
-        assertTrue(reader.takeWantsMore());
-        assertFalse(reader.takeWantsMore());
-        ring.add(bytes("ab"));
-        assertNotNull(reader.read(ring, false));
-    }
+  @Test
+  void whoWaitsToBeAskedForTheBodyIsAskedOnce() {
+    Ring ring = new Ring(1 << 17, new Budget(1 << 20));
+    Reader reader = reader(true);
+    ring.add(bytes("POST /x HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||"));
+    assertNull(reader.read(ring, false));
+    assertTrue(reader.takeWantsMore());
+    assertFalse(reader.takeWantsMore());
+    ring.add(bytes("ab"));
+    assertNotNull(reader.read(ring, false));
+  }
 
-    @Test
-    void fieldsOfTheHopAreNotPassedOn() {
-        Message m = read(reader(true), "GET /x HTTP/1.1|Host: a|Connection: x-mine|X-Mine: 1|Keep-Alive: 5|X-Other: 2||", false);
-        assertEquals("{host=a, x-other=2}", m.passedOn().toString());
-    }
+  @Test
+  void fieldsOfTheHopAreNotPassedOn() {
+    Message m =
+        read(
+            reader(true),
+            "GET /x HTTP/1.1|Host: a|Connection: x-mine|X-Mine: 1|Keep-Alive: 5|X-Other: 2||",
+            false);
+    assertEquals("{host=a, x-other=2}", m.passedOn().toString());
+  }
 
-    /** Whatever comes, in whatever pieces: a message, a fault or nothing yet, and never an exception. */
-    @ParameterizedTest
-    @ValueSource(booleans = {true, false})
-    void garbageIsAFaultAndNoMore(boolean requests) {
-        String[] seeds = {"POST /buy HTTP/1.1|Host: a|Content-Length: 5||hello", "GET /x?y HTTP/1.1|Host: a|Expect: 100-continue||",
-            "POST /buy HTTP/1.1|Host: a|Transfer-Encoding: chunked||3|hel|2|lo|0||", "HTTP/1.1 200 OK|Content-Length: 2||ab",
-            "HTTP/1.1 200 OK|Transfer-Encoding: chunked||1|a|0||", "HTTP/1.1 503 No|Connection: close||x"};
-        Random random = new Random(11);
-        for (int i = 0; i < 30_000; i++) {
-            byte[] all = bytes(seeds[random.nextInt(seeds.length)]);
-            for (int changes = random.nextInt(4); changes >= 0; changes--) {
-                all[random.nextInt(all.length)] = (byte) random.nextInt(256);
-            }
-            int cut = random.nextInt(all.length + 1);
-            Ring ring = new Ring(1 << 12, new Budget(1 << 12));
-            Reader reader = reader(requests);
-            ring.add(java.util.Arrays.copyOfRange(all, 0, cut));
-            Message first = reader.read(ring, false);
-            ring.add(java.util.Arrays.copyOfRange(all, cut, all.length));
-            Message last = first != null ? first : reader.read(ring, true);
-            assertTrue(last == null || last.body().length <= all.length);
-            assertTrue(last == null || reader.fault() == 0);
-        }
+  /**
+   * Whatever comes, in whatever pieces: a message, a fault or nothing yet, and never an exception.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void garbageIsAFaultAndNoMore(boolean requests) {
+    String[] seeds = {
+      "POST /buy HTTP/1.1|Host: a|Content-Length: 5||hello",
+      "GET /x?y HTTP/1.1|Host: a|Expect: 100-continue||",
+      "POST /buy HTTP/1.1|Host: a|Transfer-Encoding: chunked||3|hel|2|lo|0||",
+      "HTTP/1.1 200 OK|Content-Length: 2||ab",
+      "HTTP/1.1 200 OK|Transfer-Encoding: chunked||1|a|0||",
+      "HTTP/1.1 503 No|Connection: close||x"
+    };
+    Random random = new Random(11);
+    for (int i = 0; i < 30_000; i++) {
+      byte[] all = bytes(seeds[random.nextInt(seeds.length)]);
+      for (int changes = random.nextInt(4); changes >= 0; changes--) {
+        all[random.nextInt(all.length)] = (byte) random.nextInt(256);
+      }
+      int cut = random.nextInt(all.length + 1);
+      Ring ring = new Ring(1 << 12, new Budget(1 << 12));
+      Reader reader = reader(requests);
+      ring.add(java.util.Arrays.copyOfRange(all, 0, cut));
+      Message first = reader.read(ring, false);
+      ring.add(java.util.Arrays.copyOfRange(all, cut, all.length));
+      Message last = first != null ? first : reader.read(ring, true);
+      assertTrue(last == null || last.body().length <= all.length);
+      assertTrue(last == null || reader.fault() == 0);
     }
+  }
 
-    /** A ring gives back what went in, whatever the pieces, and has a limit. */
-    @Test
-    void aRingKeepsOrderAndLimit() {
-        Random random = new Random(4);
-        Ring ring = new Ring(1 << 12, new Budget(1 << 20));
-        int in = 0;
-        int out = 0;
-        for (int step = 0; step < 20_000; step++) {
-            byte[] piece = new byte[random.nextInt(700)];
-            for (int i = 0; i < piece.length; i++) {
-                piece[i] = (byte) (in + i);
-            }
-            boolean fits = ring.size() + piece.length <= 1 << 12;
-            assertEquals(fits, ring.add(piece));
-            in += fits ? piece.length : 0;
-            int count = random.nextInt(ring.size() + 1);
-            byte[] got = new byte[count];
-            byte[] want = new byte[count];
-            ring.copy(0, got, 0, count);
-            for (int i = 0; i < count; i++) {
-                want[i] = (byte) (out + i);
-            }
-            assertArrayEquals(want, got);
-            ring.skip(count);
-            out += count;
-        }
-        assertFalse(ring.add(new byte[5000]));
+  /** A ring gives back what went in, whatever the pieces, and has a limit. */
+  @Test
+  void aRingKeepsOrderAndLimit() {
+    Random random = new Random(4);
+    Ring ring = new Ring(1 << 12, new Budget(1 << 20));
+    int in = 0;
+    int out = 0;
+    for (int step = 0; step < 20_000; step++) {
+      byte[] piece = new byte[random.nextInt(700)];
+      for (int i = 0; i < piece.length; i++) {
+        piece[i] = (byte) (in + i);
+      }
+      boolean fits = ring.size() + piece.length <= 1 << 12;
+      assertEquals(fits, ring.add(piece));
+      in += fits ? piece.length : 0;
+      int count = random.nextInt(ring.size() + 1);
+      byte[] got = new byte[count];
+      byte[] want = new byte[count];
+      ring.copy(0, got, 0, count);
+      for (int i = 0; i < count; i++) {
+        want[i] = (byte) (out + i);
+      }
+      assertArrayEquals(want, got);
+      ring.skip(count);
+      out += count;
     }
+    assertFalse(ring.add(new byte[5000]));
+  }
 
-    /** A body that flows while the budget is used up goes on with the room its ring has. */
-    @Test
-    void aStarvedRingGoesOnOnceItIsEmptied() {
-        Ring ring = new Ring(1 << 17, new Budget(0));
-        assertTrue(ring.add(new byte[1024]));
-        assertFalse(ring.add(new byte[1]));
-        assertTrue(ring.full() && ring.room(1 << 16) == 0);
-        ring.skip(1000);
-        assertFalse(ring.full());
-        assertEquals(1000, ring.room(1 << 16));
-    }
+  /** A body that flows while the budget is used up goes on with the room its ring has. */
+  @Test
+  void aStarvedRingGoesOnOnceItIsEmptied() {
+    Ring ring = new Ring(1 << 17, new Budget(0));
+    assertTrue(ring.add(new byte[1024]));
+    assertFalse(ring.add(new byte[1]));
+    assertTrue(ring.full() && ring.room(1 << 16) == 0);
+    ring.skip(1000);
+    assertFalse(ring.full());
+    assertEquals(1000, ring.room(1 << 16));
+  }
 
-    /** Many large messages at once are bounded by what all rings may take; small ones always fit. */
-    @Test
-    void ringsShareABudget() {
-        Budget budget = new Budget(100_000);
-        Ring first = new Ring(1 << 17, budget);
-        Ring second = new Ring(1 << 17, budget);
-        assertTrue(first.add(new byte[60_000]));
-        assertFalse(second.add(new byte[60_000]));
-        assertTrue(second.starved());
-        assertTrue(second.add(new byte[1000]));
-        assertFalse(second.starved(), "or a small request after it would be turned away");
-        first.skip(60_000);
-        assertTrue(second.add(new byte[60_000]));
-        second.free();
-        first.free();
-        assertTrue(budget.take(100_000), "all given back");
-    }
+  /** Many large messages at once are bounded by what all rings may take; small ones always fit. */
+  @Test
+  void ringsShareABudget() {
+    Budget budget = new Budget(100_000);
+    Ring first = new Ring(1 << 17, budget);
+    Ring second = new Ring(1 << 17, budget);
+    assertTrue(first.add(new byte[60_000]));
+    assertFalse(second.add(new byte[60_000]));
+    assertTrue(second.starved());
+    assertTrue(second.add(new byte[1000]));
+    assertFalse(second.starved(), "or a small request after it would be turned away");
+    first.skip(60_000);
+    assertTrue(second.add(new byte[60_000]));
+    second.free();
+    first.free();
+    assertTrue(budget.take(100_000), "all given back");
+  }
 }
