--- a/sidecar/src/test/java/dillcross/net/ReaderTest.java
+++ b/sidecar/src/test/java/dillcross/net/http/HttpMessageParserTest.java
@@ -1,12 +1,13 @@
-package dillcross.net;
+package dillcross.net.http;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.buffer.RingBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -14,63 +15,71 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ReaderTest {
+class HttpMessageParserTest {
   private static byte[] bytes(String text) {
     return text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  private static Reader reader(boolean requests) {
-    return new Reader(requests, Reader.WHOLE, 1 << 20);
+  private static HttpMessageParser parser(boolean requests) {
+    return new HttpMessageParser(requests, HttpMessageParser.MAX_BUFFERED_BODY_BYTES, 1 << 20);
   }
 
-  private static Message read(Reader reader, String text, boolean ended) {
-    Ring ring = new Ring(1 << 17, new Budget(1 << 20));
-    assertTrue(ring.add(bytes(text)));
-    return reader.read(ring, ended);
+  private static HttpMessage read(HttpMessageParser parser, String text, boolean ended) {
+    RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
+    assertTrue(buffer.add(bytes(text)));
+    return parser.parse(buffer, ended).orElse(null);
+  }
+
+  /** The method and target of a request, or the version and status of a response. */
+  private static String startOf(HttpMessage message) {
+    if (message instanceof HttpRequest request) {
+      return request.method() + " " + request.target();
+    }
+    return message.version() + " " + ((HttpResponse) message).status();
   }
 
   /**
-   * All that a reader makes of these bytes, fed in pieces of so many at the most: first lines,
+   * All that a parser makes of these bytes, fed in pieces of so many at the most: first lines,
    * bodies, faults.
    */
   private static String readAll(boolean requests, byte[] all, int piece, Random random) {
-    Ring ring = new Ring(1 << 17, new Budget(1 << 20));
-    Reader reader = reader(requests);
-    StringBuilder told = new StringBuilder();
-    for (int at = 0; at <= all.length && reader.fault() == 0; ) {
+    RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
+    HttpMessageParser parser = parser(requests);
+    StringBuilder parsed = new StringBuilder();
+    for (int at = 0; at <= all.length && parser.fault() == 0; ) {
       int count =
           Math.min(
-              Math.min(all.length - at, ring.room(1 << 17)),
+              Math.min(all.length - at, buffer.freeBytes(1 << 17)),
               random == null ? piece : 1 + random.nextInt(piece));
-      ring.add(java.util.Arrays.copyOfRange(all, at, at += count));
+      buffer.add(java.util.Arrays.copyOfRange(all, at, at += count));
       boolean ended = at == all.length;
       boolean more = true;
-      while (more && reader.fault() == 0) {
-        Message message = reader.flows() ? null : reader.read(ring, ended);
+      while (more && parser.fault() == 0) {
+        HttpMessage message =
+            parser.isStreaming() ? null : parser.parse(buffer, ended).orElse(null);
         if (message != null) {
-          told.append(message.first())
-              .append(' ')
-              .append(message.second())
+          parsed
+              .append(startOf(message))
               .append(' ')
               .append(new String(message.body(), StandardCharsets.US_ASCII));
         }
-        int run = reader.flows() ? reader.run(ring, ended) : 0;
+        int run = parser.isStreaming() ? parser.availableBody(buffer, ended) : 0;
         if (run > 0) {
           byte[] bytes = new byte[run];
-          ring.copy(0, bytes, 0, run);
-          ring.skip(run);
-          reader.took(run);
-          told.append(new String(bytes, StandardCharsets.US_ASCII));
+          buffer.copyTo(0, bytes, 0, run);
+          buffer.skip(run);
+          parser.onBodyTaken(run);
+          parsed.append(new String(bytes, StandardCharsets.US_ASCII));
         }
-        if (reader.flows() && reader.done()) {
-          reader.finish();
-          told.append(" whole");
+        if (parser.isStreaming() && parser.isBodyComplete()) {
+          parser.finish();
+          parsed.append(" whole");
         }
         more = message != null || run > 0;
       }
       at += ended ? 1 : 0;
     }
-    return (told + (reader.fault() == 0 ? "" : " fault " + reader.fault()))
+    return (parsed + (parser.fault() == 0 ? "" : " fault " + parser.fault()))
         .trim()
         .replace("a".repeat(500), "#");
   }
@@ -105,10 +114,10 @@
         "HTTP/1.1 200|Transfer-Encoding: chunked||CHUNKSzz|!HTTP/1.1 200 LARGE fault 400",
         "HTTP/1.1 304 No|Content-Length: 5||HTTP/1.1 200|Content-Length: 1||x!HTTP/1.1 304 HTTP/1.1 200 x"
       })
-  void everyFormIsReadTheSameInAnyPieces(String text, String told) {
+  void everyFormIsReadTheSameInAnyPieces(String text, String expected) {
     String chunks = "4e20;x=y|" + "a".repeat(20_000) + "|1|a|" + "C34F|" + "a".repeat(49_999) + "|";
     byte[] all = bytes(text.replace("LARGE", "a".repeat(70_000)).replace("CHUNKS", chunks));
-    String want = told.trim().replace("LARGE", "#".repeat(140));
+    String want = expected.trim().replace("LARGE", "#".repeat(140));
     boolean requests = !text.startsWith("HTTP");
     assertEquals(want, readAll(requests, all, all.length, null));
     assertEquals(want, readAll(requests, all, 1, null));
@@ -146,16 +155,16 @@
         "POST /x HTTP/1.0|Transfer-Encoding: chunked||!400"
       })
   void badRequestsAreFaults(String text, int status) {
-    Reader reader = reader(true);
-    assertNull(read(reader, text, false));
-    assertEquals(status, reader.fault());
+    HttpMessageParser parser = parser(true);
+    assertNull(read(parser, text, false));
+    assertEquals(status, parser.fault());
   }
 
   @Test
   void aHeadWithoutAnEndIsAFault() {
-    Reader reader = reader(true);
-    assertNull(read(reader, "GET /x HTTP/1.1|a: " + "b".repeat(17_000), false));
-    assertEquals(431, reader.fault());
+    HttpMessageParser parser = parser(true);
+    assertNull(read(parser, "GET /x HTTP/1.1|a: " + "b".repeat(17_000), false));
+    assertEquals(431, parser.fault());
   }
 
   @ParameterizedTest
@@ -174,8 +183,8 @@
         "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|0||!false!a",
         "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|!true!-"
       })
-  void answersAreWholeOrNone(String text, boolean ended, String body) {
-    Message answer = read(reader(false), text, ended);
+  void responsesAreCompleteOrNone(String text, boolean ended, String body) {
+    HttpMessage answer = read(parser(false), text, ended);
     assertEquals(body, answer == null ? "-" : new String(answer.body(), StandardCharsets.US_ASCII));
   }
 
@@ -202,12 +211,12 @@
         "HTTP/1.1!0",
         "||HTTP/1.1 2!0"
       })
-  void spoiltAnswersAreFaultsAtOnce(String text, int status) {
-    Reader reader = reader(false);
-    assertNull(read(reader, text, false));
-    assertEquals(status, reader.fault());
-    assertNull(read(reader(false), "HTTP/1.1 100 Go on||".repeat(9), false));
-    Reader without = reader(false);
+  void malformedResponsesAreFaultsAtOnce(String text, int status) {
+    HttpMessageParser parser = parser(false);
+    assertNull(read(parser, text, false));
+    assertEquals(status, parser.fault());
+    assertNull(read(parser(false), "HTTP/1.1 100 Go on||".repeat(9), false));
+    HttpMessageParser without = parser(false);
     assertNull(read(without, "HTTP/1.1 100 Go on||".repeat(99), false));
     assertEquals(431, without.fault(), "interim answers without end");
   }
@@ -222,29 +231,29 @@
         "GET /x HTTP/1.0|Connection: keep-alive||!true"
       })
   void connectionsAreKeptAsAsked(String text, boolean kept) {
-    assertEquals(kept, read(reader(true), text, false).keepsAlive());
+    assertEquals(kept, read(parser(true), text, false).keepsAlive());
   }
 
   @Test
-  void whoWaitsToBeAskedForTheBodyIsAskedOnce() {
-    Ring ring = new Ring(1 << 17, new Budget(1 << 20));
-    Reader reader = reader(true);
-    ring.add(bytes("POST /x HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||"));
-    assertNull(reader.read(ring, false));
-    assertTrue(reader.takeWantsMore());
-    assertFalse(reader.takeWantsMore());
-    ring.add(bytes("ab"));
-    assertNotNull(reader.read(ring, false));
+  void expectContinueIsReportedOnce() {
+    RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
+    HttpMessageParser parser = parser(true);
+    buffer.add(bytes("POST /x HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||"));
+    assertNull(parser.parse(buffer, false).orElse(null));
+    assertTrue(parser.takeExpectsContinue());
+    assertFalse(parser.takeExpectsContinue());
+    buffer.add(bytes("ab"));
+    assertNotNull(parser.parse(buffer, false).orElse(null));
   }
 
   @Test
-  void fieldsOfTheHopAreNotPassedOn() {
-    Message m =
+  void hopByHopFieldsAreNotForwarded() {
+    HttpMessage m =
         read(
-            reader(true),
+            parser(true),
             "GET /x HTTP/1.1|Host: a|Connection: x-mine|X-Mine: 1|Keep-Alive: 5|X-Other: 2||",
             false);
-    assertEquals("{host=a, x-other=2}", m.passedOn().toString());
+    assertEquals("{host=a, x-other=2}", m.forwardedFields().toString());
   }
 
   /**
@@ -268,73 +277,39 @@
         all[random.nextInt(all.length)] = (byte) random.nextInt(256);
       }
       int cut = random.nextInt(all.length + 1);
-      Ring ring = new Ring(1 << 12, new Budget(1 << 12));
-      Reader reader = reader(requests);
-      ring.add(java.util.Arrays.copyOfRange(all, 0, cut));
-      Message first = reader.read(ring, false);
-      ring.add(java.util.Arrays.copyOfRange(all, cut, all.length));
-      Message last = first != null ? first : reader.read(ring, true);
+      RingBuffer buffer = new RingBuffer(1 << 12, new MemoryBudget(1 << 12));
+      HttpMessageParser parser = parser(requests);
+      buffer.add(java.util.Arrays.copyOfRange(all, 0, cut));
+      HttpMessage first = parser.parse(buffer, false).orElse(null);
+      buffer.add(java.util.Arrays.copyOfRange(all, cut, all.length));
+      HttpMessage last = first != null ? first : parser.parse(buffer, true).orElse(null);
       assertTrue(last == null || last.body().length <= all.length);
-      assertTrue(last == null || reader.fault() == 0);
+      assertTrue(last == null || parser.fault() == 0);
     }
   }
 
-  /** A ring gives back what went in, whatever the pieces, and has a limit. */
-  @Test
-  void aRingKeepsOrderAndLimit() {
-    Random random = new Random(4);
-    Ring ring = new Ring(1 << 12, new Budget(1 << 20));
-    int in = 0;
-    int out = 0;
-    for (int step = 0; step < 20_000; step++) {
-      byte[] piece = new byte[random.nextInt(700)];
-      for (int i = 0; i < piece.length; i++) {
-        piece[i] = (byte) (in + i);
-      }
-      boolean fits = ring.size() + piece.length <= 1 << 12;
-      assertEquals(fits, ring.add(piece));
-      in += fits ? piece.length : 0;
-      int count = random.nextInt(ring.size() + 1);
-      byte[] got = new byte[count];
-      byte[] want = new byte[count];
-      ring.copy(0, got, 0, count);
-      for (int i = 0; i < count; i++) {
-        want[i] = (byte) (out + i);
-      }
-      assertArrayEquals(want, got);
-      ring.skip(count);
-      out += count;
-    }
-    assertFalse(ring.add(new byte[5000]));
-  }
-
-  /** A body that flows while the budget is used up goes on with the room its ring has. */
-  @Test
-  void aStarvedRingGoesOnOnceItIsEmptied() {
-    Ring ring = new Ring(1 << 17, new Budget(0));
-    assertTrue(ring.add(new byte[1024]));
-    assertFalse(ring.add(new byte[1]));
-    assertTrue(ring.full() && ring.room(1 << 16) == 0);
-    ring.skip(1000);
-    assertFalse(ring.full());
-    assertEquals(1000, ring.room(1 << 16));
-  }
-
-  /** Many large messages at once are bounded by what all rings may take; small ones always fit. */
-  @Test
-  void ringsShareABudget() {
-    Budget budget = new Budget(100_000);
-    Ring first = new Ring(1 << 17, budget);
-    Ring second = new Ring(1 << 17, budget);
-    assertTrue(first.add(new byte[60_000]));
-    assertFalse(second.add(new byte[60_000]));
-    assertTrue(second.starved());
-    assertTrue(second.add(new byte[1000]));
-    assertFalse(second.starved(), "or a small request after it would be turned away");
-    first.skip(60_000);
-    assertTrue(second.add(new byte[60_000]));
-    second.free();
-    first.free();
-    assertTrue(budget.take(100_000), "all given back");
+  /** A client's time begins with its last byte, wherever that waits. */
+  @ParameterizedTest
+  @CsvSource({
+    "100, true, false",
+    "69999, true, false",
+    "70000, true, true",
+    "100, false, false",
+    "70000, false, false"
+  })
+  void theLastByteOfALargeBodyIsKnownToHaveArrived(int arrived, boolean measured, boolean known) {
+    RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
+    HttpMessageParser parser = new HttpMessageParser(true, 1 << 10, 1 << 20);
+    String head =
+        "POST /b HTTP/1.1\r\nHost: a\r\n"
+            + (measured
+                ? "Content-Length: 70000\r\n\r\n"
+                : "Transfer-Encoding: chunked\r\n\r\n11170\r\n");
+    buffer.add(head.getBytes(StandardCharsets.US_ASCII));
+    buffer.add(new byte[Math.min(arrived, 2000)]);
+    HttpMessage message = parser.parse(buffer, false).orElse(null);
+    assertEquals(arrived > 1024, message != null && message.isStreaming());
+    buffer.add(new byte[arrived - Math.min(arrived, 2000)]);
+    assertEquals(known, parser.hasRestArrived(buffer));
   }
 }
--- a/sidecar/src/test/java/dillcross/simhost/HostTest.java
+++ b/sidecar/src/test/java/dillcross/simhost/SimulatorSessionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class HostTest {
+class SimulatorSessionTest {
   private static final String OPEN =
       "open_instance 3 9 balancers=1 categories.count=1 categories.0.name=read"
           + " categories.0.effect=idempotent categories.0.ttl_ms=900.0 discovery=automatic limits.max_pushes=3 limits.may_duplicate=true"
@@ -22,7 +22,8 @@
 
   private static String run(String input) throws IOException {
     var out = new ByteArrayOutputStream();
-    new Host(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+    new SimulatorSession(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out)
+        .run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
@@ -40,7 +41,7 @@
 
   /** A list with a number used before replaces it for later events alone, within one batch too. */
   @Test
-  void sheetsAreRenumbered() throws IOException {
+  void listNumbersAreReused() throws IOException {
     String reply =
         run(
             batch(
@@ -75,13 +76,15 @@
     "response 3 5 77 h:1 1 5.0 0 -, unknown outcome",
     "response 3 5 0 h:1 1 5.0 0 active:x, not a number: x"
   })
-  void whatIsMalformedIsNamed(String line, String what) {
-    var e = assertThrows(WireException.class, () -> run(batch("5.0", OPEN + LIST + line + "\n")));
+  void malformedInputIsNamed(String line, String what) {
+    var e =
+        assertThrows(
+            MalformedInputException.class, () -> run(batch("5.0", OPEN + LIST + line + "\n")));
     assertTrue(e.getMessage().startsWith("line 6: " + what), e.getMessage());
   }
 
   @Test
-  void anExceptionBecomesABug() throws IOException {
+  void anExceptionIsReported() throws IOException {
     String reply = run(batch("5.0", OPEN + LIST + "knock 3 5 - 500.0 - - 0 unheard\n"));
     assertTrue(reply.startsWith("bug 3 "), reply);
     assertEquals(2, reply.lines().count());
