--- a/emulator/src/main/java/dillcross/emulator/members/Explorer.java
+++ b/emulator/src/main/java/dillcross/emulator/members/Explorer.java
@@ -1,11 +1,12 @@
 package dillcross.emulator.members;
 
-import dillcross.membership.Claim;
+import dillcross.membership.MemberRecord;
 import dillcross.membership.Member;
 import dillcross.membership.Membership;
+import dillcross.membership.MembershipSettings;
 import dillcross.membership.Packet;
-import dillcross.membership.Sent;
-import dillcross.membership.State;
+import dillcross.membership.OutboundPacket;
+import dillcross.membership.MemberState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -147,9 +148,9 @@
         paused[member] = true;
         run(LONG);
         paused[member] = false;
-        long deaths = members[member] == null ? 0 : members[member].counts().deaths;
+        long deaths = members[member] == null ? 0 : members[member].counters().deaths();
         run(INTERVAL / 2);
-        if (members[member] != null && !lossy && members[member].counts().deaths > deaths) {
+        if (members[member] != null && !lossy && members[member].counters().deaths() > deaths) {
           broken = "s" + member + " wakes and holds others for dead that it gave no chance";
         }
       }
@@ -194,7 +195,7 @@
   private long deaths() {
     long all = 0;
     for (Membership member : members) {
-      all += member == null ? 0 : member.counts().deaths;
+      all += member == null ? 0 : member.counters().deaths();
     }
     return all;
   }
@@ -214,16 +215,16 @@
         new Membership(
             seed + member,
             now,
-            name(member),
-            address(member),
-            "z" + member,
-            boots[member],
-            List.of(address(0), address(1)),
-            INTERVAL,
-            300_000,
-            16,
-            1200,
-            100_000);
+            new MemberRecord(
+                name(member),
+                address(member),
+                "z" + member,
+                boots[member],
+                0,
+                MemberState.ALIVE,
+                ""),
+            new MembershipSettings(
+                List.of(address(0), address(1)), INTERVAL, 300_000, 16, 1200, 100_000));
     flying.removeIf(f -> f.to == member);
   }
 
@@ -231,7 +232,7 @@
     if (index >= 0 && index < flying.size()) {
       Flying one = twice ? flying.get(index) : flying.remove(index);
       if (members[one.to] != null && !paused[one.to]) {
-        members[one.to].received(now, address(one.from), one.packet);
+        members[one.to].onPacket(now, one.packet);
         take(one.to);
       }
     }
@@ -242,13 +243,13 @@
    * runs back.
    */
   private void take(int member) {
-    for (Sent sent; (sent = members[member].next()) != null; ) {
-      int to = sent.to().charAt(7) - '0';
+    for (OutboundPacket sent; (sent = members[member].next()) != null; ) {
+      int to = sent.receiver().charAt(7) - '0';
       if (!cut[member][to] && to != member) {
         flying.add(new Flying(member, to, sent.packet(), now + WAY));
       }
     }
-    Claim self = members[member].self();
+    MemberRecord self = members[member].self();
     if (self.boot() < boots[member]
         || self.boot() == boots[member] && self.incarnation() < incarnations[member]) {
       broken = name(member) + " runs back";
@@ -256,9 +257,9 @@
     boots[member] = self.boot();
     incarnations[member] = self.incarnation();
     for (Member held : members[member].members()) {
-      String pair = boots[member] + name(member) + held.claim().name();
-      if (seen.merge(pair, held.claim().boot(), Math::max) > held.claim().boot()) {
-        broken = name(member) + " goes back to an older process of " + held.claim().name();
+      String pair = boots[member] + name(member) + held.record().name();
+      if (seen.merge(pair, held.record().boot(), Math::max) > held.record().boot()) {
+        broken = name(member) + " goes back to an older process of " + held.record().name();
       }
     }
   }
@@ -267,8 +268,8 @@
   private void pass(long untilUs) {
     now = untilUs;
     for (int i = 0; i < MEMBERS; i++) {
-      if (members[i] != null && !paused[i] && members[i].dueUs() <= now) {
-        members[i].tick(now);
+      if (members[i] != null && !paused[i] && members[i].nextDueUs() <= now) {
+        members[i].onTime(now);
         take(i);
       }
     }
@@ -284,7 +285,7 @@
       }
       long next = Long.MAX_VALUE;
       for (int i = 0; i < MEMBERS; i++) {
-        next = members[i] == null || paused[i] ? next : Math.min(next, members[i].dueUs());
+        next = members[i] == null || paused[i] ? next : Math.min(next, members[i].nextDueUs());
       }
       for (Flying one : flying) {
         next = Math.min(next, one.atUs);
@@ -318,7 +319,7 @@
 
   private boolean holds(int observer, int subject) {
     return members[observer].members().stream()
-        .anyMatch(m -> m.claim().name().equals(name(subject)) && m.claim().state() == State.ALIVE);
+        .anyMatch(m -> m.record().name().equals(name(subject)) && m.record().state() == MemberState.ALIVE);
   }
 
   private String views() {
@@ -332,11 +333,11 @@
                       + members[i].members().stream()
                           .map(
                               m ->
-                                  m.claim().name()
+                                  m.record().name()
                                       + " "
-                                      + m.claim().state()
+                                      + m.record().state()
                                       + " "
-                                      + m.claim().incarnation())
+                                      + m.record().incarnation())
                           .toList())
           .append("; ");
     }
--- a/emulator/src/main/java/dillcross/emulator/members/Swarm.java
+++ b/emulator/src/main/java/dillcross/emulator/members/Swarm.java
@@ -3,10 +3,12 @@
 import dillcross.emulator.chance.Chance;
 import dillcross.emulator.time.Timeline;
 import dillcross.membership.Member;
+import dillcross.membership.MemberRecord;
+import dillcross.membership.MemberState;
 import dillcross.membership.Membership;
+import dillcross.membership.MembershipSettings;
 import dillcross.membership.Packet;
-import dillcross.membership.Sent;
-import dillcross.membership.State;
+import dillcross.membership.OutboundPacket;
 import dillcross.net.PacketCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -115,16 +117,15 @@
         new Membership(
             seed * 31 + member * 7919L + node.boot,
             now(),
-            name(member),
-            address(member),
-            zone(member),
-            node.boot,
-            seeds,
-            intervalUs,
-            timeoutUs,
-            4096,
-            1200,
-            20_000);
+            new MemberRecord(
+                name(member),
+                address(member),
+                zone(member),
+                node.boot,
+                0,
+                MemberState.ALIVE,
+                ""),
+            new MembershipSettings(seeds, intervalUs, timeoutUs, 4096, 1200, 20_000));
     node.waiting.clear();
     node.pausedUntilUs = 0;
     node.diedUs = -1;
@@ -163,10 +164,10 @@
   }
 
   /** What one holds of another; null where it knows of none. */
-  public State holds(int observer, int subject) {
+  public MemberState holds(int observer, int subject) {
     for (Member m : nodes.get(observer).is.members()) {
-      if (m.claim().name().equals(name(subject))) {
-        return m.claim().state();
+      if (m.record().name().equals(name(subject))) {
+        return m.record().state();
       }
     }
     return null;
@@ -188,13 +189,13 @@
     if (node.is == null || now() < node.pausedUntilUs) {
       return;
     }
-    if (now() >= node.is.dueUs()) {
-      node.is.tick(now());
+    if (now() >= node.is.nextDueUs()) {
+      node.is.onTime(now());
     }
-    for (Sent sent; (sent = node.is.next()) != null; ) {
-      send(node.number, member(sent.to()), codec.write(sent.packet()));
+    for (OutboundPacket sent; (sent = node.is.next()) != null; ) {
+      send(node.number, member(sent.receiver()), codec.encode(sent.packet()));
     }
-    long due = Math.max(now() + 1, node.is.dueUs());
+    long due = Math.max(now() + 1, node.is.nextDueUs());
     if (due < node.wakeUs || node.wakeUs <= now()) {
       node.wakeUs = due;
       Membership of = node.is;
@@ -245,10 +246,7 @@
   }
 
   private void hear(Node node, Coming coming) {
-    Packet packet = codec.read(coming.bytes, 0, coming.bytes.length);
-    if (packet == null) {
-      throw new IllegalStateException("a packet that was written can't be read");
-    }
-    node.is.received(now(), coming.from, packet);
+    Packet packet = codec.decode(coming.bytes, 0, coming.bytes.length).orElseThrow();
+    node.is.onPacket(now(), packet);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/members/Trial.java
+++ b/emulator/src/main/java/dillcross/emulator/members/Trial.java
@@ -85,8 +85,8 @@
       for (int i = 0; i < members; i++) {
         if (swarm.runs(i)) {
           for (Member m : swarm.of(i).members()) {
-            if (!m.claim().state().live()) {
-              int subject = Integer.parseInt(m.claim().name().substring(1));
+            if (!m.record().state().isLive()) {
+              int subject = Integer.parseInt(m.record().name().substring(1));
               long pair = (long) i * members + subject;
               if (!swarm.runs(subject)) {
                 found.putIfAbsent(pair, (swarm.now() - from) / 1000);
@@ -172,12 +172,12 @@
       for (int i = 0; i < members && agree; i++) {
         agree =
             !swarm.runs(i)
-                || swarm.of(i).live() == running - 1
+                || swarm.of(i).liveCount() == running - 1
                     && swarm.of(i).members().stream()
                         .allMatch(
                             m ->
-                                !m.claim().state().live()
-                                    || swarm.runs(Integer.parseInt(m.claim().name().substring(1))));
+                                !m.record().state().isLive()
+                                    || swarm.runs(Integer.parseInt(m.record().name().substring(1))));
       }
       if (agree) {
         return (swarm.now() - from) / 1000;
--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -8,7 +8,7 @@
 import dillcross.emulator.members.Explorer;
 import dillcross.emulator.members.Swarm;
 import dillcross.emulator.members.Trial;
-import dillcross.membership.State;
+import dillcross.membership.MemberState;
 import java.net.URLClassLoader;
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicLong;
@@ -35,30 +35,22 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "a refutation that raises nothing | raise(self.boot(), claim.incarnation() + 1) | raise(self.boot(), claim.incarnation())",
-        "a death that is never declared | held.claim.state() == State.SUSPECT && now >= held.deadUs | held.claim.state() == State.SUSPECT && now < 0",
-        "an older process taken for the newer | boot > other.boot | boot < other.boot",
-        "a probe that fails and accuses nobody | hear(held.claim.as(State.SUSPECT, self.name())); | held.claim.as(State.SUSPECT, self.name());",
-        "a pause that is not noticed | late > timeoutUs / 2 | late > Long.MAX_VALUE / 2",
-        "helpers that are not asked | if (probe.asker == null && !probe.helped && now >= probe.helpUs) { | if (probe.asker == null && !probe.helped && now < 0) {",
-        "a clock gone back that is not made up for | raise(claim.boot() + 1, 0) | raise(self.boot(), 0)",
-        "the dead probed and not the living | held = one != null && one.claim.state().live() ? one : null; | held = one != null && !one.claim.state().live() ? one : null;",
-        "a member that never probes | if (now >= probeUs) { | if (now < 0) {",
-        "seeds that are never asked | Math.min(live == 0 ? 2 * HELPERS : 1, lost.size()) | 0",
-        "a refutation that is not believed | incarnation > other.incarnation | incarnation < other.incarnation"
+        "a refutation that raises nothing | LocalMember | raise(self.boot(), record.incarnation() + 1) | raise(self.boot(), record.incarnation())",
+        "a death that is never declared | Membership | entry.record.state() == MemberState.SUSPECT && now >= entry.deadUs | entry.record.state() == MemberState.SUSPECT && now < 0",
+        "an older process taken for the newer | MemberRecord | boot > other.boot | boot < other.boot",
+        "a probe that fails and accuses nobody | FailureDetector | merger.merge(entry.record.withState(MemberState.SUSPECT, local.self().name())); | entry.record.withState(MemberState.SUSPECT, local.self().name());",
+        "a pause that is not noticed | Membership | lateUs > settings.timeoutUs() / 2 | lateUs > Long.MAX_VALUE / 2",
+        "helpers that are not asked | FailureDetector | if (probe.isOwn() && !probe.isIndirect && nowUs >= probe.indirectUs) { | if (probe.isOwn() && !probe.isIndirect && nowUs < 0) {",
+        "a clock gone back that is not made up for | LocalMember | raise(record.boot() + 1, 0) | raise(self.boot(), 0)",
+        "the dead probed and not the living | FailureDetector | if (entry != null && entry.isLive()) { | if (entry != null && !entry.isLive()) {",
+        "a member that never probes | Membership | if (now >= probeUs) { | if (now < 0) {",
+        "seeds that are never asked | Reconnector | Math.min(wanted, lost.size()) | 0",
+        "a refutation that is not believed | MemberRecord | incarnation > other.incarnation | incarnation < other.incarnation"
       })
-  void aPlantedFaultIsFound(String name, String text, String instead) throws Exception {
+  void aPlantedFaultIsFound(String name, String file, String text, String instead) throws Exception {
     String found = null;
     try (URLClassLoader own =
-        Changed.loader(
-            folder,
-            "membership/"
-                + (text.startsWith("boot") || text.startsWith("incarnation")
-                    ? "Claim"
-                    : "Membership")
-                + ".java",
-            text,
-            instead)) {
+        Changed.loader(folder, "membership/" + file + ".java", text, instead)) {
       @SuppressWarnings("unchecked")
       IntFunction<String> search =
           (IntFunction<String>)
@@ -100,15 +92,15 @@
     swarm.of(7).publish(swarm.now(), 2, new byte[] {2});
     swarm.pass(30_000_000);
     for (int i = 0; i < 40; i++) {
-      assertEquals(State.ALIVE, i == 7 ? State.ALIVE : swarm.holds(i, 7));
+      assertEquals(MemberState.ALIVE, i == 7 ? MemberState.ALIVE : swarm.holds(i, 7));
       assertTrue(
           i == 7
-              || swarm.of(i).payload("s7", 2).bytes()[0] == 2
-                  && swarm.of(i).payload("s7", 2).version() == 2);
+              || swarm.of(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
+                  && swarm.of(i).payload("s7", 2).orElseThrow().version() == 2);
     }
     swarm.kill(9);
     swarm.start(9, 0); // who comes later hears of it as well
     swarm.pass(30_000_000);
-    assertEquals(2, swarm.of(9).payload("s7", 2).bytes()[0]);
+    assertEquals(2, swarm.of(9).payload("s7", 2).orElseThrow().bytes()[0]);
   }
 }
--- a/sidecar/src/main/java/dillcross/cli/ServeCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/ServeCommand.java
@@ -6,7 +6,10 @@
 import dillcross.config.MembershipConfig;
 import dillcross.config.OperatorConfig;
 import dillcross.config.SidecarConfig;
+import dillcross.membership.MemberRecord;
+import dillcross.membership.MemberState;
 import dillcross.membership.Membership;
+import dillcross.membership.MembershipSettings;
 import dillcross.net.MembershipService;
 import dillcross.net.PacketCodec;
 import dillcross.net.SidecarServer;
@@ -145,20 +148,19 @@
 
   private MembershipService service(MembershipConfig member, long bootUs) {
     String address = member.advertise().isEmpty() ? member.bind() : member.advertise();
-    Membership protocol =
-        new Membership(
-            config.seed() ^ bootUs ^ member.name().hashCode(),
-            bootUs,
-            member.name(),
-            address,
-            member.zone(),
-            bootUs,
+    long seed = config.seed() ^ bootUs ^ member.name().hashCode();
+    MemberRecord self =
+        new MemberRecord(
+            member.name(), address, member.zone(), bootUs, 0, MemberState.ALIVE, "");
+    MembershipSettings settings =
+        new MembershipSettings(
             member.seeds(),
             member.intervalUs(),
             member.timeoutUs(),
             member.maxMembers(),
             member.datagramBytes(),
             member.bytesPerSecond());
+    Membership protocol = new Membership(seed, bootUs, self, settings);
     return new MembershipService(
         protocol,
         new PacketCodec(member.fleet()),
--- a/sidecar/src/main/java/dillcross/membership/Member.java
+++ b/sidecar/src/main/java/dillcross/membership/Member.java
@@ -1,4 +1,8 @@
 package dillcross.membership;
 
-/** A member as it is held here, since when by this instance's clock, in microseconds. */
-public record Member(Claim claim, long sinceUs) {}
+/**
+ * A member as it is held here.
+ *
+ * @param sinceUs when the record came to be held, in microseconds of this instance's clock
+ */
+public record Member(MemberRecord record, long sinceUs) {}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/membership/OutboundPacket.java
@@ -0,0 +1,8 @@
+package dillcross.membership;
+
+/**
+ * A packet to send.
+ *
+ * @param receiver a numeric address and a port
+ */
+public record OutboundPacket(String receiver, Packet packet) {}
--- a/sidecar/src/main/java/dillcross/membership/Sent.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package dillcross.membership;
-
-/** A packet on its way out. */
-public record Sent(String to, Packet packet) {}
--- a/sidecar/src/main/java/dillcross/net/MembershipService.java
+++ b/sidecar/src/main/java/dillcross/net/MembershipService.java
@@ -2,202 +2,210 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import dillcross.common.NumericAddress;
-import dillcross.membership.Claim;
 import dillcross.membership.Member;
+import dillcross.membership.MemberRecord;
+import dillcross.membership.MemberState;
 import dillcross.membership.Membership;
+import dillcross.membership.MembershipCounters;
+import dillcross.membership.OutboundPacket;
 import dillcross.membership.Packet;
-import dillcross.membership.Sent;
-import dillcross.membership.State;
 import dillcross.net.transport.Network;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.logging.Logger;
 
 /**
- * The datagrams of a membership, in and out, on the one thread; and its view, for the admin
- * endpoint.
+ * Sends and receives the datagrams of a membership, and shows it to operators. On the selector thread.
  */
 public final class MembershipService implements Network.DatagramHandler {
   private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
-  private static final double FROM_MEMBERS =
-      2000; // datagrams a second that are read: at most some hundredths of a core
-  private static final double FROM_OTHERS = 100;
-  private static final long TOLD_US = 500_000; // changes are logged together
+  private static final int MIN_BUFFER_BYTES = 1500;
+  private static final int FRAME_BYTES = 128; // of a datagram, with the name of the fleet
+  private static final long LOG_INTERVAL_US = 500_000; // changes are logged together
+  private static final int MAX_LOGGED_CHANGES = 8;
+  private static final int MICROS_PER_MILLI = 1000;
 
   private final Membership membership;
   private final PacketCodec codec;
-  private final InetSocketAddress at;
-  private final Map<String, State> logged = new HashMap<>();
-  private final byte[] space;
-  private Network.DatagramTransport datagrams;
-  private double known = FROM_MEMBERS / 10;
-  private double unknown = FROM_OTHERS / 2;
-  private long allowedUs;
+  private final InetSocketAddress bindAddress;
+  private final byte[] buffer;
+  private final DatagramLimiter limiter = new DatagramLimiter();
+  private final Map<String, MemberState> loggedStates = new HashMap<>();
+  private Network.DatagramTransport transport;
   private long now;
   private long loggedUs;
   private long malformed;
   private long flooded;
-  private boolean changed;
+  private boolean hasChanged;
 
+  /**
+   * A service that has not been opened.
+   *
+   * @param datagramBytes of the largest packet
+   */
   public MembershipService(
-      Membership membership, PacketCodec codec, InetSocketAddress at, int datagram) {
+      Membership membership,
+      PacketCodec codec,
+      InetSocketAddress bindAddress,
+      int datagramBytes) {
     this.membership = membership;
     this.codec = codec;
-    this.at = at;
-    space = new byte[Math.max(1500, datagram + 128)];
+    this.bindAddress = bindAddress;
+    buffer = new byte[Math.max(MIN_BUFFER_BYTES, datagramBytes + FRAME_BYTES)];
   }
 
   void open(Network network) throws IOException {
-    datagrams = network.bindDatagrams(at, space.length, this);
+    transport = network.bindDatagrams(bindAddress, buffer.length, this);
+    MemberRecord self = membership.self();
     LOG.info(
         () ->
             "membership on "
-                + datagrams.address()
+                + transport.address()
                 + " as "
-                + membership.self().name()
+                + self.name()
                 + " at "
-                + membership.self().address());
+                + self.address());
   }
 
-  /**
-   * What comes faster is thrown away unread: a flood must not take the thread from the ops.
-   * Members' own addresses have room of their own.
-   */
   @Override
-  public void onDatagram(InetSocketAddress from, java.nio.ByteBuffer bytes) {
-    String address = NumericAddress.format(from);
-    boolean ours = membership.knows(address);
-    if ((ours ? known : unknown) < 1) {
+  public void onDatagram(InetSocketAddress sender, ByteBuffer bytes) {
+    String address = NumericAddress.format(sender);
+    if (!limiter.tryTake(membership.hasLiveAddress(address))) {
       flooded++;
       return;
     }
-    known -= ours ? 1 : 0;
-    unknown -= ours ? 0 : 1;
-    int length = Math.min(bytes.remaining(), space.length);
-    bytes.get(space, 0, length);
-    Packet packet = codec.read(space, 0, length);
-    if (packet == null) {
+    int length = Math.min(bytes.remaining(), buffer.length);
+    bytes.get(buffer, 0, length);
+    Optional<Packet> packet = codec.decode(buffer, 0, length);
+    if (packet.isEmpty()) {
       malformed++;
     } else {
-      membership.received(now, address, packet);
-      changed = true;
+      membership.onPacket(now, packet.get());
+      hasChanged = true;
     }
   }
 
-  /** Before what has come is read. */
+  /** Datagrams are about to be handled. */
   void beforeEvents(long nowUs) {
     now = nowUs;
-    long passed = nowUs - allowedUs;
-    allowedUs = nowUs;
-    known = Math.min(FROM_MEMBERS / 10, known + passed * FROM_MEMBERS / 1e6);
-    unknown = Math.min(FROM_OTHERS / 2, unknown + passed * FROM_OTHERS / 1e6);
+    limiter.refill(nowUs);
   }
 
+  /** Sends what is due. */
   void afterEvents(long nowUs) {
     now = nowUs;
-    if (nowUs >= membership.dueUs()) {
-      membership.tick(nowUs);
-      changed = true;
+    if (nowUs >= membership.nextDueUs()) {
+      membership.onTime(nowUs);
+      hasChanged = true;
     }
-    flush();
-    if (changed && nowUs - loggedUs > TOLD_US) {
+    sendPackets();
+    if (hasChanged && nowUs - loggedUs > LOG_INTERVAL_US) {
       loggedUs = nowUs;
-      changed = false;
-      tell();
+      hasChanged = false;
+      logChanges();
     }
   }
 
-  private void flush() {
-    for (Sent sent; (sent = membership.next()) != null; ) {
-      datagrams.send(NumericAddress.parse(sent.to()).orElseThrow(), codec.write(sent.packet()));
+  private void sendPackets() {
+    OutboundPacket next = membership.next();
+    while (next != null) {
+      InetSocketAddress receiver = NumericAddress.parse(next.receiver()).orElseThrow();
+      transport.send(receiver, codec.encode(next.packet()));
+      next = membership.next();
     }
   }
 
-  private void tell() {
-    List<String> news = new ArrayList<>();
-    Map<String, State> is = new HashMap<>();
+  private void logChanges() {
+    List<String> changes = new ArrayList<>();
+    Map<String, MemberState> states = new HashMap<>();
     for (Member member : membership.members()) {
-      is.put(member.claim().name(), member.claim().state());
-      if (logged.get(member.claim().name()) != member.claim().state() && news.size() < 8) {
-        news.add(member.claim().name() + " " + word(member.claim().state()));
+      String name = member.record().name();
+      MemberState state = member.record().state();
+      states.put(name, state);
+      if (loggedStates.get(name) != state && changes.size() < MAX_LOGGED_CHANGES) {
+        changes.add(name + " " + word(state));
       }
     }
-    logged.clear();
-    logged.putAll(is);
-    if (!news.isEmpty()) {
-      LOG.info(
-          () -> "members: " + String.join(", ", news) + "; " + membership.live() + " others live");
+    loggedStates.clear();
+    loggedStates.putAll(states);
+    if (!changes.isEmpty()) {
+      int live = membership.liveCount();
+      LOG.info(() -> "members: " + String.join(", ", changes) + "; " + live + " others live");
     }
   }
 
+  /** Tells others that this member leaves. */
   void leave(long nowUs) {
     membership.leave(nowUs);
-    flush();
+    sendPackets();
   }
 
   long nextDueUs() {
-    return membership.dueUs();
+    return membership.nextDueUs();
   }
 
-  private static String word(State state) {
-    return state.name().toLowerCase(java.util.Locale.ROOT);
+  private static String word(MemberState state) {
+    return state.name().toLowerCase(Locale.ROOT);
   }
 
-  /**
-   * As JSON, for {@code GET /-/members}: who we are, whom we hold for what and for how long, and
-   * what was counted.
-   */
+  /** As JSON, for operators: who we are, whom we hold for what since when, and what was counted. */
   byte[] view() {
-    Map<String, Object> all = new LinkedHashMap<>();
-    Claim self = membership.self();
-    Membership.Counts counts = membership.counts();
-    Map<String, Object> own = row(self);
-    own.put("health", membership.health());
-    all.put("self", own);
+    Map<String, Object> view = new LinkedHashMap<>();
+    Map<String, Object> self = row(membership.self());
+    self.put("health", membership.localHealth());
+    view.put("self", self);
     List<Object> members = new ArrayList<>();
     for (Member member : membership.members()) {
-      Map<String, Object> row = row(member.claim());
-      row.put("for_ms", Math.max(0, now - member.sinceUs()) / 1000);
+      Map<String, Object> row = row(member.record());
+      row.put("for_ms", Math.max(0, now - member.sinceUs()) / MICROS_PER_MILLI);
       members.add(row);
     }
-    all.put("members", members);
-    Map<String, Object> counted = new LinkedHashMap<>();
-    counted.put("sent", counts.sent);
-    counted.put("bytes", counts.bytes);
-    counted.put("heard", counts.heard);
-    counted.put("probes", counts.probes);
-    counted.put("unanswered", counts.unanswered);
-    counted.put("suspicions", counts.suspicions);
-    counted.put("deaths", counts.deaths);
-    counted.put("refuted", counts.refuted);
-    counted.put("paused", counts.paused);
-    counted.put("collisions", counts.collisions);
-    counted.put("refused", counts.refused);
-    counted.put("muted", counts.muted);
-    counted.put("malformed", malformed);
-    counted.put("flooded", flooded);
-    all.put("counts", counted);
+    view.put("members", members);
+    view.put("counts", counts());
     try {
-      return JSON.std.asString(all).getBytes(StandardCharsets.UTF_8);
+      return JSON.std.asString(view).getBytes(StandardCharsets.UTF_8);
     } catch (IOException e) {
       throw new IllegalStateException(e); // into memory nothing fails
     }
   }
 
-  private static Map<String, Object> row(Claim claim) {
+  private Map<String, Object> counts() {
+    MembershipCounters counters = membership.counters();
+    Map<String, Object> counts = new LinkedHashMap<>();
+    counts.put("sent", counters.sent());
+    counts.put("bytes", counters.bytes());
+    counts.put("heard", counters.received());
+    counts.put("probes", counters.probes());
+    counts.put("unanswered", counters.unanswered());
+    counts.put("suspicions", counters.suspicions());
+    counts.put("deaths", counters.deaths());
+    counts.put("refuted", counters.refutations());
+    counts.put("paused", counters.pauses());
+    counts.put("collisions", counters.collisions());
+    counts.put("refused", counters.refusedMembers());
+    counts.put("muted", counters.suppressedReplies());
+    counts.put("malformed", malformed);
+    counts.put("flooded", flooded);
+    return counts;
+  }
+
+  private static Map<String, Object> row(MemberRecord record) {
     Map<String, Object> row = new LinkedHashMap<>();
-    row.put("name", claim.name());
-    row.put("state", word(claim.state()));
-    row.put("zone", claim.zone());
-    row.put("address", claim.address());
-    row.put("boot", claim.boot());
-    row.put("incarnation", claim.incarnation());
+    row.put("name", record.name());
+    row.put("state", word(record.state()));
+    row.put("zone", record.zone());
+    row.put("address", record.address());
+    row.put("boot", record.boot());
+    row.put("incarnation", record.incarnation());
     return row;
   }
 }
--- a/sidecar/src/test/java/dillcross/cli/ServeIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ServeIT.java
@@ -729,9 +729,9 @@
     Files.writeString(folder.resolve("config.json"), was);
     hangUp("\"sockets\":256", "\"sockets\":300");
     awaitLine(
-        "settings stay; discovery stays at "
+        "settings unchanged; discovery still at "
             + discovery.address()
-            + "; changed, and taken up at the next start only: limits");
+            + "; taken on by a restart only: limits");
   }
 
   @Test
--- a/sidecar/src/test/java/dillcross/membership/MembershipTest.java
+++ b/sidecar/src/test/java/dillcross/membership/MembershipTest.java
@@ -15,11 +15,10 @@
   private static final long S = 1_000_000;
   private long now = 5_000_000_000L;
   private final Membership one =
-      new Membership(
-          1, now, "a", "127.0.0.1:1", "east", now, List.of(), S, 300_000, 100, 1200, 20_000);
+      new Membership(1, now, new MemberRecord("a", "127.0.0.1:1", "east", now, 0, MemberState.ALIVE, ""), new MembershipSettings(List.of(), S, 300_000, 100, 1200, 20_000));
 
-  private static Claim claim(String name, long boot, long incarnation, State state, String by) {
-    return new Claim(
+  private static MemberRecord memberRecord(String name, long boot, long incarnation, MemberState state, String by) {
+    return new MemberRecord(
         name,
         "127.0.0.1:" + (1000 + Math.abs(name.hashCode()) % 60_000),
         "west",
@@ -29,174 +28,170 @@
         by);
   }
 
-  private void hears(Claim from, Packet.Kind kind, Claim... claims) {
-    one.received(
-        now,
-        from.address(),
+  private void receive(MemberRecord from, Packet.Kind kind, MemberRecord... claims) {
+    one.onPacket(now,
         new Packet(kind, 0, from, null, new int[0], List.of(claims), List.of()));
   }
 
-  private List<Sent> sent() {
-    List<Sent> all = new ArrayList<>();
-    for (Sent next; (next = one.next()) != null; ) {
+  private List<OutboundPacket> sent() {
+    List<OutboundPacket> all = new ArrayList<>();
+    for (OutboundPacket next; (next = one.next()) != null; ) {
       all.add(next);
     }
     return all;
   }
 
-  private State held(String name) {
+  private MemberState stateOf(String name) {
     return one.members().stream()
-        .filter(m -> m.claim().name().equals(name))
-        .map(m -> m.claim().state())
+        .filter(m -> m.record().name().equals(name))
+        .map(m -> m.record().state())
         .findFirst()
         .orElse(null);
   }
 
   private void pass(long us) {
     for (long until = now + us; now < until; now += 10_000) {
-      one.tick(now);
+      one.onTime(now);
     }
   }
 
   @Test
   void itRefutesWhatIsSaidOfIt() {
-    Claim other = claim("b", 1, 0, State.ALIVE, "");
-    hears(other, Packet.Kind.PING, one.self().as(State.SUSPECT, "b"));
+    MemberRecord other = memberRecord("b", 1, 0, MemberState.ALIVE, "");
+    receive(other, Packet.Kind.PING, one.self().withState(MemberState.SUSPECT, "b"));
     assertEquals(1, one.self().incarnation());
-    assertEquals(1, sent().get(0).packet().from().incarnation());
-    hears(other, Packet.Kind.PING, one.self().as(State.DEAD, ""));
+    assertEquals(1, sent().get(0).packet().sender().incarnation());
+    receive(other, Packet.Kind.PING, one.self().withState(MemberState.DEAD, ""));
     assertEquals(2, one.self().incarnation());
-    assertEquals(2, one.counts().refuted);
+    assertEquals(2, one.counters().refutations());
   }
 
   @Test
   void theDeadAreRememberedForABoundedTimeAndOnlyByWhoKnewThem() {
-    hears(claim("b", 1, 0, State.ALIVE, ""), Packet.Kind.ACK, claim("c", 1, 0, State.DEAD, ""));
-    assertEquals(null, held("c"));
-    hears(claim("b", 1, 0, State.ALIVE, ""), Packet.Kind.ACK, claim("c", 1, 0, State.ALIVE, ""));
-    hears(claim("b", 1, 0, State.ALIVE, ""), Packet.Kind.ACK, claim("c", 1, 0, State.DEAD, ""));
-    assertEquals(State.DEAD, held("c"));
+    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.DEAD, ""));
+    assertEquals(null, stateOf("c"));
+    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.ALIVE, ""));
+    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.DEAD, ""));
+    assertEquals(MemberState.DEAD, stateOf("c"));
     pass(601 * S);
-    assertEquals(null, held("c"));
+    assertEquals(null, stateOf("c"));
   }
 
   @Test
   void theTableIsBoundedAndTheDeadGiveWayFirst() {
-    Claim b = claim("b", 1, 0, State.ALIVE, "");
-    hears(
+    MemberRecord b = memberRecord("b", 1, 0, MemberState.ALIVE, "");
+    receive(
         b,
         Packet.Kind.ACK,
         IntStream.range(0, 99)
-            .mapToObj(i -> claim("m" + i, 1, 0, State.ALIVE, ""))
-            .toArray(Claim[]::new));
+            .mapToObj(i -> memberRecord("m" + i, 1, 0, MemberState.ALIVE, ""))
+            .toArray(MemberRecord[]::new));
     assertEquals(100, one.members().size());
-    hears(b, Packet.Kind.ACK, claim("late", 1, 0, State.ALIVE, ""));
-    assertEquals(null, held("late"));
-    assertEquals(1, one.counts().refused);
-    hears(b, Packet.Kind.ACK, claim("m7", 1, 0, State.DEAD, ""));
-    hears(b, Packet.Kind.ACK, claim("late", 1, 0, State.ALIVE, ""));
-    assertEquals(State.ALIVE, held("late"));
-    assertEquals(null, held("m7"));
+    receive(b, Packet.Kind.ACK, memberRecord("late", 1, 0, MemberState.ALIVE, ""));
+    assertEquals(null, stateOf("late"));
+    assertEquals(1, one.counters().refusedMembers());
+    receive(b, Packet.Kind.ACK, memberRecord("m7", 1, 0, MemberState.DEAD, ""));
+    receive(b, Packet.Kind.ACK, memberRecord("late", 1, 0, MemberState.ALIVE, ""));
+    assertEquals(MemberState.ALIVE, stateOf("late"));
+    assertEquals(null, stateOf("m7"));
   }
 
   @Test
   void aNewProcessOfANameIsToldFromTheOldOne() {
-    hears(claim("b", 5, 9, State.ALIVE, ""), Packet.Kind.ACK);
-    hears(
-        claim("c", 1, 0, State.ALIVE, ""),
+    receive(memberRecord("b", 5, 9, MemberState.ALIVE, ""), Packet.Kind.ACK);
+    receive(
+        memberRecord("c", 1, 0, MemberState.ALIVE, ""),
         Packet.Kind.ACK,
-        claim("b", 5, 9, State.DEAD, ""),
-        claim("b", 6, 0, State.ALIVE, ""));
-    assertEquals(State.ALIVE, held("b"));
-    hears(claim("c", 1, 0, State.ALIVE, ""), Packet.Kind.ACK, claim("b", 5, 99, State.DEAD, ""));
-    assertEquals(State.ALIVE, held("b"), "word of the old process says nothing of the new one");
+        memberRecord("b", 5, 9, MemberState.DEAD, ""),
+        memberRecord("b", 6, 0, MemberState.ALIVE, ""));
+    assertEquals(MemberState.ALIVE, stateOf("b"));
+    receive(memberRecord("c", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("b", 5, 99, MemberState.DEAD, ""));
+    assertEquals(MemberState.ALIVE, stateOf("b"), "word of the old process says nothing of the new one");
   }
 
   @Test
   void noPacketIsLargerThanItMayBeAndNoSecondCostsMoreThanItMay() {
-    Claim b = claim("b", 1, 0, State.ALIVE, "");
-    hears(
+    MemberRecord b = memberRecord("b", 1, 0, MemberState.ALIVE, "");
+    receive(
         b,
         Packet.Kind.ACK,
         IntStream.range(0, 90)
-            .mapToObj(i -> claim("member-with-a-long-name-" + i, 1, 0, State.ALIVE, ""))
-            .toArray(Claim[]::new));
+            .mapToObj(i -> memberRecord("member-with-a-long-name-" + i, 1, 0, MemberState.ALIVE, ""))
+            .toArray(MemberRecord[]::new));
     sent();
     long bytes = 0;
     long from = now;
     for (int i = 0;
         i < 6000;
         i++, now += 10_000) { // asked a hundred times a second, and for all that it knows
-      one.tick(now);
-      one.received(
-          now,
-          b.address(),
+      one.onTime(now);
+      one.onPacket(now,
           new Packet(Packet.Kind.DIGEST, 0, b, null, new int[32], List.of(), List.of()));
-      hears(b, Packet.Kind.PING);
-      for (Sent sent : sent()) {
+      receive(b, Packet.Kind.PING);
+      for (OutboundPacket sent : sent()) {
         assertTrue(sent.packet().size() <= 1200, () -> sent.packet().size() + " " + sent);
         bytes += sent.packet().size();
       }
     }
-    double perS = bytes * 1e6 / (now - from);
-    assertTrue(perS < 22_500, perS + " bytes a second");
-    assertTrue(one.counts().muted > 0);
+    double perSecond = bytes * 1e6 / (now - from);
+    assertTrue(perSecond < 22_500, perSecond + " bytes a second");
+    assertTrue(one.counters().suppressedReplies() > 0);
   }
 
   @Test
   void oneThatWasPausedDistrustsItselfFirst() {
-    hears(claim("b", 1, 0, State.ALIVE, ""), Packet.Kind.ACK);
+    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK);
     pass(2 * S / 5); // a probe is out
     now += 10 * S;
-    one.tick(now);
-    assertTrue(one.health() > 0);
-    assertEquals(State.ALIVE, held("b"));
-    assertEquals(1, one.counts().paused);
+    one.onTime(now);
+    assertTrue(one.localHealth() > 0);
+    assertEquals(MemberState.ALIVE, stateOf("b"));
+    assertEquals(1, one.counters().pauses());
   }
 
   @Test
   void whoeverAnswersAfterEveryTimeOutIsProbedByOthersToo() {
-    Claim b = claim("b", 1, 0, State.ALIVE, "");
-    hears(b, Packet.Kind.ACK, claim("c", 1, 0, State.ALIVE, ""), claim("d", 1, 0, State.ALIVE, ""));
+    MemberRecord b = memberRecord("b", 1, 0, MemberState.ALIVE, "");
+    receive(b, Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.ALIVE, ""), memberRecord("d", 1, 0, MemberState.ALIVE, ""));
     sent();
     for (int i = 0;
-        i < 150 && sent().stream().noneMatch(s -> s.packet().kind() == Packet.Kind.PROBE);
+        i < 150 && sent().stream().noneMatch(s -> s.packet().kind() == Packet.Kind.PING_REQUEST);
         i++) {
       pass(10_000);
     }
-    assertTrue(one.counts().probes > 0);
+    assertTrue(one.counters().probes() > 0);
     pass(4 * S);
-    assertTrue(one.counts().suspicions > 0);
+    assertTrue(one.counters().suspicions() > 0);
   }
 
   @Test
   void twoOfOneNameBothStay() {
-    Claim other = new Claim("a", "127.0.0.1:9", "east", now + S, 0, State.ALIVE, "");
-    hears(other, Packet.Kind.PING);
+    MemberRecord other = new MemberRecord("a", "127.0.0.1:9", "east", now + S, 0, MemberState.ALIVE, "");
+    receive(other, Packet.Kind.PING);
     assertNotEquals("a", one.self().name());
     assertTrue(one.self().name().startsWith("a~"));
-    assertEquals(State.ALIVE, held("a"));
-    assertEquals(1, one.counts().collisions);
+    assertEquals(MemberState.ALIVE, stateOf("a"));
+    assertEquals(1, one.counters().collisions());
   }
 
   @Test
   void aWordOfAnotherPartIsBoundedInSize() {
     assertThrows(
         IllegalArgumentException.class,
-        () -> one.publish(now, 0, new byte[Payload.MOST_BYTES + 1]));
+        () -> one.publish(now, 0, new byte[Payload.MAX_BYTES + 1]));
     assertThrows(
-        IllegalArgumentException.class, () -> one.publish(now, Payload.MOST_TYPES, new byte[1]));
+        IllegalArgumentException.class, () -> one.publish(now, Payload.TYPES, new byte[1]));
   }
 
   @Test
   void whoLeavesSaysSoAndIsSilent() {
-    hears(claim("b", 1, 0, State.ALIVE, ""), Packet.Kind.ACK);
+    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK);
     sent();
     one.leave(now);
-    assertEquals(State.LEFT, sent().get(0).packet().from().state());
+    assertEquals(MemberState.LEFT, sent().get(0).packet().sender().state());
     pass(5 * S);
-    hears(claim("b", 1, 0, State.ALIVE, ""), Packet.Kind.PING);
+    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.PING);
     assertTrue(sent().isEmpty());
-    assertFalse(one.dueUs() < Long.MAX_VALUE);
+    assertFalse(one.nextDueUs() < Long.MAX_VALUE);
   }
 }
--- a/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
+++ b/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
@@ -8,10 +8,10 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import dillcross.membership.Claim;
+import dillcross.membership.MemberRecord;
 import dillcross.membership.Packet;
 import dillcross.membership.Payload;
-import dillcross.membership.State;
+import dillcross.membership.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
 import java.util.List;
@@ -19,28 +19,28 @@
 import org.junit.jupiter.api.Test;
 
 class PacketCodecTest {
-  private static final Claim ONE =
-      new Claim("s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, State.SUSPECT, "s2");
+  private static final MemberRecord ONE =
+      new MemberRecord("s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, MemberState.SUSPECT, "s2");
   private static final Packet FULL =
       new Packet(
-          Packet.Kind.TOLD,
+          Packet.Kind.DELTA,
           Long.MAX_VALUE,
           ONE,
           ONE,
           new int[] {1, -1, Integer.MIN_VALUE},
           List.of(ONE, ONE),
-          List.of(new Payload("s3", 1L << 60, 7, Long.MAX_VALUE, new byte[Payload.MOST_BYTES])));
+          List.of(new Payload("s3", 1L << 60, 7, Long.MAX_VALUE, new byte[Payload.MAX_BYTES])));
   private final PacketCodec codec = new PacketCodec("east-fleet");
 
   private Packet read(byte[] bytes) {
-    return codec.read(bytes, 0, bytes.length);
+    return codec.decode(bytes, 0, bytes.length).orElse(null);
   }
 
   @Test
   void whatIsWrittenIsReadAndTakesNoMoreThanItSays() {
-    byte[] bytes = codec.write(FULL);
+    byte[] bytes = codec.encode(FULL);
     Packet read = read(bytes);
-    assertEquals(FULL.claims(), read.claims());
+    assertEquals(FULL.records(), read.records());
     assertEquals(FULL.about(), read.about());
     assertEquals(FULL.sequence(), read.sequence());
     assertArrayEquals(FULL.digest(), read.digest());
@@ -51,7 +51,7 @@
 
   @Test
   void cutOffOrChangedBytesAreNoPacketOrAnotherOneAndNeverAFault() {
-    byte[] bytes = codec.write(FULL);
+    byte[] bytes = codec.encode(FULL);
     for (int i = 0; i < bytes.length; i++) {
       assertNull(read(Arrays.copyOf(bytes, i)), "cut after " + i);
     }
@@ -72,7 +72,7 @@
 
   @Test
   void anotherFleetsPacketIsNone() {
-    byte[] bytes = new PacketCodec("other").write(FULL);
+    byte[] bytes = new PacketCodec("other").encode(FULL);
     assertNull(read(bytes));
   }
 
@@ -108,7 +108,7 @@
     }
     Packet read = read(bytes.toByteArray());
     assertNotNull(read);
-    assertEquals("s1", read.from().name());
+    assertEquals("s1", read.sender().name());
     assertEquals(4, read.sequence());
   }
 }
