--- a/emulator/src/main/java/dillcross/emulator/cli/CrossingsRun.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
@@ -4,11 +4,11 @@
 import dillcross.emulator.run.Crossings.Case;
 import dillcross.emulator.run.Crossings.Event;
 import dillcross.emulator.run.Shrink;
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
 import dillcross.emulator.scenario.Seeds;
-import dillcross.emulator.world.Day;
+import dillcross.emulator.world.Simulation;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -28,7 +28,7 @@
  * One call of {@code emulate crossings}: what is played is the same for the same words, and told in
  * the same order.
  */
-final class CrossingsRun {
+final class CrossingsCommand {
   private static final long PROGRESS_NS = 2_000_000_000L;
 
   private final List<Path> files;
@@ -42,7 +42,7 @@
   private long violations;
   private int written;
 
-  CrossingsRun(
+  CrossingsCommand(
       List<Path> files, String pair, Seeds triples, boolean brief, long seed, Path out, int jobs) {
     this.files = files;
     this.pair = pair;
@@ -55,14 +55,15 @@
 
   /** Whether all of it was clean. */
   boolean run(PrintStream say, PrintStream progress)
-      throws InterruptedException, IOException, Faulty {
+      throws InterruptedException, IOException, InvalidScenarioException {
     List<Event> known = Crossings.events();
     List<Event> first = known;
     List<Event> second = known;
     if (pair != null) {
       String[] words = pair.split(",", -1);
       if (words.length != 2) {
-        throw new Faulty(List.of("dillcross: --pairs takes two kinds as A,B, and not " + pair));
+        throw new InvalidScenarioException(
+            List.of("dillcross: --pairs takes two kinds as A,B, and not " + pair));
       }
       first = named(known, words[0]);
       second = named(known, words[1]);
@@ -70,8 +71,9 @@
     MessageDigest digest = sha256();
     for (Path file : files) {
       Scenario scenario = ScenarioReader.read(file);
-      if (!scenario.troubles().isEmpty()) {
-        throw new Faulty(List.of(file + ": has troubles of its own, and crossings brings them"));
+      if (!scenario.faults().isEmpty()) {
+        throw new InvalidScenarioException(
+            List.of(file + ": has troubles of its own, and crossings brings them"));
       }
       Crossings crossings = new Crossings(scenario, seed);
       List<Case> cases =
@@ -88,11 +90,11 @@
     return violations == 0;
   }
 
-  private static List<Event> named(List<Event> known, String word) throws Faulty {
+  private static List<Event> named(List<Event> known, String word) throws InvalidScenarioException {
     List<Event> found =
         known.stream().filter(e -> e.word().equals(word) || e.kind().word().equals(word)).toList();
     if (found.isEmpty()) {
-      throw new Faulty(
+      throw new InvalidScenarioException(
           List.of(
               "dillcross: --pairs knows no "
                   + word
@@ -112,11 +114,11 @@
       throws InterruptedException, IOException {
     ExecutorService threads = Executors.newFixedThreadPool(jobs);
     try {
-      List<Future<Day.Result>> days =
+      List<Future<Simulation.Result>> days =
           cases.stream().map(one -> threads.submit(() -> crossings.play(one))).toList();
-      long toldNs = System.nanoTime();
+      long notifiedNs = System.nanoTime();
       for (int i = 0; i < cases.size(); i++) {
-        Day.Result day = days.get(i).get();
+        Simulation.Result day = days.get(i).get();
         digest.update(day.digest().getBytes(StandardCharsets.US_ASCII));
         played++;
         violations += day.broken();
@@ -129,8 +131,8 @@
                   + day.violations().get(0).toString().strip());
           replay(file, cases.get(i), say);
         }
-        if (System.nanoTime() - toldNs > PROGRESS_NS) {
-          toldNs = System.nanoTime();
+        if (System.nanoTime() - notifiedNs > PROGRESS_NS) {
+          notifiedNs = System.nanoTime();
           progress.println((i + 1) + " of " + cases.size() + " crossings of " + file);
         }
       }
@@ -151,7 +153,7 @@
           "# "
               + one.name()
               + System.lineSeparator()
-              + Shrink.write(Files.readString(file), one.troubles()));
+              + Shrink.write(Files.readString(file), one.faults()));
       say.println("    bin/dillcross emulate run " + to + " --seed " + one.seed());
     }
   }
--- a/emulator/src/main/java/dillcross/emulator/cli/Commands.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -1,17 +1,17 @@
 package dillcross.emulator.cli;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.members.Trial;
+import dillcross.emulator.members.MembershipTrial;
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.run.Explain;
 import dillcross.emulator.run.Shrink;
 import dillcross.emulator.run.Sweep;
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.Fault.Drawn;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
 import dillcross.emulator.scenario.Seeds;
-import dillcross.emulator.scenario.Trouble.Drawn;
-import dillcross.emulator.world.Day;
-import dillcross.emulator.world.Troubles;
+import dillcross.emulator.world.FaultInjector;
+import dillcross.emulator.world.Simulation;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -30,9 +30,9 @@
 @Command(
     name = "dillcross",
     mixinStandardHelpOptions = true,
-    subcommands = Commands.Emulate.class,
+    subcommands = EmulateCommand.Emulate.class,
     description = "dillcross and its tools.")
-final class Commands implements Runnable {
+final class EmulateCommand implements Runnable {
   private static final int CLEAN = 0;
   private static final int BROKEN = 1;
   private static final int FAULTY = 2;
@@ -71,14 +71,16 @@
                 paramLabel = "FILE",
                 description = "Write each event there, as JSON lines.")
             Path trace)
-        throws IOException, Faulty {
+        throws IOException, InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
-      Day.Result day;
+      Simulation.Result day;
       try (OutputStream lines =
           trace == null
               ? OutputStream.nullOutputStream()
               : new BufferedOutputStream(Files.newOutputStream(trace))) {
-        day = Day.play(scenario, seed, Troubles.draw(scenario, Chance.of(seed)), lines, null);
+        day =
+            Simulation.play(
+                scenario, seed, FaultInjector.draw(scenario, RandomStream.of(seed)), lines, null);
       } catch (IOException e) {
         System.err.println("dillcross: the trace can't be written: " + e);
         return FAULTY;
@@ -100,7 +102,7 @@
                 description = "Days at a time (default: one a core).")
             Integer jobs,
         @Option(names = "--quiet", description = "No progress.") boolean quiet)
-        throws InterruptedException, Faulty {
+        throws InterruptedException, InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
       Seeds named = Seeds.of(seeds, 18);
       int cores = jobs == null ? Runtime.getRuntime().availableProcessors() : jobs;
@@ -116,7 +118,7 @@
                   cores,
                   day -> {
                     state[0]++;
-                    worth[0] += day.benefit();
+                    worth[0] += day.priorityWeight();
                     worth[1] += day.possible();
                     if (!day.clean()) {
                       System.out.println(
@@ -143,12 +145,12 @@
           all.seeds() / s,
           all.steps() / s,
           all.turns() / s,
-          all.ops() / s);
+          all.requests() / s);
       System.out.printf(
           Locale.ROOT,
           "steps %d  ops %d  benefit %.4f of what was asked for%n",
           all.steps(),
-          all.ops(),
+          all.requests(),
           worth[0] / Math.max(1e-9, worth[1]));
       System.out.println(all.digest());
       System.out.println("seeds " + all.seeds() + " violations " + all.broken());
@@ -168,7 +170,7 @@
                 paramLabel = "FILE",
                 description = "Where to write it (default: standard output).")
             Path out)
-        throws IOException, Faulty {
+        throws IOException, InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
       Shrink.Result few = Shrink.of(scenario, seed, System.err::println);
       if (few == null) {
@@ -189,7 +191,7 @@
       System.err.printf(
           Locale.ROOT,
           "%d of %d troubles and %s s are left after %d plays; with --seed %d it breaks: %s%n",
-          few.troubles().size(),
+          few.faults().size(),
           few.before(),
           few.seconds(),
           few.plays(),
@@ -218,10 +220,10 @@
                     "none, loss30, one-way, flapping-cut, halves, pauses, slow or all (default: each of them).")
             String fault,
         @Option(names = "--jobs", paramLabel = "J") Integer jobs)
-        throws InterruptedException, Faulty {
+        throws InterruptedException, InvalidScenarioException {
       Seeds named = Seeds.of(seeds, 9);
-      List<Trial.Fault> faults =
-          java.util.Arrays.stream(Trial.Fault.values())
+      List<MembershipTrial.Fault> faults =
+          java.util.Arrays.stream(MembershipTrial.Fault.values())
               .filter(f -> fault == null || f.word().equals(fault))
               .toList();
       if (members < 4 || members > 4000 || faults.isEmpty()) {
@@ -231,7 +233,8 @@
         return FAULTY;
       }
       int cores = jobs == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, jobs);
-      return Trial.table(members, named.from(), named.to(), faults, cores, System.out::println)
+      return MembershipTrial.table(
+              members, named.from(), named.to(), faults, cores, System.out::println)
           ? CLEAN
           : BROKEN;
     }
@@ -270,13 +273,13 @@
                 description = "Write there what breaks a rule, as scenarios.")
             Path out,
         @Option(names = "--jobs", paramLabel = "J") Integer jobs)
-        throws InterruptedException, IOException, Faulty {
+        throws InterruptedException, IOException, InvalidScenarioException {
       List<Path> scenarios =
           files == null
               ? List.of(
                   Path.of("scenarios/crossings.toml"), Path.of("scenarios/crossings-strict.toml"))
               : files;
-      return new CrossingsRun(
+      return new CrossingsCommand(
                   scenarios,
                   pair,
                   triples == null ? null : Seeds.of(triples, 9),
@@ -300,16 +303,16 @@
                 names = "--op",
                 paramLabel = "ID",
                 description = "Which (default: the first that broke a rule).")
-            String op)
-        throws Faulty {
+            String request)
+        throws InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
-      List<String> lines = Explain.of(scenario, seed, op);
+      List<String> lines = Explain.of(scenario, seed, request);
       if (lines.isEmpty()) {
         System.err.println(
             "dillcross: "
-                + (op == null
+                + (request == null
                     ? "no op broke a rule; name one with --op"
-                    : "the day has no op " + op));
+                    : "the day has no op " + request));
         return FAULTY;
       }
       lines.forEach(System.out::println);
@@ -317,7 +320,7 @@
     }
   }
 
-  static void summary(Scenario scenario, Day.Result day, PrintStream out) {
+  static void summary(Scenario scenario, Simulation.Result day, PrintStream out) {
     out.printf(
         Locale.ROOT,
         "%s, seed %d: %.1f s simulated, %d steps, %d turns of %d sidecars%n",
@@ -327,7 +330,7 @@
         day.steps(),
         day.turns(),
         scenario.sidecars().count());
-    for (Drawn drawn : day.troubles()) {
+    for (Drawn drawn : day.faults()) {
       out.printf(
           Locale.ROOT,
           "%10.1f ms  %s of %s for %.1f ms%n",
@@ -339,20 +342,20 @@
     out.printf(
         Locale.ROOT,
         "ops %d: acked %d (in time %d), nacked %d, failed %d, left or ended %d, with no sidecar there %d; tried again %d; pushes %d; restarts %d%n",
-        day.ops(),
-        day.acked(),
+        day.requests(),
+        day.succeeded(),
         day.inTime(),
-        day.nacked(),
+        day.rejected(),
         day.failed(),
         day.left(),
         day.notTaken(),
         day.retries(),
-        day.pushes(),
+        day.attempts(),
         day.restarts());
     out.printf(
         Locale.ROOT,
         "benefit %.4f of what was asked for%n",
-        day.benefit() / Math.max(1e-9, day.possible()));
+        day.priorityWeight() / Math.max(1e-9, day.possible()));
     day.violations().forEach(out::println);
     out.println(day.digest());
     out.println("violations " + day.broken());
--- a/emulator/src/main/java/dillcross/emulator/cli/Main.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/Main.java
@@ -17,8 +17,8 @@
   static int run(String... args) {
     LogManager.getLogManager().reset(); // thousands of sidecars say each that they are ready
     Logger.getLogger("dillcross").setLevel(Level.OFF);
-    return new CommandLine(new Commands())
-        .setExecutionExceptionHandler(new FaultyInput())
+    return new CommandLine(new EmulateCommand())
+        .setExecutionExceptionHandler(new InvalidInputException())
         .execute(args);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/members/Explorer.java
+++ b/emulator/src/main/java/dillcross/emulator/members/Explorer.java
@@ -1,12 +1,12 @@
 package dillcross.emulator.members;
 
-import dillcross.membership.MemberRecord;
 import dillcross.membership.Member;
+import dillcross.membership.MemberRecord;
+import dillcross.membership.MemberState;
 import dillcross.membership.Membership;
 import dillcross.membership.MembershipSettings;
-import dillcross.membership.Packet;
 import dillcross.membership.OutboundPacket;
-import dillcross.membership.MemberState;
+import dillcross.membership.Packet;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -251,7 +251,7 @@
     }
     MemberRecord self = members[member].self();
     if (self.boot() < boots[member]
-        || self.boot() == boots[member] && self.incarnation() < incarnations[member]) {
+        || (self.boot() == boots[member] && self.incarnation() < incarnations[member])) {
       broken = name(member) + " runs back";
     }
     boots[member] = self.boot();
@@ -319,7 +319,9 @@
 
   private boolean holds(int observer, int subject) {
     return members[observer].members().stream()
-        .anyMatch(m -> m.record().name().equals(name(subject)) && m.record().state() == MemberState.ALIVE);
+        .anyMatch(
+            m ->
+                m.record().name().equals(name(subject)) && m.record().state() == MemberState.ALIVE);
   }
 
   private String views() {
--- a/emulator/src/main/java/dillcross/emulator/members/Swarm.java
+++ b/emulator/src/main/java/dillcross/emulator/members/MembershipCluster.java
@@ -1,14 +1,14 @@
 package dillcross.emulator.members;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.time.Timeline;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.time.VirtualClock;
 import dillcross.membership.Member;
 import dillcross.membership.MemberRecord;
 import dillcross.membership.MemberState;
 import dillcross.membership.Membership;
 import dillcross.membership.MembershipSettings;
-import dillcross.membership.Packet;
 import dillcross.membership.OutboundPacket;
+import dillcross.membership.Packet;
 import dillcross.net.PacketCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,35 +19,35 @@
  * codec on a network that loses, delays, doubles and cuts by a seed. One thread, no clock; the same
  * seed plays the same.
  */
-public final class Swarm {
+public final class MembershipCluster {
   /** What is wrong on the way, while it lasts; from whom to whom. */
-  public record Ill(IntPredicate from, IntPredicate to, double loss, long jitterUs, double twice) {}
+  public record LinkFault(
+      IntPredicate from, IntPredicate to, double loss, long jitterUs, double twice) {}
 
   private static final class Node {
     final int number;
     Membership is; // null where it does not run
     long boot;
     long pausedUntilUs; // the process stands still: what comes waits in its socket
-    final List<Coming> waiting = new ArrayList<>();
+    final List<Incoming> waiting = new ArrayList<>();
     long wakeUs = Long.MAX_VALUE; // the latest one that was put in
-    long diedUs = -1;
 
     Node(int number) {
       this.number = number;
     }
   }
 
-  private record Coming(String from, byte[] bytes) {}
+  private record Incoming(String from, byte[] bytes) {}
 
   private static final int SOCKET = 300; // datagrams that wait in one that is not read
-  private final Timeline time = new Timeline(1_000_000_000L);
+  private final VirtualClock time = new VirtualClock(1_000_000_000L);
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Ill> ills = new ArrayList<>();
-  private final Chance chance;
+  private final List<LinkFault> faults = new ArrayList<>();
+  private final RandomStream random;
   private final PacketCodec codec = new PacketCodec("swarm");
   private final long seed;
   private final int zones;
-  private final int asked;
+  private final int requested;
   private final long intervalUs;
   private final long timeoutUs;
   private final long wayUs;
@@ -55,17 +55,18 @@
   private long bytes;
 
   /**
-   * @param asked how many of the first members are seeds
+   * @param requested how many of the first members are seeds
    * @param wayUs of a datagram, up to twice that between zones
    */
-  public Swarm(int members, int zones, int asked, long intervalUs, long wayUs, long seed) {
+  public MembershipCluster(
+      int members, int zones, int requested, long intervalUs, long wayUs, long seed) {
     this.seed = seed;
     this.zones = zones;
-    this.asked = asked;
+    this.requested = requested;
     this.intervalUs = intervalUs;
     timeoutUs = 3 * intervalUs / 10;
     this.wayUs = wayUs;
-    chance = Chance.of(seed).named("swarm");
+    random = RandomStream.of(seed).named("swarm");
     for (int i = 0; i < members; i++) {
       nodes.add(new Node(i));
     }
@@ -84,8 +85,8 @@
     return bytes;
   }
 
-  public List<Ill> ills() {
-    return ills;
+  public List<LinkFault> faults() {
+    return faults;
   }
 
   static String name(int member) {
@@ -110,7 +111,7 @@
     Node node = nodes.get(member);
     node.boot = Math.max(1, now() + shiftUs);
     List<String> seeds = new ArrayList<>();
-    for (int i = 0; i < asked; i++) {
+    for (int i = 0; i < requested; i++) {
       seeds.add(address(i));
     }
     node.is =
@@ -118,24 +119,16 @@
             seed * 31 + member * 7919L + node.boot,
             now(),
             new MemberRecord(
-                name(member),
-                address(member),
-                zone(member),
-                node.boot,
-                0,
-                MemberState.ALIVE,
-                ""),
+                name(member), address(member), zone(member), node.boot, 0, MemberState.ALIVE, ""),
             new MembershipSettings(seeds, intervalUs, timeoutUs, 4096, 1200, 20_000));
     node.waiting.clear();
     node.pausedUntilUs = 0;
-    node.diedUs = -1;
     node.wakeUs = Long.MAX_VALUE;
     turn(node);
   }
 
   public void kill(int member) {
     nodes.get(member).is = null;
-    nodes.get(member).diedUs = now();
   }
 
   public boolean runs(int member) {
@@ -151,7 +144,7 @@
         node.pausedUntilUs,
         () -> {
           if (node.is == of && of != null) {
-            List<Coming> came = List.copyOf(node.waiting);
+            List<Incoming> came = List.copyOf(node.waiting);
             node.waiting.clear();
             came.forEach(c -> hear(node, c));
             turn(node);
@@ -180,8 +173,9 @@
   /** Plays on to that time. */
   public void pass(long us) {
     long until = now() + us;
-    while (time.step(until)) {
-      continue; // each event does its own
+    boolean more = true;
+    while (more) {
+      more = time.step(until); // each event does its own
     }
   }
 
@@ -215,38 +209,39 @@
   private void send(int from, int to, byte[] what) {
     packets++;
     bytes += what.length;
-    long us = (long) (wayUs * chance.between(0.7, 1.3) * (from % zones == to % zones ? 1 : 2));
-    int copies = 1;
-    for (Ill ill : ills) {
-      if (ill.from.test(from) && ill.to.test(to)) {
-        if (chance.happens(ill.loss)) {
+    long us = (long) (wayUs * random.between(0.7, 1.3) * (from % zones == to % zones ? 1 : 2));
+    int hedges = 1;
+    for (LinkFault fault : faults) {
+      if (fault.from.test(from) && fault.to.test(to)) {
+        if (random.happens(fault.loss)) {
           return;
         }
-        us += chance.between(0L, ill.jitterUs);
-        copies += chance.happens(ill.twice) ? 1 : 0;
+        us += random.between(0L, fault.jitterUs);
+        hedges += random.happens(fault.twice) ? 1 : 0;
       }
     }
-    for (int i = 0; i < copies && to < nodes.size(); i++) {
-      time.at(now() + us + i * 100, () -> arrive(nodes.get(to), new Coming(address(from), what)));
+    for (int i = 0; i < hedges && to < nodes.size(); i++) {
+      time.at(
+          now() + us + i * 100L, () -> arrive(nodes.get(to), new Incoming(address(from), what)));
     }
   }
 
-  private void arrive(Node node, Coming coming) {
+  private void arrive(Node node, Incoming incoming) {
     if (node.is == null) {
       return;
     }
     if (now() < node.pausedUntilUs) {
       if (node.waiting.size() < SOCKET) {
-        node.waiting.add(coming);
+        node.waiting.add(incoming);
       }
       return;
     }
-    hear(node, coming);
+    hear(node, incoming);
     turn(node);
   }
 
-  private void hear(Node node, Coming coming) {
-    Packet packet = codec.decode(coming.bytes, 0, coming.bytes.length).orElseThrow();
+  private void hear(Node node, Incoming incoming) {
+    Packet packet = codec.decode(incoming.bytes, 0, incoming.bytes.length).orElseThrow();
     node.is.onPacket(now(), packet);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/members/Trial.java
+++ b/emulator/src/main/java/dillcross/emulator/members/MembershipTrial.java
@@ -1,6 +1,6 @@
 package dillcross.emulator.members;
 
-import dillcross.emulator.chance.Chance;
+import dillcross.emulator.random.RandomStream;
 import dillcross.membership.Member;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
  * One fault, or all at once, on a swarm that knows itself; what is found of it, how soon, and what
  * is found wrongly.
  */
-public final class Trial {
+public final class MembershipTrial {
   /** What is wrong during the trial, besides one in twenty killed. */
   public enum Fault {
     NONE,
@@ -52,14 +52,14 @@
   private static final long S = 1_000_000;
   private static final long LOOK = 50_000;
 
-  private Trial() {}
+  private MembershipTrial() {}
 
   public static Result play(int members, Fault fault, long seed) {
-    Swarm swarm = new Swarm(members, 3, 3, S, 400, seed);
-    Chance chance = Chance.of(seed).named("trial");
+    MembershipCluster swarm = new MembershipCluster(members, 3, 3, S, 400, seed);
+    RandomStream random = RandomStream.of(seed).named("trial");
     for (int i = 0; i < members; i++) {
       int member = i;
-      swarm.after(chance.between(0, 2 * S), () -> swarm.start(member, 0));
+      swarm.after(random.between(0, 2 * S), () -> swarm.start(member, 0));
     }
     long joined = converged(swarm, members, 120);
     if (joined < 0) {
@@ -69,11 +69,11 @@
     long before = swarm.bytes();
     swarm.pass(20 * S);
     double rate = (swarm.bytes() - before) / 20.0 / members;
-    ills(swarm, members, fault, chance);
+    faults(swarm, members, fault, random);
     swarm.pass(5 * S);
     List<Integer> killed = new ArrayList<>();
     for (int i = 0; i < Math.max(1, members / 20); i++) {
-      killed.add(3 + (int) chance.between(0, members - 4L));
+      killed.add(3 + (int) random.between(0, members - 4L));
     }
     killed.stream().distinct().forEach(swarm::kill);
     Map<Long, Long> found = new TreeMap<>(); // by observer and subject
@@ -98,7 +98,7 @@
         }
       }
     }
-    swarm.ills().clear();
+    swarm.faults().clear();
     long converged = converged(swarm, members, 180);
     return new Result(
         fault,
@@ -111,30 +111,37 @@
         members * 60 / 3600.0);
   }
 
-  private static void ills(Swarm swarm, int members, Fault fault, Chance chance) {
+  private static void faults(
+      MembershipCluster swarm, int members, Fault fault, RandomStream random) {
     boolean all = fault == Fault.ALL;
     if (fault == Fault.LOSS30 || all) {
-      swarm.ills().add(new Swarm.Ill(i -> true, i -> true, 0.3, 20_000, 0.1));
+      swarm.faults().add(new MembershipCluster.LinkFault(i -> true, i -> true, 0.3, 20_000, 0.1));
     }
     if (fault == Fault.ONE_WAY || all) {
       for (int i = 0; i < members; i += 2) { // half of the members hear nothing from one other each
         int deaf = i;
-        swarm.ills().add(new Swarm.Ill(f -> f == (deaf + 1) % members, t -> t == deaf, 1, 0, 0));
+        swarm
+            .faults()
+            .add(
+                new MembershipCluster.LinkFault(
+                    f -> f == (deaf + 1) % members, t -> t == deaf, 1, 0, 0));
       }
     }
     if (fault == Fault.FLAPPING_CUT || all) {
       int from = members / 2;
-      Swarm.Ill cut = new Swarm.Ill(i -> i < from, i -> i >= from, 1, 0, 0);
-      Swarm.Ill back = new Swarm.Ill(i -> i >= from, i -> i < from, 1, 0, 0);
+      MembershipCluster.LinkFault cut =
+          new MembershipCluster.LinkFault(i -> i < from, i -> i >= from, 1, 0, 0);
+      MembershipCluster.LinkFault back =
+          new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0);
       for (int k = 0; k < 15; k++) {
-        swarm.after(k * 4 * S, () -> swarm.ills().addAll(List.of(cut, back)));
-        swarm.after(k * 4 * S + 2 * S, () -> swarm.ills().removeAll(List.of(cut, back)));
+        swarm.after(k * 4L * S, () -> swarm.faults().addAll(List.of(cut, back)));
+        swarm.after(k * 4L * S + 2 * S, () -> swarm.faults().removeAll(List.of(cut, back)));
       }
     }
     if (fault == Fault.HALVES) {
       int from = members / 2;
-      swarm.ills().add(new Swarm.Ill(i -> i < from, i -> i >= from, 1, 0, 0));
-      swarm.ills().add(new Swarm.Ill(i -> i >= from, i -> i < from, 1, 0, 0));
+      swarm.faults().add(new MembershipCluster.LinkFault(i -> i < from, i -> i >= from, 1, 0, 0));
+      swarm.faults().add(new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0));
     }
     if (fault == Fault.PAUSES
         || all) { // a tenth stand still now and then, for longer than a probe waits
@@ -142,17 +149,19 @@
         int member = i;
         for (int k = 0; k < 6; k++) {
           swarm.after(
-              k * 10 * S + chance.between(0, 5 * S),
+              k * 10L * S + random.between(0, 5 * S),
               () -> {
                 if (swarm.runs(member)) {
-                  swarm.pause(member, chance.between(S / 2, 3 * S));
+                  swarm.pause(member, random.between(S / 2, 3 * S));
                 }
               });
         }
       }
     }
     if (fault == Fault.SLOW) { // answers of a tenth come after every time-out of a probe
-      swarm.ills().add(new Swarm.Ill(i -> i % 10 == 0, i -> true, 0, 600_000, 0));
+      swarm
+          .faults()
+          .add(new MembershipCluster.LinkFault(i -> i % 10 == 0, i -> true, 0, 600_000, 0));
     }
   }
 
@@ -160,7 +169,7 @@
    * Milliseconds until all that run hold just these for alive; -1 where it does not come within so
    * many seconds.
    */
-  private static long converged(Swarm swarm, int members, long seconds) {
+  private static long converged(MembershipCluster swarm, int members, long seconds) {
     long from = swarm.now();
     while (swarm.now() - from <= seconds * S) {
       swarm.pass(members > 200 ? S / 2 : S / 10);
@@ -172,12 +181,13 @@
       for (int i = 0; i < members && agree; i++) {
         agree =
             !swarm.runs(i)
-                || swarm.of(i).liveCount() == running - 1
+                || (swarm.of(i).liveCount() == running - 1
                     && swarm.of(i).members().stream()
                         .allMatch(
                             m ->
                                 !m.record().state().isLive()
-                                    || swarm.runs(Integer.parseInt(m.record().name().substring(1))));
+                                    || swarm.runs(
+                                        Integer.parseInt(m.record().name().substring(1)))));
       }
       if (agree) {
         return (swarm.now() - from) / 1000;
--- a/emulator/src/main/java/dillcross/emulator/oracle/Ask.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * One op as the world sees it: what a client sent, what came to endpoints of it, and what came
+ * One request as the world sees it: what a client sent, what came to endpoints of it, and what came
  * back.
  */
-public final class Ask {
-  /** A push of it, as an endpoint saw it. */
-  public static final class Push {
+public final class ObservedRequest {
+  /** An attempt of it, as an endpoint saw it. */
+  public static final class Attempt {
     public final String endpoint;
     public final String zone;
     public final int cell;
@@ -19,7 +19,7 @@
     public boolean read; // its sidecar has read all of its answer
     public long endedUs; // 0 while neither answered nor given up
 
-    Push(String endpoint, String zone, int cell, long sentUs) {
+    Attempt(String endpoint, String zone, int cell, long sentUs) {
       this.endpoint = endpoint;
       this.zone = zone;
       this.cell = cell;
@@ -43,9 +43,10 @@
       orphan; // that sidecar's process ended: what it wrote its system may send later than it would
   // have allowed
   public boolean over;
-  public final List<Push> pushes = new ArrayList<>(2);
+  public final List<Attempt> attempts = new ArrayList<>(2);
 
-  public Ask(String id, String key, Scenario.Kind kind, int sidecar, int attempt, long bornUs) {
+  public ObservedRequest(
+      String id, String key, Scenario.Kind kind, int sidecar, int attempt, long bornUs) {
     this.id = id;
     this.key = key;
     this.kind = kind;
@@ -54,8 +55,8 @@
     this.bornUs = bornUs;
   }
 
-  public long ttlUs() {
-    return Math.round(kind.ttlMs() * 1000);
+  public long timeoutUs() {
+    return Math.round(kind.timeoutMs() * 1000);
   }
 
   public long targetUs() {
@@ -63,12 +64,13 @@
   }
 
   /**
-   * When the last of its pushes ended that endpoints saw; {@link Long#MAX_VALUE} while one is out.
+   * When the last of its attempts ended that endpoints saw; {@link Long#MAX_VALUE} while one is
+   * out.
    */
   long busyUntilUs() {
     long until = sentUs == Long.MAX_VALUE ? bornUs : sentUs;
-    for (Push push : pushes) {
-      until = push.endedUs == 0 ? Long.MAX_VALUE : Math.max(until, push.endedUs);
+    for (Attempt attempt : attempts) {
+      until = attempt.endedUs == 0 ? Long.MAX_VALUE : Math.max(until, attempt.endedUs);
     }
     return until;
   }
--- a/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
@@ -17,28 +17,28 @@
   private static final long TOLD_US =
       6_000_000; // after which news counts as told, whether or not it was had
   private static final long GONE_US =
-      100_000; // after its client's close, by when nothing more of an op begins
+      100_000; // after its client's close, by when nothing more of a request begins
   private static final int MOST = 50; // violations that are kept; a broken day has thousands
 
   /** What one sidecar knows of one endpoint, from what it has read of the list. */
-  private record Told(boolean inService, long atUs, long startedMs) {}
+  private record Notified(boolean inService, long atUs, long startedMs) {}
 
   private final LongSupplier now;
   private final long startUs;
   private final Scenario scenario;
-  private final int mostPushes;
-  private final Map<String, Ask> asks = new LinkedHashMap<>();
-  private final Map<String, Map<String, Told>> told =
+  private final int maxAttempts;
+  private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
+  private final Map<String, Map<String, Notified>> notified =
       new HashMap<>(); // by sidecar's process, by endpoint
   private final Map<String, String> effects = new HashMap<>(); // by key, where it was carried out
   private final List<long[]> stalls = new ArrayList<>(); // sidecar, from, until
   private final Map<String, Long> left =
       new HashMap<>(); // by endpoint, when the list had it that it leaves
-  private final Map<String, Long> begun = new HashMap<>(); // by sidecar's process
+  private final Map<String, Long> started = new HashMap<>(); // by sidecar's process
   private final List<long[]> deaf =
       new ArrayList<>(); // from, until: times in which the list can't be reached, or tells old news
   private final List<long[]> unseen =
-      new ArrayList<>(); // from, until: times in which endpoints can't see all pushes
+      new ArrayList<>(); // from, until: times in which endpoints can't see all attempts
   private final List<Violation> violations = new ArrayList<>();
   private long broken;
 
@@ -47,7 +47,7 @@
     this.now = now;
     this.startUs = startUs;
     this.scenario = scenario;
-    mostPushes = Integer.parseInt(scenario.told().get("limits.max_pushes"));
+    maxAttempts = Integer.parseInt(scenario.notified().get("limits.max_pushes"));
   }
 
   public List<Violation> violations() {
@@ -58,105 +58,112 @@
     return broken;
   }
 
-  public Map<String, Ask> asks() {
-    return asks;
+  public Map<String, ObservedRequest> requests() {
+    return requests;
   }
 
-  public Ask ask(String id) {
-    return id == null ? null : asks.get(id);
+  public ObservedRequest request(String id) {
+    return id == null ? null : requests.get(id);
   }
 
-  public void broke(Rule rule, Ask ask, String what) {
+  public void broke(Rule rule, ObservedRequest request, String what) {
     if (broken++ < MOST) {
       violations.add(
-          new Violation(now.getAsLong() - startUs, rule, ask == null ? null : ask.id, what));
+          new Violation(
+              now.getAsLong() - startUs, rule, request == null ? null : request.id, what));
     }
   }
 
   // ---- Clients
 
-  public void asked(Ask ask) {
-    asks.put(ask.id, ask);
+  public void requested(ObservedRequest request) {
+    requests.put(request.id, request);
   }
 
   /**
    * An answer has come whole, or has broken off where {@code whole} is false; its first byte was
    * sent then.
    */
-  public void answered(Ask ask, int status, long sentUs, boolean whole, boolean content) {
-    ask.answers++;
-    if (ask.answers > 1) {
-      broke(Rule.ONE_ANSWER, ask, "answer " + ask.answers + ", " + status);
+  public void answered(
+      ObservedRequest request, int status, long sentUs, boolean complete, boolean content) {
+    request.answers++;
+    if (request.answers > 1) {
+      broke(Rule.ONE_ANSWER, request, "answer " + request.answers + ", " + status);
       return;
     }
-    ask.over = true;
-    ask.status = whole ? status : 0;
-    ask.answerUs = sentUs;
+    request.over = true;
+    request.status = complete ? status : 0;
+    request.answerUs = sentUs;
     long deadlineUs =
-        ask.sentUs == Long.MAX_VALUE ? Long.MAX_VALUE : ask.sentUs + ask.ttlUs() + slackUs(ask);
+        request.sentUs == Long.MAX_VALUE
+            ? Long.MAX_VALUE
+            : request.sentUs + request.timeoutUs() + slackUs(request);
     if (sentUs > deadlineUs) {
       broke(
           Rule.IN_TIME,
-          ask,
+          request,
           String.format(
               java.util.Locale.ROOT,
               "%d came %.1f ms after its TTL",
               status,
-              (sentUs - ask.sentUs - ask.ttlUs()) / 1000.0));
+              (sentUs - request.sentUs - request.timeoutUs()) / 1000.0));
     }
     if (status == 200 && !content) {
-      broke(Rule.TRUE_CONTENT, ask, "an answer that no endpoint made for it");
+      broke(Rule.TRUE_CONTENT, request, "an answer that no endpoint made for it");
     }
-    if (status == 200 && whole && ask.pushes.stream().noneMatch(p -> p.taken)) {
-      broke(Rule.TRUE_CONTENT, ask, "acked, and no endpoint had it");
+    if (status == 200 && complete && request.attempts.stream().noneMatch(p -> p.taken)) {
+      broke(Rule.TRUE_CONTENT, request, "acked, and no endpoint had it");
     }
-    if (!whole && ask.pushes.stream().anyMatch(p -> p.read)) {
-      broke(Rule.TRUE_CONTENT, ask, "its answer was cut, and its endpoint had given all of it");
+    if (!complete && request.attempts.stream().anyMatch(p -> p.read)) {
+      broke(Rule.TRUE_CONTENT, request, "its answer was cut, and its endpoint had given all of it");
     }
-    long idleUs = sentUs - ask.busyUntilUs();
+    long idleUs = sentUs - request.busyUntilUs();
     if (status != 200
-        && ask.sentUs != Long.MAX_VALUE
-        && idleUs > ask.targetUs() + slackUs(ask)
-        && allSeen(ask.bornUs, sentUs)) {
+        && request.sentUs != Long.MAX_VALUE
+        && idleUs > request.targetUs() + slackUs(request)
+        && allSeen(request.bornUs, sentUs)) {
       broke(
           Rule.NOT_HELD,
-          ask,
+          request,
           status + " after " + idleUs / 1000 + " ms in which nothing of it was out");
     }
-    for (Ask.Push push : ask.pushes) {
-      if (push.sentUs > sentUs) {
-        broke(Rule.NOTHING_AFTER, ask, "a push to " + push.endpoint + " left after the answer");
+    for (ObservedRequest.Attempt attempt : request.attempts) {
+      if (attempt.sentUs > sentUs) {
+        broke(
+            Rule.NOTHING_AFTER,
+            request,
+            "a push to " + attempt.endpoint + " left after the answer");
       }
     }
   }
 
   /** Bytes that no request asked for. */
-  public void unasked(Ask last, int bytes) {
+  public void unasked(ObservedRequest last, int bytes) {
     broke(Rule.ONE_ANSWER, last, bytes + " bytes that nobody asked for");
   }
 
   /** Its connection ended without an answer though nobody but the sidecar can have ended it. */
-  public void dropped(Ask ask) {
-    ask.over = true;
-    broke(Rule.ONE_ANSWER, ask, "its connection ended without an answer");
+  public void dropped(ObservedRequest request) {
+    request.over = true;
+    broke(Rule.ONE_ANSWER, request, "its connection ended without an answer");
   }
 
   /** Time is up, and nothing has come. */
-  public void silent(Ask ask) {
-    if (!ask.over && !ask.excused) {
-      ask.over = true;
+  public void silent(ObservedRequest request) {
+    if (!request.over && !request.excused) {
+      request.over = true;
       broke(
           Rule.ONE_ANSWER,
-          ask,
-          "no answer " + (now.getAsLong() - ask.sentUs) / 1000 + " ms after it was sent");
+          request,
+          "no answer " + (now.getAsLong() - request.sentUs) / 1000 + " ms after it was sent");
     }
   }
 
-  private long slackUs(Ask ask) {
+  private long slackUs(ObservedRequest request) {
     long slack = Math.round(scenario.rules().answerSlackMs() * 1000);
     for (long[] stall : stalls) {
       boolean during =
-          stall[0] == ask.sidecar && stall[1] <= now.getAsLong() && stall[2] >= ask.bornUs;
+          stall[0] == request.sidecar && stall[1] <= now.getAsLong() && stall[2] >= request.bornUs;
       slack += during ? stall[2] - stall[1] : 0;
     }
     return slack;
@@ -193,8 +200,8 @@
   }
 
   /** A sidecar's process has begun. */
-  public void begun(String process) {
-    begun.put(process, now.getAsLong());
+  public void started(String process) {
+    started.put(process, now.getAsLong());
   }
 
   /**
@@ -202,7 +209,7 @@
    * could be reached all the time.
    */
   private long dueUs(String process, String endpoint) {
-    long fromUs = Math.max(left.get(endpoint), begun.getOrDefault(process, 0L));
+    long fromUs = Math.max(left.get(endpoint), started.getOrDefault(process, 0L));
     for (boolean moved = true; moved; ) {
       moved = false;
       for (long[] span : deaf) {
@@ -216,66 +223,77 @@
   }
 
   /** A sidecar's process has read what the list says of an endpoint. */
-  public void told(String process, String endpoint, boolean inService, long startedMs) {
-    Map<String, Told> known = told.computeIfAbsent(process, p -> new HashMap<>());
-    Told before = known.get(endpoint);
+  public void notified(String process, String endpoint, boolean inService, long startedMs) {
+    Map<String, Notified> known = notified.computeIfAbsent(process, p -> new HashMap<>());
+    Notified before = known.get(endpoint);
     if (before == null || before.inService != inService || before.startedMs != startedMs) {
-      known.put(endpoint, new Told(inService, now.getAsLong(), startedMs));
+      known.put(endpoint, new Notified(inService, now.getAsLong(), startedMs));
     }
   }
 
   /** ... and that was all of them. */
-  public void toldOnly(String process, java.util.Set<String> endpoints) {
-    Map<String, Told> known = told.computeIfAbsent(process, p -> new HashMap<>());
+  public void notifiedOnly(String process, java.util.Set<String> endpoints) {
+    Map<String, Notified> known = notified.computeIfAbsent(process, p -> new HashMap<>());
     known.replaceAll(
         (id, was) ->
             endpoints.contains(id) || !was.inService
                 ? was
-                : new Told(false, now.getAsLong(), was.startedMs));
+                : new Notified(false, now.getAsLong(), was.startedMs));
   }
 
   /** Whether a sidecar's process knows that an endpoint began anew then. */
   public boolean knowsStart(String process, String endpoint, long startedMs) {
-    Told is = told.getOrDefault(process, Map.of()).get(endpoint);
+    Notified is = notified.getOrDefault(process, Map.of()).get(endpoint);
     return is != null && is.startedMs == startedMs;
   }
 
   // ---- Endpoints
 
   /**
-   * The head of a push has come to an endpoint; null where it belongs to no op, which is a fault.
+   * The head of an attempt has come to an endpoint; null where it belongs to no request, which is a
+   * fault.
    */
-  public Ask.Push pushed(
-      Ask ask, String process, String endpoint, String zone, int cell, long sentUs) {
-    Ask.Push push = new Ask.Push(endpoint, zone, cell, sentUs);
-    ask.pushes.add(push);
-    if (ask.pushes.size() > mostPushes) {
-      broke(Rule.PUSH_LIMIT, ask, "push " + ask.pushes.size() + " to " + endpoint);
+  public ObservedRequest.Attempt pushed(
+      ObservedRequest request,
+      String process,
+      String endpoint,
+      String zone,
+      int cell,
+      long sentUs) {
+    ObservedRequest.Attempt attempt = new ObservedRequest.Attempt(endpoint, zone, cell, sentUs);
+    request.attempts.add(attempt);
+    if (request.attempts.size() > maxAttempts) {
+      broke(Rule.PUSH_LIMIT, request, "push " + request.attempts.size() + " to " + endpoint);
     }
-    if (ask.answerUs > 0 && sentUs > ask.answerUs) {
+    if (request.answerUs > 0 && sentUs > request.answerUs) {
       broke(
           Rule.NOTHING_AFTER,
-          ask,
-          "a push to " + endpoint + " left " + (sentUs - ask.answerUs) + " us after the answer");
+          request,
+          "a push to "
+              + endpoint
+              + " left "
+              + (sentUs - request.answerUs)
+              + " us after the answer");
     }
-    if (ask.sentUs != Long.MAX_VALUE && sentUs > ask.sentUs + ask.ttlUs() + slackUs(ask)) {
-      broke(Rule.NOTHING_AFTER, ask, "a push to " + endpoint + " left after its TTL");
+    if (request.sentUs != Long.MAX_VALUE
+        && sentUs > request.sentUs + request.timeoutUs() + slackUs(request)) {
+      broke(Rule.NOTHING_AFTER, request, "a push to " + endpoint + " left after its TTL");
     }
-    if (ask.leftUs > 0 && sentUs > ask.leftUs + GONE_US + slackUs(ask)) {
+    if (request.leftUs > 0 && sentUs > request.leftUs + GONE_US + slackUs(request)) {
       broke(
           Rule.NOTHING_AFTER,
-          ask,
+          request,
           "a push to "
               + endpoint
               + " left "
-              + (sentUs - ask.leftUs) / 1000
+              + (sentUs - request.leftUs) / 1000
               + " ms after its client had gone");
     }
-    Told is = told.getOrDefault(process, Map.of()).get(endpoint);
+    Notified is = notified.getOrDefault(process, Map.of()).get(endpoint);
     if (is != null && !is.inService && sentUs > is.atUs + scenario.rules().drainSlackMs() * 1000) {
       broke(
           Rule.DRAIN_KEPT,
-          ask,
+          request,
           "a push to "
               + endpoint
               + " left "
@@ -285,60 +303,63 @@
         && sentUs > dueUs(process, endpoint) + scenario.rules().drainSlackMs() * 1000) {
       broke(
           Rule.DRAIN_KEPT,
-          ask,
+          request,
           "a push to "
               + endpoint
               + " left "
               + (sentUs - dueUs(process, endpoint)) / 1000
               + " ms after its drain counted as told");
     }
-    return push;
+    return attempt;
   }
 
-  /** A push has come whole and may run from now on. */
-  public void taken(Ask ask, Ask.Push push) {
-    push.taken = true;
-    if (ask.kind.effect().equals("idempotent")) {
+  /** An attempt has come whole and may run from now on. */
+  public void taken(ObservedRequest request, ObservedRequest.Attempt attempt) {
+    attempt.taken = true;
+    if (request.kind.effect().equals("idempotent")) {
       return;
     }
-    for (Ask.Push before : ask.pushes) {
-      if (before != push && before.taken) {
+    for (ObservedRequest.Attempt before : request.attempts) {
+      if (before != attempt && before.taken) {
         boolean same =
-            switch (ask.kind.scope()) {
+            switch (request.kind.scope()) {
               case "all" -> true;
-              case "zone" -> before.zone.equals(push.zone);
-              default -> before.cell == push.cell;
+              case "zone" -> before.zone.equals(attempt.zone);
+              default -> before.cell == attempt.cell;
             };
-        if (ask.kind.effect().equals("at_most_once")) {
+        if (request.kind.effect().equals("at_most_once")) {
           broke(
               Rule.NO_EFFECT_TWICE,
-              ask,
-              "pushed to " + before.endpoint + ", which may run it, and to " + push.endpoint);
+              request,
+              "pushed to " + before.endpoint + ", which may run it, and to " + attempt.endpoint);
         } else if (!same) {
           broke(
               Rule.NO_EFFECT_TWICE,
-              ask,
+              request,
               "pushed to "
                   + before.endpoint
                   + ", which may run it, and to "
-                  + push.endpoint
+                  + attempt.endpoint
                   + " of another group");
-        } else if (push.sentUs - before.sentUs > ask.kind.windowMs() * 1000) {
+        } else if (attempt.sentUs - before.sentUs > request.kind.windowMs() * 1000) {
           broke(
               Rule.NO_EFFECT_TWICE,
-              ask,
-              "pushed again to " + push.endpoint + " when its group had forgotten it");
+              request,
+              "pushed again to " + attempt.endpoint + " when its group had forgotten it");
         }
       }
     }
   }
 
-  /** An op is being carried out. */
-  public void effect(Ask ask, String endpoint) {
-    if (!ask.kind.effect().equals("idempotent")) {
-      String before = effects.putIfAbsent(ask.key, endpoint);
-      if (before != null && !ask.orphan) {
-        broke(Rule.NO_EFFECT_TWICE, ask, "carried out at " + before + " and again at " + endpoint);
+  /** A request is being carried out. */
+  public void effect(ObservedRequest request, String endpoint) {
+    if (!request.kind.effect().equals("idempotent")) {
+      String before = effects.putIfAbsent(request.key, endpoint);
+      if (before != null && !request.orphan) {
+        broke(
+            Rule.NO_EFFECT_TWICE,
+            request,
+            "carried out at " + before + " and again at " + endpoint);
       }
     }
   }
--- a/emulator/src/main/java/dillcross/emulator/oracle/Violation.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Violation.java
@@ -1,7 +1,7 @@
 package dillcross.emulator.oracle;
 
-/** A rule that was broken: when, which, by what, and of which op where it was one. */
-public record Violation(long atUs, Rule rule, String op, String what) {
+/** A rule that was broken: when, which, by what, and of which request where it was one. */
+public record Violation(long atUs, Rule rule, String request, String what) {
   /** What is checked. */
   public enum Rule {
     ONE_ANSWER("one final answer"),
@@ -32,7 +32,7 @@
         "%10.3f ms  %s%s: %s",
         atUs / 1000.0,
         rule.words,
-        op == null ? "" : " [" + op + "]",
+        request == null ? "" : " [" + request + "]",
         what);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/chance/Chance.java
+++ b/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.chance;
+package dillcross.emulator.random;
 
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -10,13 +10,13 @@
  * not numbered: what one draws, and whether it is there at all, shifts nothing of what another
  * draws.
  */
-public final class Chance {
+public final class RandomStream {
   private static final long MIX = 0x9E3779B97F4A7C15L;
   private final long seed;
   private final String path;
   private final UniformRandomProvider draws;
 
-  private Chance(long seed, String path) {
+  private RandomStream(long seed, String path) {
     this.seed = seed;
     this.path = path;
     long name = 1125899906842597L;
@@ -27,15 +27,15 @@
     draws = RandomSource.L64_X128_MIX.create(new long[] {seed, name, seed * MIX + name, ~name});
   }
 
-  public static Chance of(long seed) {
-    return new Chance(seed, "");
+  public static RandomStream of(long seed) {
+    return new RandomStream(seed, "");
   }
 
   /**
    * The stream of that name below this one; the same for the same seed, whatever was drawn before.
    */
-  public Chance named(String name) {
-    return new Chance(seed, path + "/" + name);
+  public RandomStream named(String name) {
+    return new RandomStream(seed, path + "/" + name);
   }
 
   public boolean happens(double share) {
@@ -43,12 +43,12 @@
   }
 
   /** Evenly from a range, its ends included. */
-  public long between(long least, long most) {
-    return most <= least ? least : least + draws.nextLong(most - least + 1);
+  public long between(long min, long max) {
+    return max <= min ? min : min + draws.nextLong(max - min + 1);
   }
 
-  public double between(double least, double most) {
-    return least + (most - least) * draws.nextDouble();
+  public double between(double min, double max) {
+    return min + (max - min) * draws.nextDouble();
   }
 
   /** Of a mean, with the spread of independent arrivals. */
--- a/emulator/src/main/java/dillcross/emulator/run/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Crossings.java
@@ -1,12 +1,12 @@
 package dillcross.emulator.run;
 
-import dillcross.emulator.chance.Chance;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.scenario.Fault;
+import dillcross.emulator.scenario.Fault.Drawn;
+import dillcross.emulator.scenario.Fault.Kind;
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.scenario.Trouble;
-import dillcross.emulator.scenario.Trouble.Drawn;
-import dillcross.emulator.scenario.Trouble.Kind;
-import dillcross.emulator.world.Day;
+import dillcross.emulator.world.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -14,9 +14,9 @@
 import java.util.Map;
 
 /**
- * Events that cross: each ordered pair of what a world can bring, at a moment of one op's life and
- * aimed at what that op touches, in the same microsecond, one turn apart, and at the first one's
- * end. Triples are drawn.
+ * Events that cross: each ordered pair of what a world can bring, at a moment of one request's life
+ * and aimed at what that request touches, in the same microsecond, one turn apart, and at the first
+ * one's end. Triples are drawn.
  */
 public final class Crossings {
   private static final long WARM_US =
@@ -40,9 +40,9 @@
   }
 
   /** One day to be played: its name says what crosses, where and how. */
-  public record Case(String name, long seed, List<Drawn> troubles) {}
+  public record Case(String name, long seed, List<Drawn> faults) {}
 
-  /** Something that happened to an op on the day on which nothing goes wrong. */
+  /** Something that happened to a request on the day on which nothing goes wrong. */
   private record Moment(long atUs, String endpoint, String sidecar) {}
 
   private final Scenario scenario;
@@ -54,32 +54,38 @@
   public Crossings(Scenario scenario, long seed) {
     this.scenario = scenario;
     this.seed = seed;
-    Map<String, String> endpoints = new LinkedHashMap<>(); // by op, where its first push went
+    Map<String, String> endpoints =
+        new LinkedHashMap<>(); // by request, where its first attempt went
     MOMENTS.forEach(m -> moments.put(m, new ArrayList<>()));
     List<Object[]> events = new ArrayList<>();
-    Day.play(
+    Simulation.play(
         scenario,
         seed,
         List.of(),
         OutputStream.nullOutputStream(),
         (us, what, pairs) -> {
           if (moments.containsKey(what)) {
-            String op = word(pairs, "op");
+            String request = word(pairs, "op");
             String to = what.equals("push") ? word(pairs, "to") : word(pairs, "at");
-            if (op != null && to != null && to.startsWith("e")) {
-              endpoints.putIfAbsent(op, to);
+            if (request != null && to != null && to.startsWith("e")) {
+              endpoints.putIfAbsent(request, to);
             }
-            events.add(new Object[] {us - WARM_US, what, op});
+            events.add(new Object[] {us - WARM_US, what, request});
           }
         });
     double end = scenario.seconds() * 1e6;
     for (Object[] event : events) {
       long atUs = (Long) event[0];
-      String op = (String) event[2];
-      if (op != null && endpoints.containsKey(op) && atUs > end / 4 && atUs < end * 3 / 4) {
+      String request = (String) event[2];
+      if (request != null
+          && endpoints.containsKey(request)
+          && atUs > end / 4
+          && atUs < end * 3 / 4) {
         moments
             .get((String) event[1])
-            .add(new Moment(atUs, endpoints.get(op), op.substring(0, op.indexOf('-'))));
+            .add(
+                new Moment(
+                    atUs, endpoints.get(request), request.substring(0, request.indexOf('-'))));
       }
     }
   }
@@ -127,18 +133,18 @@
 
   /** A triple drawn by that number. */
   public Case triple(long number) {
-    Chance chance = Chance.of(number).named("triple");
+    RandomStream random = RandomStream.of(number).named("triple");
     List<Event> events = events();
-    List<Event> three = List.of(chance.oneOf(events), chance.oneOf(events), chance.oneOf(events));
+    List<Event> three = List.of(random.oneOf(events), random.oneOf(events), random.oneOf(events));
     List<Apart> aparts =
-        List.of(chance.oneOf(List.of(Apart.values())), chance.oneOf(List.of(Apart.values())));
-    return crossing(chance.oneOf(MOMENTS), three, aparts);
+        List.of(random.oneOf(List.of(Apart.values())), random.oneOf(List.of(Apart.values())));
+    return crossing(random.oneOf(MOMENTS), three, aparts);
   }
 
   private Case crossing(String moment, List<Event> events, List<Apart> aparts) {
     List<Moment> known = moments.get(moment);
     Moment at = known.get((int) (made++ * 7919L % known.size()));
-    List<Drawn> troubles = new ArrayList<>();
+    List<Drawn> faults = new ArrayList<>();
     StringBuilder name = new StringBuilder(scenario.name() + " " + moment);
     long atUs = at.atUs;
     for (int i = 0; i < events.size(); i++) {
@@ -153,10 +159,10 @@
             };
         name.append(' ').append(aparts.get(i - 1).name().toLowerCase(java.util.Locale.ROOT));
       }
-      troubles.add(drawn(events.get(i), i, at, atUs));
+      faults.add(drawn(events.get(i), i, at, atUs));
       name.append(' ').append(events.get(i).word());
     }
-    return new Case(name.toString(), seed, troubles);
+    return new Case(name.toString(), seed, faults);
   }
 
   private Drawn drawn(Event event, int number, Moment at, long atUs) {
@@ -178,8 +184,8 @@
           default -> 3;
         };
     String mode = event.mode == null ? "after" : event.mode;
-    Trouble from =
-        new Trouble(
+    Fault from =
+        new Fault(
             "c" + number + "-" + event.word(),
             event.kind,
             Range.of(atUs / 1000.0),
@@ -193,7 +199,7 @@
   }
 
   /** Plays it. */
-  public Day.Result play(Case of) {
-    return Day.play(scenario, of.seed, of.troubles, OutputStream.nullOutputStream(), null);
+  public Simulation.Result play(Case of) {
+    return Simulation.play(scenario, of.seed, of.faults, OutputStream.nullOutputStream(), null);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/run/Explain.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Explain.java
@@ -1,9 +1,9 @@
 package dillcross.emulator.run;
 
-import dillcross.emulator.chance.Chance;
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.world.Day;
-import dillcross.emulator.world.Troubles;
+import dillcross.emulator.world.FaultInjector;
+import dillcross.emulator.world.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The story of one op: what became of it, and what went wrong round it meanwhile. */
+/** The story of one request: what became of it, and what went wrong round it meanwhile. */
 public final class Explain {
   private record Event(long us, String what, Object[] pairs) {
     Object figure(String name) {
@@ -47,24 +47,24 @@
   private Explain() {}
 
   /**
-   * Lines; empty where the day had no such op. Without an op's id the ids of the first ops that
-   * broke a rule are told.
+   * Lines; empty where the day had no such request. Without a request's id the ids of the first
+   * requests that broke a rule are told.
    */
-  public static List<String> of(Scenario scenario, long seed, String op) {
+  public static List<String> of(Scenario scenario, long seed, String request) {
     List<Event> events = new ArrayList<>();
-    Day.Result day =
-        Day.play(
+    Simulation.Result day =
+        Simulation.play(
             scenario,
             seed,
-            Troubles.draw(scenario, Chance.of(seed)),
+            FaultInjector.draw(scenario, RandomStream.of(seed)),
             OutputStream.nullOutputStream(),
             (us, what, pairs) -> events.add(new Event(us, what, pairs)));
     String id =
-        op != null
-            ? op
+        request != null
+            ? request
             : day.violations().stream()
-                .filter(v -> v.op() != null)
-                .map(v -> v.op())
+                .filter(v -> v.request() != null)
+                .map(v -> v.request())
                 .findFirst()
                 .orElse(null);
     List<Event> own = events.stream().filter(e -> id != null && id.equals(e.figure("op"))).toList();
@@ -92,7 +92,7 @@
       }
     }
     day.violations().stream()
-        .filter(v -> id.equals(v.op()))
+        .filter(v -> id.equals(v.request()))
         .forEach(v -> lines.add("broke: " + v.rule().words + ": " + v.what()));
     return lines;
   }
--- a/emulator/src/main/java/dillcross/emulator/run/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Shrink.java
@@ -1,11 +1,11 @@
 package dillcross.emulator.run;
 
 import dillcross.emulator.oracle.Violation.Rule;
+import dillcross.emulator.scenario.Fault;
+import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.scenario.Trouble;
-import dillcross.emulator.scenario.Trouble.Drawn;
-import dillcross.emulator.world.Day;
+import dillcross.emulator.world.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,20 +37,20 @@
 
   /** What is left of a failing day. */
   public record Result(
-      Rule rule, long seed, double seconds, List<Drawn> troubles, int before, int plays) {}
+      Rule rule, long seed, double seconds, List<Drawn> faults, int before, int plays) {}
 
   /** Null where the day breaks no rule. */
   public static Result of(Scenario scenario, long seed, Consumer<String> progress) {
-    Day.Result first = Day.play(scenario, seed);
+    Simulation.Result first = Simulation.play(scenario, seed);
     if (first.clean()) {
       return null;
     }
     Rule rule = first.violations().get(0).rule();
     Shrink shrink = new Shrink(scenario, seed, rule, progress);
-    List<Drawn> few = shrink.fewest(first.troubles());
+    List<Drawn> few = shrink.fewest(first.faults());
     double seconds = shrink.shortest(few);
     List<Drawn> brief = shrink.briefest(few, seconds);
-    return new Result(rule, shrink.seed, seconds, brief, first.troubles().size(), shrink.plays);
+    return new Result(rule, shrink.seed, seconds, brief, first.faults().size(), shrink.plays);
   }
 
   private static Scenario lasting(Scenario s, double seconds) {
@@ -58,20 +58,20 @@
         s.name(),
         seconds,
         s.sidecars(),
-        s.told(),
-        s.categories(),
+        s.notified(),
+        s.requestClasses(),
         s.clients(),
         s.endpoints(),
         s.list(),
         s.network(),
         s.rules(),
-        s.troubles());
+        s.faults());
   }
 
   /** With the seed that failed last, or with one of some others, which then is kept. */
-  private boolean fails(List<Drawn> troubles, double seconds) {
+  private boolean fails(List<Drawn> faults, double seconds) {
     Scenario of = lasting(scenario, seconds);
-    if (fails(of, seed, troubles)) {
+    if (fails(of, seed, faults)) {
       plays++;
       return true;
     }
@@ -79,14 +79,16 @@
     OptionalLong other =
         LongStream.rangeClosed(seed + 1, seed + OTHERS)
             .parallel()
-            .filter(s -> fails(of, s, troubles))
+            .filter(s -> fails(of, s, faults))
             .min();
     seed = other.orElse(seed);
     return other.isPresent();
   }
 
-  private boolean fails(Scenario of, long with, List<Drawn> troubles) {
-    return Day.play(of, with, troubles, OutputStream.nullOutputStream(), null).violations().stream()
+  private boolean fails(Scenario of, long with, List<Drawn> faults) {
+    return Simulation.play(of, with, faults, OutputStream.nullOutputStream(), null)
+        .violations()
+        .stream()
         .anyMatch(v -> v.rule() == rule);
   }
 
@@ -107,17 +109,17 @@
     return left;
   }
 
-  private double shortest(List<Drawn> troubles) {
+  private double shortest(List<Drawn> faults) {
     double seconds = scenario.seconds();
-    for (double next = seconds / 2; next >= 0.2 && fails(troubles, next); next /= 2) {
+    for (double next = seconds / 2; next >= 0.2 && fails(faults, next); next /= 2) {
       seconds = next;
       progress.accept(seconds + " s left");
     }
     return seconds;
   }
 
-  private List<Drawn> briefest(List<Drawn> troubles, double seconds) {
-    List<Drawn> left = new ArrayList<>(troubles);
+  private List<Drawn> briefest(List<Drawn> faults, double seconds) {
+    List<Drawn> left = new ArrayList<>(faults);
     for (int i = 0; i < left.size(); i++) {
       for (long us = left.get(i).forUs() / 2; us >= 1000; us /= 2) {
         Drawn was = left.get(i);
@@ -147,15 +149,15 @@
     return out.append(
             write(
                 text.replaceFirst("(?m)^seconds *=.*$", "seconds = " + result.seconds()),
-                result.troubles()))
+                result.faults()))
         .toString();
   }
 
   /** The text of a scenario with these troubles, fixed, in place of its own. */
-  public static String write(String text, List<Drawn> troubles) {
-    StringBuilder out = new StringBuilder(ScenarioReader.withoutTroubles(text).stripTrailing());
-    for (Drawn drawn : troubles) {
-      Trouble is = drawn.from();
+  public static String write(String text, List<Drawn> faults) {
+    StringBuilder out = new StringBuilder(ScenarioReader.withoutFaults(text).stripTrailing());
+    for (Drawn drawn : faults) {
+      Fault is = drawn.from();
       out.append(
           String.format(
               Locale.ROOT,
--- a/emulator/src/main/java/dillcross/emulator/run/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Sweep.java
@@ -1,7 +1,7 @@
 package dillcross.emulator.run;
 
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.world.Day;
+import dillcross.emulator.world.Simulation;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -24,7 +24,7 @@
       long seeds,
       long broken,
       long steps,
-      long ops,
+      long requests,
       long turns,
       long simulatedUs,
       long ns,
@@ -32,19 +32,19 @@
 
   private final Scenario scenario;
   private final int jobs;
-  private final Map<Long, Day.Result> early = new TreeMap<>(); // done before their turn
+  private final Map<Long, Simulation.Result> early = new TreeMap<>(); // done before their turn
   private final MessageDigest digest;
-  private final Consumer<Day.Result> each;
+  private final Consumer<Simulation.Result> each;
   private long next;
   private long seeds;
   private long broken;
   private long steps;
-  private long ops;
+  private long requests;
   private long turns;
   private long simulatedUs;
 
   /** {@code each} hears of the days one at a time and in the order of their seeds. */
-  public Sweep(Scenario scenario, int jobs, Consumer<Day.Result> each) {
+  public Sweep(Scenario scenario, int jobs, Consumer<Simulation.Result> each) {
     this.scenario = scenario;
     this.jobs = jobs;
     this.each = each;
@@ -72,7 +72,7 @@
                           () -> {
                             ahead.acquire();
                             for (long s; (s = seed.getAndIncrement()) <= to; ) {
-                              ahead.release(done(Day.play(scenario, s)));
+                              ahead.release(done(Simulation.play(scenario, s)));
                               ahead.acquire();
                             }
                             ahead.release(1); // what it holds goes to those that still play
@@ -91,7 +91,7 @@
         seeds,
         broken,
         steps,
-        ops,
+        requests,
         turns,
         simulatedUs,
         System.nanoTime() - startNs,
@@ -99,19 +99,19 @@
   }
 
   /** How many days were told of. */
-  private synchronized int done(Day.Result day) {
+  private synchronized int done(Simulation.Result day) {
     early.put(day.seed(), day);
-    int told = 0;
-    for (Day.Result one; (one = early.remove(next)) != null; next++, told++) {
+    int notified = 0;
+    for (Simulation.Result one; (one = early.remove(next)) != null; next++, notified++) {
       digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
       seeds++;
       broken += one.broken();
       steps += one.steps();
-      ops += one.ops();
+      requests += one.requests();
       turns += one.turns();
       simulatedUs += one.simulatedUs();
       each.accept(one);
     }
-    return told;
+    return notified;
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Trouble.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Fault.java
@@ -3,7 +3,7 @@
 /**
  * What goes wrong in a day, as a scenario words it. Times are milliseconds from the first arrival.
  */
-public record Trouble(
+public record Fault(
     String id,
     Kind kind,
     Range atMs,
@@ -15,9 +15,9 @@
     int count) {
   /** What a trouble can be, and what it strikes. */
   public enum Kind {
-    /** The endpoint's process dies and comes back cold after a while. */
+    /** The endpoint's process dies and comes back warming up after a while. */
     DIE(On.ENDPOINT),
-    /** The endpoint's machine says nothing, and is back cold after a while. */
+    /** The endpoint's machine says nothing, and is back warming up after a while. */
     VANISH(On.ENDPOINT),
     /** The endpoint takes requests and answers none. */
     SILENCE(On.ENDPOINT),
@@ -97,5 +97,5 @@
   }
 
   /** One that was drawn: when, for how long and whom it strikes. */
-  public record Drawn(Trouble from, long atUs, long forUs, String target, double factor) {}
+  public record Drawn(Fault from, long atUs, long forUs, String target, double factor) {}
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Range.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Range.java
@@ -1,18 +1,18 @@
 package dillcross.emulator.scenario;
 
-import dillcross.emulator.chance.Chance;
+import dillcross.emulator.random.RandomStream;
 
 /** A figure that is drawn for each day; one value where both ends are the same. */
-public record Range(double least, double most) {
+public record Range(double min, double max) {
   public static Range of(double value) {
     return new Range(value, value);
   }
 
-  public double draw(Chance chance) {
-    return most > least ? chance.between(least, most) : least;
+  public double draw(RandomStream random) {
+    return max > min ? random.between(min, max) : min;
   }
 
-  public long drawUs(Chance chance) {
-    return Math.round(draw(chance) * 1000);
+  public long drawUs(RandomStream random) {
+    return Math.round(draw(random) * 1000);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -8,14 +8,14 @@
     String name,
     double seconds,
     Fleet sidecars,
-    Map<String, String> told,
-    List<Kind> categories,
-    Clients clients,
+    Map<String, String> notified,
+    List<Kind> requestClasses,
+    EmulatedClients clients,
     Endpoints endpoints,
-    Directory list,
+    DiscoveryService list,
     Net network,
     Rules rules,
-    List<Trouble> troubles) {
+    List<Fault> faults) {
 
   /** The sidecars; those with the same index modulo the zones share a zone. */
   public record Fleet(
@@ -27,15 +27,15 @@
       int memoryMb,
       int calls) {}
 
-  /** One category, as the sidecars are told it and as endpoints carry it out. */
+  /** One request class, as the sidecars are told it and as endpoints carry it out. */
   public record Kind(
       String name,
       String effect,
       String scope,
       double windowMs,
       double targetMs,
-      double ttlMs,
-      double benefit,
+      double timeoutMs,
+      double priorityWeight,
       double share,
       double workMs,
       double spread,
@@ -43,7 +43,7 @@
       int answerBytes) {}
 
   /** The clients of each sidecar. */
-  public record Clients(
+  public record EmulatedClients(
       double perS,
       String retry,
       int retries,
@@ -69,10 +69,10 @@
       double reportShare,
       boolean chunks) {}
 
-  public record Directory(Range delayMs, double tellMs) {}
+  public record DiscoveryService(Range delayMs, double tellMs) {}
 
   public record Net(double nearUs, double farUs, double jitterUs) {}
 
   /** What the oracle allows beside the rules themselves. */
-  public record Rules(double answerSlackMs, double drainSlackMs, double coldSlack) {}
+  public record Rules(double answerSlackMs, double drainSlackMs, double slowStartSlack) {}
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
@@ -27,26 +27,26 @@
   private static final LevenshteinDistance NEARNESS = LevenshteinDistance.getDefaultInstance();
   private static final String LIKE = "like"; // the file whose parts stand for those that are absent
   private final String file;
-  private final List<String> faults = new ArrayList<>();
+  private final List<String> errors = new ArrayList<>();
 
   private ScenarioReader(String file) {
     this.file = file;
   }
 
-  public static Scenario read(Path file) throws Faulty {
+  public static Scenario read(Path file) throws InvalidScenarioException {
     return parse(file.toString(), text(file));
   }
 
-  private static String text(Path file) throws Faulty {
+  private static String text(Path file) throws InvalidScenarioException {
     try {
       return Files.readString(file, StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new Faulty(List.of(file + ": can't be read: " + e));
+      throw new InvalidScenarioException(List.of(file + ": can't be read: " + e));
     }
   }
 
   /** {@code file} is its name in messages, and where another is looked for that it is like. */
-  public static Scenario parse(String file, String text) throws Faulty {
+  public static Scenario parse(String file, String text) throws InvalidScenarioException {
     ScenarioReader reader = new ScenarioReader(file);
     TomlTable toml = parsed(file, text);
     Section like = null;
@@ -55,16 +55,16 @@
       like = reader.new Section(parsed(from, text(Path.of(from))), "", null, from, null);
     }
     Scenario scenario = reader.scenario(reader.new Section(toml, "", null, file, like));
-    if (!reader.faults.isEmpty()) {
-      throw new Faulty(reader.faults);
+    if (!reader.errors.isEmpty()) {
+      throw new InvalidScenarioException(reader.errors);
     }
     return scenario;
   }
 
-  private static TomlTable parsed(String file, String text) throws Faulty {
+  private static TomlTable parsed(String file, String text) throws InvalidScenarioException {
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
-      throw new Faulty(
+      throw new InvalidScenarioException(
           toml.errors().stream()
               .map(e -> file + ":" + e.position().line() + ": " + e.getMessage())
               .toList());
@@ -73,7 +73,7 @@
   }
 
   /** The text of a scenario without its troubles, which stand last. */
-  public static String withoutTroubles(String text) {
+  public static String withoutFaults(String text) {
     Matcher first = TROUBLE.matcher(text);
     return first.find() ? text.substring(0, first.start()) : text;
   }
@@ -86,15 +86,15 @@
     Section s = top.section("sidecars");
     Scenario.Fleet fleet =
         new Scenario.Fleet(
-            s.whole("count", 3, 1, 10_000),
+            s.complete("count", 3, 1, 10_000),
             s.words("zones", zones),
-            s.whole("turn_us", 20, 0, 100_000),
+            s.complete("turn_us", 20, 0, 100_000),
             s.range("start_ms", 100, 100),
-            s.whole("descriptors", 256, 128, 65_536),
-            s.whole("memory_mb", 128, 64, 65_536),
-            s.whole("calls", 4, 0, 1000));
+            s.complete("descriptors", 256, 128, 65_536),
+            s.complete("memory_mb", 128, 64, 65_536),
+            s.complete("calls", 4, 0, 1000));
     s.done();
-    Map<String, String> told = told(top.section("settings"));
+    Map<String, String> notified = notified(top.section("settings"));
     List<Scenario.Kind> kinds = new ArrayList<>();
     for (Section c : top.sections("category")) {
       kinds.add(
@@ -109,35 +109,35 @@
               c.number("share", 1, 0, 1e6),
               c.number("work_ms", 20, 0.001, 1e5),
               c.number("spread", 0.5, 0, 3),
-              c.whole("body_bytes", 100, 0, 32 << 20),
-              c.whole("answer_bytes", 200, 0, 32 << 20)));
+              c.complete("body_bytes", 100, 0, 32 << 20),
+              c.complete("answer_bytes", 200, 0, 32 << 20)));
       c.done();
     }
     if (kinds.isEmpty()) {
-      faults.add(file + ": category: at least one is needed");
+      errors.add(file + ": category: at least one is needed");
     }
     s = top.section("clients");
-    Scenario.Clients clients =
-        new Scenario.Clients(
+    Scenario.EmulatedClients clients =
+        new Scenario.EmulatedClients(
             s.number("per_s", 20, 0, 1e5),
             s.oneOf("retry", "none", "none", "at_once", "after"),
-            s.whole("retries", 2, 0, 100),
+            s.complete("retries", 2, 0, 100),
             s.number("leave_share", 0, 0, 1),
             s.range("leave_ms", 20, 200),
             s.number("pieces_share", 0, 0, 1),
             s.number("close_share", 0, 0, 1),
-            s.whole("resting", 0, 0, 100_000),
+            s.complete("resting", 0, 0, 100_000),
             s.number("patience_ms", 700, 0, 1e6));
     s.done();
     s = top.section("endpoints");
     Scenario.Endpoints endpoints =
         new Scenario.Endpoints(
-            s.whole("count", 8, 1, 10_000),
+            s.complete("count", 8, 1, 10_000),
             s.words("zones", zones),
-            s.whole("cells", 3, 1, 1000),
+            s.complete("cells", 3, 1, 1000),
             s.number("cores", 2, 0.1, 1000),
-            s.whole("queue", 30, 0, 100_000),
-            s.whole("connections", 200, 1, 100_000),
+            s.complete("queue", 30, 0, 100_000),
+            s.complete("connections", 200, 1, 100_000),
             s.number("idle_close_ms", 5000, 1, 1e7),
             s.number("choke_above", 1e6, 0, 1e6),
             s.number("choke", 0, 0, 100),
@@ -147,8 +147,8 @@
             s.flag("chunks", false));
     s.done();
     s = top.section("list");
-    Scenario.Directory list =
-        new Scenario.Directory(s.range("delay_ms", 1, 1), s.number("tell_ms", 5, 0, 1e6));
+    Scenario.DiscoveryService list =
+        new Scenario.DiscoveryService(s.range("delay_ms", 1, 1), s.number("tell_ms", 5, 0, 1e6));
     s.done();
     s = top.section("network");
     Scenario.Net net =
@@ -164,10 +164,10 @@
             s.number("drain_slack_ms", 1, 0, 1e6),
             s.number("cold_slack", 1.0, 0.1, 100));
     s.done();
-    List<Trouble> troubles = new ArrayList<>();
+    List<Fault> faults = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (Section t : top.sections("trouble")) {
-      troubles.add(trouble(t, ids, fleet, endpoints));
+      faults.add(fault(t, ids, fleet, endpoints));
       t.done();
     }
     Scenario scenario =
@@ -175,54 +175,54 @@
             top.word("name", "day"),
             top.number("seconds", 10, 0.01, 86_400),
             fleet,
-            told,
+            notified,
             kinds,
             clients,
             endpoints,
             list,
             net,
             rules,
-            troubles);
+            faults);
     top.done();
     return scenario;
   }
 
-  /** What the sidecars are told beside the categories, by the paths of their configuration. */
-  private Map<String, String> told(Section s) {
-    Map<String, String> told = new LinkedHashMap<>();
-    told.put("limits.max_pushes", "" + s.whole("max_pushes", 3, 1, 100));
-    told.put("limits.may_duplicate", "" + s.flag("may_duplicate", true));
-    told.put("limits.cancel", "" + s.flag("cancel", true));
-    told.put("limits.retry_after", "" + s.flag("retry_after", true));
-    told.put("limits.max_retry_after_ms", "" + s.number("max_retry_after_ms", 1000, 0, 1e6));
-    told.put("limits.connect_timeout_ms", "" + s.number("connect_timeout_ms", 200, 1, 1e6));
-    told.put("limits.keepalive_ms", "" + s.number("keepalive_ms", 5000, 1, 1e7));
-    told.put("rules.ask_within_ms", "" + s.number("ask_within_ms", 5000, 1, 1e7));
-    told.put("rules.start_capacity", "" + s.number("start_capacity", 0.3, 0.01, 1));
-    told.put("rules.warm_up_ms", "" + s.number("warm_up_ms", 4000, 0, 1e7));
-    told.put("rules.fall_multiple", "" + s.number("fall_multiple", 3, 0.1, 100));
-    told.put("rules.fall_ms", "" + s.number("fall_ms", 1000, 1, 1e7));
-    told.put("prices.cross_zone", "" + s.number("cross_zone", 0.03, 0, 100));
+  /** What the sidecars are told beside the request classes, by the paths of their configuration. */
+  private Map<String, String> notified(Section s) {
+    Map<String, String> notified = new LinkedHashMap<>();
+    notified.put("limits.max_pushes", "" + s.complete("max_pushes", 3, 1, 100));
+    notified.put("limits.may_duplicate", "" + s.flag("may_duplicate", true));
+    notified.put("limits.cancel", "" + s.flag("cancel", true));
+    notified.put("limits.retry_after", "" + s.flag("retry_after", true));
+    notified.put("limits.max_retry_after_ms", "" + s.number("max_retry_after_ms", 1000, 0, 1e6));
+    notified.put("limits.connect_timeout_ms", "" + s.number("connect_timeout_ms", 200, 1, 1e6));
+    notified.put("limits.keepalive_ms", "" + s.number("keepalive_ms", 5000, 1, 1e7));
+    notified.put("rules.ask_within_ms", "" + s.number("ask_within_ms", 5000, 1, 1e7));
+    notified.put("rules.start_capacity", "" + s.number("start_capacity", 0.3, 0.01, 1));
+    notified.put("rules.warm_up_ms", "" + s.number("warm_up_ms", 4000, 0, 1e7));
+    notified.put("rules.fall_multiple", "" + s.number("fall_multiple", 3, 0.1, 100));
+    notified.put("rules.fall_ms", "" + s.number("fall_ms", 1000, 1, 1e7));
+    notified.put("prices.cross_zone", "" + s.number("cross_zone", 0.03, 0, 100));
     s.done();
-    return told;
+    return notified;
   }
 
-  private Trouble trouble(
+  private Fault fault(
       Section t, Set<String> ids, Scenario.Fleet fleet, Scenario.Endpoints endpoints) {
     String word = t.word("kind", null);
-    Trouble.Kind kind =
-        Arrays.stream(Trouble.Kind.values())
+    Fault.Kind kind =
+        Arrays.stream(Fault.Kind.values())
             .filter(k -> k.word().equals(word))
             .findFirst()
             .orElse(null);
     if (kind == null && word != null) {
-      t.fault(
+      t.error(
           "kind",
           "unknown: "
               + word
               + "; known are "
               + String.join(
-                  ", ", Arrays.stream(Trouble.Kind.values()).map(Trouble.Kind::word).toList()));
+                  ", ", Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList()));
     }
     int number =
         1; // among those of its kind, so that another kind's coming or going shifts no draw
@@ -231,28 +231,28 @@
     }
     String id = t.word("id", word + "-" + number);
     if (!ids.add(id)) {
-      t.fault("id", "stands twice: " + id);
+      t.error("id", "stands twice: " + id);
     }
     String target = t.word("target", "any");
-    Trouble.On on = kind == null ? Trouble.On.NETWORK : kind.on;
+    Fault.On on = kind == null ? Fault.On.NETWORK : kind.on;
     Set<String> known = new HashSet<>(Set.of("any", "all"));
-    if (on == Trouble.On.ENDPOINT) {
+    if (on == Fault.On.ENDPOINT) {
       for (int i = 0; i < endpoints.count(); i++) {
         known.add("e" + i);
       }
       endpoints.zones().forEach(z -> known.add("zone " + z));
-    } else if (on == Trouble.On.SIDECAR || on == Trouble.On.CLIENTS) {
+    } else if (on == Fault.On.SIDECAR || on == Fault.On.CLIENTS) {
       for (int i = 0; i < fleet.count(); i++) {
         known.add("s" + i);
       }
-    } else if (on == Trouble.On.ZONE) {
+    } else if (on == Fault.On.ZONE) {
       known.addAll(fleet.zones());
       known.addAll(endpoints.zones());
     }
     if (!known.contains(target)) {
-      t.fault("target", "there is no " + target + " that this kind could strike");
+      t.error("target", "there is no " + target + " that this kind could strike");
     }
-    return new Trouble(
+    return new Fault(
         id,
         kind,
         t.range("at_ms", 0, 0),
@@ -261,7 +261,7 @@
         t.range("factor", 4, 4),
         t.number("share", 0.5, 0, 1),
         t.oneOf("mode", "after", "before", "after", "answer", "refuse", "silent", "error"),
-        t.whole("count", 1, 1, 1000));
+        t.complete("count", 1, 1, 1000));
   }
 
   /**
@@ -273,7 +273,7 @@
     private final TomlPosition at;
     private final String in; // the file
     private final Section like; // whose parts stand for those that are absent; null where none do
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requested = new HashSet<>();
 
     Section(TomlTable table, String path, TomlPosition at, String in, Section like) {
       this.table = table;
@@ -283,14 +283,14 @@
       this.like = like;
     }
 
-    void fault(String key, String what) {
+    void error(String key, String what) {
       TomlPosition where = table.inputPositionOf(List.of(key));
       where = where == null ? at : where;
-      faults.add(in + (where == null ? "" : ":" + where.line()) + ": " + path + key + ": " + what);
+      errors.add(in + (where == null ? "" : ":" + where.line()) + ": " + path + key + ": " + what);
     }
 
     private Object take(String key) {
-      asked.add(key);
+      requested.add(key);
       return table.get(List.of(key));
     }
 
@@ -299,7 +299,7 @@
       if (value == null && like != null) {
         return like.section(key);
       } else if (value != null && !(value instanceof TomlTable)) {
-        fault(key, "has to be a table");
+        error(key, "has to be a table");
       }
       return new Section(
           value instanceof TomlTable t ? t : Toml.parse(""),
@@ -326,42 +326,42 @@
                   null));
         }
       } else if (value != null) {
-        fault(key, "has to be a list of tables");
+        error(key, "has to be a list of tables");
       }
       return all;
     }
 
-    double number(String key, double ifAbsent, double least, double most) {
+    double number(String key, double ifAbsent, double min, double max) {
       Object value = take(key);
       if (value == null) {
-        return like == null ? ifAbsent : like.number(key, ifAbsent, least, most);
+        return like == null ? ifAbsent : like.number(key, ifAbsent, min, max);
       }
       if (!(value instanceof Number number)) {
-        fault(key, "has to be a number");
+        error(key, "has to be a number");
         return ifAbsent;
       }
-      return within(key, number.doubleValue(), least, most);
+      return within(key, number.doubleValue(), min, max);
     }
 
-    private double within(String key, double value, double least, double most) {
-      if (!(value >= least && value <= most)) {
-        fault(
+    private double within(String key, double value, double min, double max) {
+      if (!(value >= min && value <= max)) {
+        error(
             key,
             String.format(
                 Locale.ROOT,
                 "out of range: %s; from %s to %s",
                 plain(value),
-                plain(least),
-                plain(most)));
-        return least;
+                plain(min),
+                plain(max)));
+        return min;
       }
       return value;
     }
 
-    int whole(String key, int ifAbsent, int least, int most) {
-      double value = number(key, ifAbsent, least, most);
+    int complete(String key, int ifAbsent, int min, int max) {
+      double value = number(key, ifAbsent, min, max);
       if (value != Math.rint(value)) {
-        fault(key, "has to be a whole number");
+        error(key, "has to be a whole number");
       }
       return (int) value;
     }
@@ -369,7 +369,7 @@
     boolean flag(String key, boolean ifAbsent) {
       Object value = take(key);
       if (value != null && !(value instanceof Boolean)) {
-        fault(key, "neither true nor false");
+        error(key, "neither true nor false");
       }
       return value instanceof Boolean flag ? flag : ifAbsent;
     }
@@ -378,9 +378,9 @@
     String word(String key, String ifAbsent) {
       Object value = take(key);
       if (value == null && ifAbsent == null) {
-        fault(key, "is missing");
+        error(key, "is missing");
       } else if (value != null && !(value instanceof String)) {
-        fault(key, "has to be text");
+        error(key, "has to be text");
       }
       return value instanceof String word ? word : ifAbsent;
     }
@@ -388,7 +388,7 @@
     String oneOf(String key, String ifAbsent, String... known) {
       String word = word(key, ifAbsent);
       if (!List.of(known).contains(word)) {
-        fault(key, "unknown: " + word + "; known are " + String.join(", ", known));
+        error(key, "unknown: " + word + "; known are " + String.join(", ", known));
       }
       return word;
     }
@@ -403,12 +403,12 @@
           && array.toList().stream().allMatch(String.class::isInstance)) {
         return array.toList().stream().map(String.class::cast).toList();
       }
-      fault(key, "has to be a list of texts, and not an empty one");
+      error(key, "has to be a list of texts, and not an empty one");
       return ifAbsent;
     }
 
     /** One number, or two between which each day draws. */
-    Range range(String key, double least, double most) {
+    Range range(String key, double min, double max) {
       Object value = take(key);
       if (value instanceof Number number) {
         return Range.of(within(key, number.doubleValue(), 0, 1e9));
@@ -418,21 +418,21 @@
         double from = within(key, ((Number) array.get(0)).doubleValue(), 0, 1e9);
         return new Range(from, within(key, ((Number) array.get(1)).doubleValue(), from, 1e9));
       } else if (value != null) {
-        fault(key, "has to be a number, or two of which the second is not smaller");
+        error(key, "has to be a number, or two of which the second is not smaller");
       }
-      return new Range(least, most);
+      return new Range(min, max);
     }
 
     void done() {
       for (String key : table.keySet()) {
-        if (!asked.contains(key)) {
+        if (!requested.contains(key)) {
           String near =
-              asked.stream()
+              requested.stream()
                   .min(
                       java.util.Comparator.<String>comparingInt(k -> NEARNESS.apply(k, key))
                           .thenComparing(k -> k))
                   .orElse("");
-          fault(
+          error(
               key,
               "unknown key"
                   + (NEARNESS.apply(near, key) <= 3 ? "; did you mean " + near + "?" : ""));
--- a/emulator/src/main/java/dillcross/emulator/time/Timeline.java
+++ b/emulator/src/main/java/dillcross/emulator/time/VirtualClock.java
@@ -6,7 +6,7 @@
  * Virtual time: whole microseconds, and what is to happen when. What is due together happens in the
  * order of asking.
  */
-public final class Timeline {
+public final class VirtualClock {
   private record Event(long atUs, long order, Runnable what) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
@@ -19,7 +19,7 @@
   private long order;
   private long steps;
 
-  public Timeline(long startUs) {
+  public VirtualClock(long startUs) {
     nowUs = startUs;
   }
 
--- a/emulator/src/main/java/dillcross/emulator/wire/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/EmulatedNetwork.java
@@ -1,6 +1,6 @@
 package dillcross.emulator.wire;
 
-import dillcross.emulator.time.Timeline;
+import dillcross.emulator.time.VirtualClock;
 import dillcross.net.transport.Network;
 import dillcross.net.transport.TransportChannel;
 import java.io.IOException;
@@ -18,9 +18,9 @@
 public final class EmulatedNetwork implements Network {
   private static final int MOST_IDLE_TURNS = 20_000; // within a millisecond: it spins
 
-  private final Timeline time;
-  private final Fabric fabric;
-  private final Host host;
+  private final VirtualClock time;
+  private final VirtualNetwork fabric;
+  private final VirtualMachine host;
   private final String ip;
   private final long turnUs;
   private final Runnable turned;
@@ -38,7 +38,12 @@
 
   /** {@code turned} is called after each turn. */
   public EmulatedNetwork(
-      Timeline time, Fabric fabric, Host host, String ip, long turnUs, Runnable turned) {
+      VirtualClock time,
+      VirtualNetwork fabric,
+      VirtualMachine host,
+      String ip,
+      long turnUs,
+      Runnable turned) {
     this.time = time;
     this.fabric = fabric;
     this.host = host;
@@ -137,8 +142,8 @@
   }
 
   /**
-   * Days of ops play no talk among sidecars; {@code dillcross.emulator.members} carries datagrams
-   * between memberships.
+   * Days of requests play no talk among sidecars; {@code dillcross.emulator.members} carries
+   * datagrams between memberships.
    */
   @Override
   public DatagramTransport bindDatagrams(
@@ -173,7 +178,7 @@
   }
 
   /** A listening socket; what connects while it accepts nothing waits in its queue. */
-  private final class EmulatedListeningSocket implements ListeningSocket, Fabric.Entry {
+  private final class EmulatedListeningSocket implements ListeningSocket, VirtualNetwork.Entry {
     private final String address;
     private final ConnectionAcceptor acceptor;
     private final ArrayDeque<Socket> queue = new ArrayDeque<>();
@@ -186,12 +191,12 @@
     }
 
     @Override
-    public Host host() {
+    public VirtualMachine host() {
       return host;
     }
 
     @Override
-    public void connected(End end) {
+    public void connected(SocketEndpoint end) {
       Socket socket = new Socket();
       socket.end = end;
       socket.listening = this;
@@ -235,8 +240,8 @@
   }
 
   /** One connection of the process. */
-  private final class Socket implements TransportChannel, End.Owner {
-    private End end;
+  private final class Socket implements TransportChannel, SocketEndpoint.Owner {
+    private SocketEndpoint end;
     private ConnectionHandler handler;
     private ConnectCallback callback; // until it is up
     private EmulatedListeningSocket listening; // until it is accepted
@@ -249,19 +254,19 @@
     private boolean closed;
 
     @Override
-    public void up(End up) {
+    public void up(SocketEndpoint up) {
       cameUp = true;
       mark(this);
     }
 
     @Override
-    public void failed(End dead) {
+    public void failed(SocketEndpoint dead) {
       failed = true;
       mark(this);
     }
 
     @Override
-    public void readable(End from) {
+    public void readable(SocketEndpoint from) {
       if (tells && listening == null && callback == null) {
         mark(this);
       } else if (listening != null && listening.accepts) {
@@ -270,7 +275,7 @@
     }
 
     @Override
-    public void taken(End by) {
+    public void taken(SocketEndpoint by) {
       isTaken = true;
       mark(this);
     }
@@ -314,7 +319,7 @@
       }
       boolean once = again;
       again = false;
-      if (!closed && (once || tells && end.hasNews())) {
+      if (!closed && (once || (tells && end.hasNews()))) {
         handler.onReadable();
       }
       if (!closed && tells && end.hasNews()) {
--- a/emulator/src/main/java/dillcross/emulator/wire/End.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/SocketEndpoint.java
@@ -7,24 +7,24 @@
  * One side of a connection: what has come and was not read, what was sent and not taken over.
  * Behaves as a TCP socket of a running system does, as far as a program above it can tell.
  */
-public final class End {
+public final class SocketEndpoint {
   /** Who is behind it; each call comes from an event of its own. */
   public interface Owner {
     /** The connection that was asked for is up. */
-    default void up(End end) {
+    default void up(SocketEndpoint end) {
       throw new IllegalStateException("it asked for nothing");
     }
 
     /** It can't be had. */
-    default void failed(End end) {
+    default void failed(SocketEndpoint end) {
       // there is nobody, and nothing to do about it
     }
 
     /** There is something to read, or the end of it, or word of a reset. */
-    void readable(End end);
+    void readable(SocketEndpoint end);
 
     /** All that was handed over is taken; who sends all at once never waits for it. */
-    default void taken(End end) {
+    default void taken(SocketEndpoint end) {
       // it never waits
     }
   }
@@ -33,11 +33,11 @@
 
   private record Piece(byte[] bytes, long sentUs, Runnable read) {}
 
-  final Fabric fabric;
-  final Host host;
+  final VirtualNetwork fabric;
+  final VirtualMachine host;
   final long line; // the same at both sides
-  final boolean asks; // this side connected
-  End peer;
+  final boolean requests; // this side connected
+  SocketEndpoint peer;
   Owner owner;
   long events; // of its that were carried
   long lastArrivalUs; // what is sent later does not come earlier
@@ -55,11 +55,11 @@
   private boolean hard; // it was closed with a reset: its system sends nothing again
   private long firstSentUs; // of the bytes that were read last
 
-  End(Fabric fabric, Host host, long line, boolean asks) {
+  SocketEndpoint(VirtualNetwork fabric, VirtualMachine host, long line, boolean requests) {
     this.fabric = fabric;
     this.host = host;
     this.line = line;
-    this.asks = asks;
+    this.requests = requests;
   }
 
   /** Who hears from it from now on. */
@@ -67,11 +67,11 @@
     owner = by;
   }
 
-  public Host host() {
+  public VirtualMachine host() {
     return host;
   }
 
-  public Host other() {
+  public VirtualMachine other() {
     return peer.host;
   }
 
@@ -99,7 +99,7 @@
 
   /** All that has come was read, and nothing more will. */
   public boolean over() {
-    return reset || ended && unread == 0;
+    return reset || (ended && unread == 0);
   }
 
   /** When the first of the bytes was sent that the last read gave. */
@@ -153,7 +153,7 @@
           peer.host,
           () -> {
             if (open && waits != null && !reset) {
-              push();
+              attempt();
               if (waits == null) {
                 owner.taken(this);
               }
@@ -165,7 +165,7 @@
   /** Hands bytes over; false where all of them are taken, true where its owner is told later. */
   public boolean send(ByteBuffer run) {
     waits = run;
-    push();
+    attempt();
     return waits != null;
   }
 
@@ -180,7 +180,7 @@
     }
   }
 
-  private void push() {
+  private void attempt() {
     int count = (int) Math.min(waits.remaining(), Math.max(0, WINDOW - lent));
     if (count > 0) {
       byte[] bytes = new byte[count];
--- a/emulator/src/main/java/dillcross/emulator/wire/Host.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/VirtualMachine.java
@@ -6,28 +6,28 @@
 /**
  * A process on the emulated network, one after another of them, and the machine that it runs on.
  */
-public final class Host {
+public final class VirtualMachine {
   final String name;
   final String zone;
-  final Set<End> ends = new LinkedHashSet<>(); // of the process that runs on it
-  boolean gone; // the machine is off or cut off for good: it says nothing
+  final Set<SocketEndpoint> ends = new LinkedHashSet<>(); // of the process that runs on it
+  boolean removed; // the machine is off or cut off for good: it says nothing
 
-  private final Host machine;
+  private final VirtualMachine machine;
 
-  public Host(String name, String zone) {
+  public VirtualMachine(String name, String zone) {
     this.name = name;
     this.zone = zone;
     machine = this;
   }
 
   /** Beside another, on the same machine. */
-  public Host(String name, Host beside) {
+  public VirtualMachine(String name, VirtualMachine beside) {
     this.name = name;
     zone = beside.zone;
     machine = beside.machine;
   }
 
-  boolean beside(Host other) {
+  boolean beside(VirtualMachine other) {
     return machine == other.machine;
   }
 
--- a/emulator/src/main/java/dillcross/emulator/wire/Fabric.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/VirtualNetwork.java
@@ -1,7 +1,7 @@
 package dillcross.emulator.wire;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.time.Timeline;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.time.VirtualClock;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -13,16 +13,16 @@
  * nothing, what is sent in one piece coming in several. What is cut waits, as a system sends again
  * until it is answered.
  */
-public final class Fabric {
+public final class VirtualNetwork {
   /** Who accepts connections at an address. */
   public interface Entry {
-    Host host();
+    VirtualMachine host();
 
     /** The other side's connect has come; the end is up when this returns. */
-    void connected(End end);
+    void connected(SocketEndpoint end);
   }
 
-  private final Timeline time;
+  private final VirtualClock time;
   private final long seed;
   private final long nearUs; // within a zone, one way
   private final long farUs; // between zones
@@ -39,9 +39,10 @@
   private final Map<String, Long> lines =
       new LinkedHashMap<>(); // how many, by who connects to whom
 
-  public Fabric(Timeline time, Chance chance, long nearUs, long farUs, long jitterUs) {
+  public VirtualNetwork(
+      VirtualClock time, RandomStream random, long nearUs, long farUs, long jitterUs) {
     this.time = time;
-    seed = chance.any();
+    seed = random.any();
     this.nearUs = nearUs;
     this.farUs = farUs;
     this.jitterUs = jitterUs;
@@ -56,9 +57,9 @@
   }
 
   /** A machine that is not there: what is sent to it nobody answers. */
-  public static Host nowhere() {
-    Host nowhere = new Host("nowhere", "nowhere");
-    nowhere.gone = true;
+  public static VirtualMachine nowhere() {
+    VirtualMachine nowhere = new VirtualMachine("nowhere", "nowhere");
+    nowhere.removed = true;
     return nowhere;
   }
 
@@ -98,8 +99,8 @@
   }
 
   /** The process on a host ends: its connections are reset. */
-  public void kill(Host host) {
-    for (End end : List.copyOf(host.ends)) {
+  public void kill(VirtualMachine host) {
+    for (SocketEndpoint end : List.copyOf(host.ends)) {
       end.breakOff();
     }
   }
@@ -107,22 +108,22 @@
   /**
    * The process on a host ends, and its system closes its connections: what was sent still comes.
    */
-  public void end(Host host) {
-    for (End end : List.copyOf(host.ends)) {
+  public void end(VirtualMachine host) {
+    for (SocketEndpoint end : List.copyOf(host.ends)) {
       end.close();
     }
   }
 
   /** The machine says nothing from now on. */
-  public void vanish(Host host) {
-    host.gone = true;
+  public void vanish(VirtualMachine host) {
+    host.removed = true;
   }
 
   /** It is back, with a new process that knows nothing of what was open. */
-  public void back(Host host) {
-    host.ends.forEach(End::vanish);
+  public void back(VirtualMachine host) {
+    host.ends.forEach(SocketEndpoint::vanish);
     host.ends.clear();
-    host.gone = false;
+    host.removed = false;
   }
 
   private static String pair(String a, String b) {
@@ -135,7 +136,7 @@
    * The spread of a delay is drawn from where in which line it is: a day without one of its
    * troubles stays like itself.
    */
-  private long delayUs(End end, Host from, Host to) {
+  private long delayUs(SocketEndpoint end, VirtualMachine from, VirtualMachine to) {
     long base = from.beside(to) ? 15 : from.zone.equals(to.zone) ? nearUs : farUs;
     Long lag = lags.isEmpty() ? null : lags.get(pair(from.zone, to.zone));
     return base
@@ -143,7 +144,8 @@
         + (from.beside(to) || jitterUs == 0
             ? 0
             : Math.floorMod(
-                mix(seed ^ end.line * 2 + (end.asks ? 1 : 0) ^ end.events++ << 20), jitterUs + 1));
+                mix(seed ^ end.line * 2 + (end.requests ? 1 : 0) ^ end.events++ << 20),
+                jitterUs + 1));
   }
 
   private static long mix(long x) {
@@ -157,8 +159,8 @@
   }
 
   /** Has something done when word of it gets from one host to the other. */
-  void after(End end, Host from, Host to, Runnable what) {
-    if (from.gone || to.gone) {
+  void after(SocketEndpoint end, VirtualMachine from, VirtualMachine to, Runnable what) {
+    if (from.removed || to.removed) {
       return; // nobody ever hears of it
     }
     if (!from.beside(to) && !cuts.isEmpty() && cuts.containsKey(pair(from.zone, to.zone))) {
@@ -169,7 +171,7 @@
     time.after(
         delayUs(end, from, to),
         () -> {
-          if (!to.gone) {
+          if (!to.removed) {
             what.run();
           }
         });
@@ -179,9 +181,9 @@
    * The same in the order in which an end sends; {@code data} is let go with a reset of that end
    * while it waits for a cut.
    */
-  private void inOrder(End from, boolean data, Runnable what) {
-    End to = from.peer;
-    if (from.host.gone || to.host.gone) {
+  private void inOrder(SocketEndpoint from, boolean data, Runnable what) {
+    SocketEndpoint to = from.peer;
+    if (from.host.removed || to.host.removed) {
       return;
     }
     if (!from.host.beside(to.host)
@@ -201,15 +203,15 @@
     time.at(
         from.lastArrivalUs,
         () -> {
-          if (!to.host.gone) {
+          if (!to.host.removed) {
             what.run();
           }
         });
   }
 
-  void carry(End from, byte[] bytes, Runnable read) {
+  void carry(SocketEndpoint from, byte[] bytes, Runnable read) {
     long sentUs = time.now();
-    End to = from.peer;
+    SocketEndpoint to = from.peer;
     for (int at = 0; at < bytes.length; at += pieceBytes) {
       int end = (int) Math.min(bytes.length, (long) at + pieceBytes);
       byte[] piece =
@@ -227,21 +229,21 @@
     }
   }
 
-  void carryEnd(End from) {
+  void carryEnd(SocketEndpoint from) {
     inOrder(from, false, from.peer::arriveEnd);
   }
 
-  void carryReset(End from) {
+  void carryReset(SocketEndpoint from) {
     inOrder(from, false, from.peer::arriveReset);
   }
 
-  private void count(End from, byte[] bytes) {
+  private void count(SocketEndpoint from, byte[] bytes) {
     long now = time.now();
     for (int i = 0; i < 8; i++) {
-      mark[i] = (byte) (now >>> 8 * i);
-      mark[8 + i] = (byte) (from.line >>> 8 * i);
+      mark[i] = (byte) (now >>> (8 * i));
+      mark[8 + i] = (byte) (from.line >>> (8 * i));
     }
-    mark[16] = (byte) (from.asks ? 1 : 0);
+    mark[16] = (byte) (from.requests ? 1 : 0);
     all.update(mark, 0, 17);
     all.update(bytes, 0, bytes.length);
   }
@@ -252,20 +254,20 @@
    * Begins to connect; the owner hears what becomes of it, or nothing where the other side says
    * nothing.
    */
-  public End connect(Host from, String address, End.Owner owner) {
+  public SocketEndpoint connect(VirtualMachine from, String address, SocketEndpoint.Owner owner) {
     String way = from.name + ">" + address;
     long line = mix(way.hashCode() * 31L + lines.merge(way, 1L, Long::sum));
-    End near = new End(this, from, line, true);
+    SocketEndpoint near = new SocketEndpoint(this, from, line, true);
     near.owner = owner;
     from.ends.add(near);
     Entry entry = entries.get(address);
-    Host to = entry == null ? null : entry.host();
+    VirtualMachine to = entry == null ? null : entry.host();
     if (to == null) { // the machine answers for the process that is not there
       time.after(from.zone.isEmpty() ? nearUs : 2 * nearUs, () -> refuse(near));
-      near.peer = new End(this, from, near.line, false);
+      near.peer = new SocketEndpoint(this, from, near.line, false);
       return near;
     }
-    End far = new End(this, to, near.line, false);
+    SocketEndpoint far = new SocketEndpoint(this, to, near.line, false);
     near.peer = far;
     far.peer = near;
     inOrder(
@@ -294,7 +296,7 @@
     return near;
   }
 
-  private static void refuse(End near) {
+  private static void refuse(SocketEndpoint near) {
     if (near.isOpen() && !near.isUp()) {
       near.owner.failed(near);
       near.vanish();
--- a/emulator/src/main/java/dillcross/emulator/world/Group.java
+++ b/emulator/src/main/java/dillcross/emulator/world/DeduplicationMemory.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What a group of endpoints remembers of the keyed work that it carried out. */
-final class Group {
+final class DeduplicationMemory {
   private final Map<String, Long> seen = new HashMap<>();
 
   /** Whether this is the first time within the window. */
--- a/emulator/src/main/java/dillcross/emulator/world/Directory.java
+++ b/emulator/src/main/java/dillcross/emulator/world/DiscoveryService.java
@@ -1,10 +1,10 @@
 package dillcross.emulator.world;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.wire.End;
-import dillcross.emulator.wire.Fabric;
-import dillcross.emulator.wire.Host;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.wire.SocketEndpoint;
+import dillcross.emulator.wire.VirtualMachine;
+import dillcross.emulator.wire.VirtualNetwork;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +16,7 @@
 import java.util.Set;
 
 /** The service that knows the endpoints: a list, watches of it, and what can be wrong with both. */
-final class Directory implements Fabric.Entry {
+final class DiscoveryService implements VirtualNetwork.Entry {
   static final String ADDRESS = "127.10.0.1:8500";
   static final String OTHER_ADDRESS = "127.10.0.2:8500"; // of the same service
 
@@ -43,14 +43,14 @@
     }
   }
 
-  private final World world;
-  private final Host host;
-  private final Chance chance;
+  private final SimulationContext world;
+  private final VirtualMachine host;
+  private final RandomStream random;
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final Set<Call> calls = new LinkedHashSet<>();
   private final Set<Call> watches = new LinkedHashSet<>(); // those that wait for news
   private final Map<String, Integer> numbers = new LinkedHashMap<>(); // of calls, by who calls
-  private Instances sidecars;
+  private SidecarProcesses sidecars;
   private long version = 100;
   private Map<String, Entry> stale; // what is told in place of the list
   private long staleVersion;
@@ -60,10 +60,10 @@
   private double slowMs;
   private boolean telling; // is arranged
 
-  Directory(World world) {
+  DiscoveryService(SimulationContext world) {
     this.world = world;
-    host = new Host("list", world.scenario().endpoints().zones().get(0));
-    chance = world.chance().named("list");
+    host = new VirtualMachine("list", world.scenario().endpoints().zones().get(0));
+    random = world.random().named("list");
     listens(true);
   }
 
@@ -76,18 +76,18 @@
     }
   }
 
-  void sidecars(Instances all) {
+  void sidecars(SidecarProcesses all) {
     sidecars = all;
   }
 
   @Override
-  public Host host() {
+  public VirtualMachine host() {
     return host;
   }
 
   // ---- What is known
 
-  void put(Server server, String state, long startedMs) {
+  void put(EmulatedEndpoint server, String state, long startedMs) {
     version++;
     world.oracle().has(server.id, state.equals("in_service"));
     entries.put(
@@ -104,7 +104,7 @@
     news();
   }
 
-  void remove(Server server) {
+  void remove(EmulatedEndpoint server) {
     version++;
     Entry was = entries.get(server.id);
     world.oracle().has(server.id, false);
@@ -187,34 +187,34 @@
   // ---- Calls
 
   @Override
-  public void connected(End end) {
+  public void connected(SocketEndpoint end) {
     Call call = new Call(end);
     end.owner(call);
     calls.add(call);
   }
 
   /** One connection, and the call on it. */
-  private final class Call implements End.Owner {
-    private final End end;
-    private final Incoming incoming = new Incoming();
+  private final class Call implements SocketEndpoint.Owner {
+    private final SocketEndpoint end;
+    private final HttpStreamReader incoming = new HttpStreamReader();
     private long since;
-    private boolean asked;
+    private boolean requested;
 
-    Call(End end) {
+    Call(SocketEndpoint end) {
       this.end = end;
     }
 
     @Override
-    public void readable(End same) {
+    public void readable(SocketEndpoint same) {
       byte[] bytes = end.readAll();
       if (bytes.length > 0) {
         incoming.add(bytes, end.firstSentUs());
       }
-      if (incoming.whole() && !asked) {
-        asked = true;
+      if (incoming.complete() && !requested) {
+        requested = true;
         int number = numbers.merge(end.other().toString(), 1, Integer::sum);
         double delayMs =
-            world.scenario().list().delayMs().draw(chance.named(end.other() + " " + number))
+            world.scenario().list().delayMs().draw(random.named(end.other() + " " + number))
                 + slowMs;
         world.time().after(Math.round(delayMs * 1000), this::begin);
       }
@@ -269,27 +269,31 @@
       Map<String, Entry> known = stale == null ? entries : stale;
       long at = stale == null ? version : staleVersion;
       boolean full = since == 0 || since > at;
-      List<Entry> told =
+      List<Entry> notified =
           known.values().stream()
               .filter(e -> full ? !e.state.equals("terminated") : e.version > since)
               .toList();
       Map<String, Object> words = new LinkedHashMap<>();
       words.put("version", at);
       words.put("full", full);
-      words.put("servers", told.stream().map(Entry::words).toList());
+      words.put("servers", notified.stream().map(Entry::words).toList());
       send(
           200,
           json(words),
           () -> {
             String process = sidecars.process(end.other());
-            told.forEach(
-                e -> world.oracle().told(process, e.id, e.state.equals("in_service"), e.startedMs));
+            notified.forEach(
+                e ->
+                    world
+                        .oracle()
+                        .notified(process, e.id, e.state.equals("in_service"), e.startedMs));
             if (full) {
               world
                   .oracle()
-                  .toldOnly(process, new LinkedHashSet<>(told.stream().map(Entry::id).toList()));
+                  .notifiedOnly(
+                      process, new LinkedHashSet<>(notified.stream().map(Entry::id).toList()));
             }
-            if (!told.isEmpty()) {
+            if (!notified.isEmpty()) {
               world
                   .trace()
                   .note(
@@ -301,17 +305,17 @@
                       "full",
                       full,
                       "entries",
-                      told.size());
+                      notified.size());
             }
           });
     }
 
     private void send(int status, byte[] body, Runnable read) {
       end.send(
-          Incoming.message(
+          HttpStreamReader.message(
               "HTTP/1.1 " + status + " x", body, false, "Content-Type", "application/json"),
           read);
-      asked = false;
+      requested = false;
       incoming.next();
     }
   }
@@ -330,7 +334,7 @@
     entries.values().stream()
         .filter(e -> !e.state.equals("terminated"))
         .forEach(
-            e -> world.oracle().told(process, e.id, e.state.equals("in_service"), e.startedMs));
+            e -> world.oracle().notified(process, e.id, e.state.equals("in_service"), e.startedMs));
   }
 
   private static byte[] json(Map<String, Object> words) {
--- a/emulator/src/main/java/dillcross/emulator/world/Clients.java
+++ b/emulator/src/main/java/dillcross/emulator/world/EmulatedClients.java
@@ -1,27 +1,27 @@
 package dillcross.emulator.world;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.oracle.Ask;
+import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Violation.Rule;
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.End;
+import dillcross.emulator.wire.SocketEndpoint;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * The application beside one sidecar. Its ops come when they come, whether earlier ones are
+ * The application beside one sidecar. Its requests come when they come, whether earlier ones are
  * answered or not; it keeps connections, opens more when all are busy, and asks again, leaves early
  * or sends in pieces as the scenario says.
  */
-final class Clients {
+final class EmulatedClients {
   private static final int FLOWS =
       64 << 10; // bytes of a body beyond which its time counts from when its last byte was taken
-  private final World world;
-  private final Instance sidecar;
-  private final Scenario.Clients is;
-  private final Chance chance;
+  private final SimulationContext world;
+  private final SidecarProcess sidecar;
+  private final Scenario.EmulatedClients is;
+  private final RandomStream random;
   private final List<Scenario.Kind> kinds;
   private final double shares;
   private final ArrayDeque<Caller> idle = new ArrayDeque<>(); // the one used last is last
@@ -33,22 +33,22 @@
   private long notTaken;
   private long again;
 
-  Clients(World world, Instance sidecar) {
+  EmulatedClients(SimulationContext world, SidecarProcess sidecar) {
     this.world = world;
     this.sidecar = sidecar;
     is = world.scenario().clients();
-    chance = world.chance().named("clients of " + sidecar.name);
-    kinds = world.scenario().categories();
+    random = world.random().named("clients of " + sidecar.name);
+    kinds = world.scenario().requestClasses();
     shares = kinds.stream().mapToDouble(Scenario.Kind::share).sum();
     leaveShare = is.leaveShare();
   }
 
-  /** Ops that wait for what becomes of them. */
+  /** Requests that wait for what becomes of them. */
   long open() {
     return open;
   }
 
-  /** Ops that no process took, since none was there. */
+  /** Requests that no process took, since none was there. */
   long notTaken() {
     return notTaken;
   }
@@ -59,19 +59,19 @@
 
   // ---- When
 
-  /** Ops come from now on until then. */
+  /** Requests come from now on until then. */
   void come(long untilUs) {
     for (int i = 0; i < is.resting(); i++) {
       Caller caller = new Caller(true);
       resting.add(caller);
-      caller.ask(made(null, 0));
+      caller.request(made(null, 0));
     }
     next(untilUs);
   }
 
   private void next(long untilUs) {
     double perS = is.perS() * times;
-    long waitUs = perS <= 0 ? 50_000 : Math.min(50_000, Math.round(chance.exponential(1e6 / perS)));
+    long waitUs = perS <= 0 ? 50_000 : Math.min(50_000, Math.round(random.exponential(1e6 / perS)));
     world
         .time()
         .after(
@@ -96,7 +96,7 @@
   }
 
   /** Connections that rested ask, all within that time. */
-  void wake(int count, long withinUs, Chance own) {
+  void wake(int count, long withinUs, RandomStream own) {
     for (int i = 0; i < Math.min(count, resting.size()); i++) {
       Caller caller = resting.get(i);
       world
@@ -105,7 +105,7 @@
               own.between(0, withinUs),
               () -> {
                 if (caller.free()) {
-                  caller.ask(made(null, 0));
+                  caller.request(made(null, 0));
                 } else if (caller.over) {
                   begin(made(null, 0));
                 }
@@ -114,7 +114,7 @@
   }
 
   private Scenario.Kind kind() {
-    double at = chance.between(0.0, shares);
+    double at = random.between(0.0, shares);
     for (Scenario.Kind kind : kinds) {
       at -= kind.share();
       if (at < 0) {
@@ -124,39 +124,39 @@
     return kinds.get(kinds.size() - 1);
   }
 
-  private Ask made(Ask before, int attempt) {
+  private ObservedRequest made(ObservedRequest before, int attempt) {
     String id = before == null ? sidecar.name + "-" + ++numbers : before.id + "." + attempt;
-    Ask ask =
-        new Ask(
+    ObservedRequest request =
+        new ObservedRequest(
             id,
             before == null ? "k" + id : before.key,
             before == null ? kind() : before.kind,
             sidecar.index,
             attempt,
             world.now());
-    world.oracle().asked(ask);
-    return ask;
+    world.oracle().requested(request);
+    return request;
   }
 
-  private void begin(Ask ask) {
+  private void begin(ObservedRequest request) {
     for (Caller last; (last = idle.pollLast()) != null; ) {
       if (last.free()) {
-        last.ask(ask);
+        last.request(request);
         return;
       }
     }
-    new Caller(false).ask(ask);
+    new Caller(false).request(request);
   }
 
   // ---- One connection
 
-  private final class Caller implements End.Owner {
+  private final class Caller implements SocketEndpoint.Owner {
     private final boolean rests; // it belongs to nobody in between
-    private End end;
-    private Incoming incoming = new Incoming();
-    private Ask ask; // that waits for its answer
-    private Ask last;
-    private byte[] request;
+    private SocketEndpoint end;
+    private HttpStreamReader incoming = new HttpStreamReader();
+    private ObservedRequest request; // that waits for its answer
+    private ObservedRequest last;
+    private byte[] requestBytes;
     private boolean resent;
     private boolean over;
     private String process; // that runs when it asked
@@ -166,12 +166,12 @@
     }
 
     boolean free() {
-      return !over && ask == null && end != null && end.isOpen() && !end.wasReset();
+      return !over && request == null && end != null && end.isOpen() && !end.wasReset();
     }
 
-    void ask(Ask next) {
+    void request(ObservedRequest next) {
       open++;
-      ask = next;
+      request = next;
       resent = false;
       if (end == null) {
         connect();
@@ -181,22 +181,22 @@
     }
 
     private void connect() {
-      incoming = new Incoming();
+      incoming = new HttpStreamReader();
       process = sidecar.process();
       end = world.fabric().connect(sidecar.app, sidecar.address, this);
     }
 
     @Override
-    public void up(End same) {
-      if (ask != null) {
+    public void up(SocketEndpoint same) {
+      if (request != null) {
         send();
       }
     }
 
     @Override
-    public void failed(End same) {
+    public void failed(SocketEndpoint same) {
       over = true;
-      Ask was = ask;
+      ObservedRequest was = request;
       if (was != null) {
         finish();
         notTaken++;
@@ -206,16 +206,16 @@
     }
 
     private void send() {
-      Ask of = ask;
+      ObservedRequest of = request;
       process = sidecar.process();
       Scenario.Kind kind = of.kind;
-      Chance own =
-          chance.named(of.id); // how it is asked does not depend on when a connection was free
+      RandomStream own =
+          random.named(of.id); // how it is asked does not depend on when a connection was free
       boolean get = kind.effect().equals("idempotent");
-      byte[] body = get ? null : Incoming.body(of.id + " ", kind.bodyBytes());
+      byte[] body = get ? null : HttpStreamReader.body(of.id + " ", kind.bodyBytes());
       boolean last = own.happens(is.closeShare());
-      request =
-          Incoming.message(
+      requestBytes =
+          HttpStreamReader.message(
               (get ? "GET /" : "POST /") + kind.name() + "/of HTTP/1.1",
               body,
               false,
@@ -224,30 +224,31 @@
               "Request-Id",
               of.id,
               "Request-Timeout-Ms",
-              String.valueOf((long) kind.ttlMs()),
+              String.valueOf((long) kind.timeoutMs()),
               "Idempotency-Key",
               get ? null : of.key,
               "Client-Retry",
               of.attempt > 0 ? "1" : null,
               "Connection",
               last ? "close" : null);
-      int pieces = own.happens(is.pieceShare()) && request.length > 8 ? (int) own.between(2, 5) : 1;
+      int pieces =
+          own.happens(is.pieceShare()) && requestBytes.length > 8 ? (int) own.between(2, 5) : 1;
       long atUs = 0;
       for (int i = 0; i < pieces; i++) {
-        int from = (int) ((long) request.length * i / pieces);
-        int to = (int) ((long) request.length * (i + 1) / pieces);
+        int from = (int) ((long) requestBytes.length * i / pieces);
+        int to = (int) ((long) requestBytes.length * (i + 1) / pieces);
         boolean end = i == pieces - 1;
-        End on = this.end;
+        SocketEndpoint on = this.end;
         world
             .time()
             .after(
                 atUs,
                 () -> {
-                  if (on == this.end && ask == of && on.isOpen()) {
+                  if (on == this.end && request == of && on.isOpen()) {
                     boolean flows =
                         kind.bodyBytes() > FLOWS; // taken as fast as an endpoint takes it
                     on.send(
-                        java.util.Arrays.copyOfRange(request, from, to),
+                        java.util.Arrays.copyOfRange(requestBytes, from, to),
                         end && flows ? () -> sent(of) : null);
                     if (end && !flows) {
                       sent(of);
@@ -262,7 +263,7 @@
             .after(
                 is.leaveMs().drawUs(own),
                 () -> {
-                  if (ask == of) {
+                  if (request == of) {
                     world.trace().note("leave", "op", of.id);
                     of.excused = true;
                     of.leftUs = world.now();
@@ -273,8 +274,8 @@
       }
     }
 
-    private void sent(Ask of) {
-      if (ask != of) {
+    private void sent(ObservedRequest of) {
+      if (request != of) {
         return;
       }
       of.sentUs = world.now();
@@ -284,9 +285,9 @@
       world
           .time()
           .after(
-              of.ttlUs() + Math.round(is.patienceMs() * 1000),
+              of.timeoutUs() + Math.round(is.patienceMs() * 1000),
               () -> {
-                if (ask == of && !incoming.headCame()) {
+                if (request == of && !incoming.headCame()) {
                   world.oracle().silent(of);
                   close();
                   finish();
@@ -299,26 +300,26 @@
       end.close();
     }
 
-    /** Nothing more comes of its op. */
+    /** Nothing more comes of its request. */
     private void finish() {
       open--;
-      last = ask;
-      ask = null;
+      last = request;
+      request = null;
     }
 
     @Override
-    public void readable(End same) {
+    public void readable(SocketEndpoint same) {
       if (same != end || over) {
         return;
       }
       byte[] bytes = end.readAll();
       if (bytes.length > 0) {
-        if (ask == null) {
+        if (request == null) {
           world.oracle().unasked(last, bytes.length);
         }
         incoming.add(bytes, end.firstSentUs());
       }
-      if (ask != null && incoming.whole()) {
+      if (request != null && incoming.complete()) {
         answered();
       }
       if (!over && end.over()) {
@@ -327,12 +328,12 @@
     }
 
     private void answered() {
-      Ask of = ask;
+      ObservedRequest of = request;
       int status = Integer.parseInt(incoming.word(1));
       boolean content =
           status != 200
-              || incoming.start().startsWith(of.id + " ")
-                  && incoming.length() >= of.kind.answerBytes();
+              || (incoming.start().startsWith(of.id + " ")
+                  && incoming.length() >= of.kind.answerBytes());
       world
           .trace()
           .note(
@@ -343,14 +344,14 @@
               status,
               "us",
               of.sentUs == Long.MAX_VALUE ? -1 : incoming.headSentUs() - of.sentUs);
-      boolean coming = of.sentUs == Long.MAX_VALUE;
+      boolean isBodyIncomplete = of.sentUs == Long.MAX_VALUE;
       world.oracle().answered(of, status, incoming.headSentUs(), true, content);
       if (status == 400 || status == 404 || status == 405 || status == 413) {
         world
             .oracle()
             .broke(Rule.TRUE_CONTENT, of, "a good request was turned down with " + status);
       }
-      boolean last = coming || "close".equalsIgnoreCase(incoming.field("connection"));
+      boolean last = isBodyIncomplete || "close".equalsIgnoreCase(incoming.field("connection"));
       String retryAfter = incoming.field("retry-after");
       incoming.next();
       finish();
@@ -382,27 +383,27 @@
     /** The sidecar closed it, or its process ended. */
     private void ended() {
       boolean unread =
-          ask != null && !resent && incoming.empty() && end.unreadByPeer(request.length);
+          request != null && !resent && incoming.empty() && end.unreadByPeer(requestBytes.length);
       boolean processEnded = !sidecar.running() || !sidecar.process().equals(process);
-      boolean begun = incoming.headCame();
+      boolean started = incoming.headCame();
       long headSentUs = incoming.headSentUs();
-      int status = begun ? Integer.parseInt(incoming.word(1)) : 0;
+      int status = started ? Integer.parseInt(incoming.word(1)) : 0;
       end.close();
-      if (ask == null) {
+      if (request == null) {
         over = true;
       } else if (unread && !processEnded) { // it crossed the close: once more, on a new connection
         resent = true;
-        ask.sentUs = Long.MAX_VALUE;
+        request.sentUs = Long.MAX_VALUE;
         connect();
       } else {
-        Ask of = ask;
+        ObservedRequest of = request;
         over = true;
         if (processEnded) {
           of.excused = true;
           of.orphan = true;
           of.over = true;
           world.trace().note("ended", "op", of.id);
-        } else if (begun) { // cut, and its client can tell
+        } else if (started) { // cut, and its client can tell
           world.trace().note("cut", "op", of.id);
           world.oracle().answered(of, status, headSentUs, false, true);
         } else if (of.sentUs == Long.MAX_VALUE) {
@@ -419,7 +420,7 @@
   // ---- Those that send what is none
 
   /** Sends something else than a request, and closes after a while at the latest. */
-  void rude(int count, long withinUs, Chance own) {
+  void rude(int count, long withinUs, RandomStream own) {
     for (int i = 0; i < count; i++) {
       String[] lines = {
         "\u0001\u0002\u0003 noise\r\n\r\n",
@@ -442,15 +443,15 @@
                       .connect(
                           sidecar.app,
                           sidecar.address,
-                          new End.Owner() {
+                          new SocketEndpoint.Owner() {
                             @Override
-                            public void up(End end) {
+                            public void up(SocketEndpoint end) {
                               end.send(text.getBytes(StandardCharsets.ISO_8859_1), null);
                               world.time().after(8_000_000, end::close);
                             }
 
                             @Override
-                            public void readable(End end) {
+                            public void readable(SocketEndpoint end) {
                               end.readAll();
                               if (end.over()) {
                                 end.close();
--- a/emulator/src/main/java/dillcross/emulator/world/Server.java
+++ b/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoint.java
@@ -1,12 +1,12 @@
 package dillcross.emulator.world;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.oracle.Ask;
+import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Violation.Rule;
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.End;
-import dillcross.emulator.wire.Fabric;
-import dillcross.emulator.wire.Host;
+import dillcross.emulator.wire.SocketEndpoint;
+import dillcross.emulator.wire.VirtualMachine;
+import dillcross.emulator.wire.VirtualNetwork;
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Locale;
@@ -16,9 +16,9 @@
  * An endpoint: a machine, a process on it that dies and starts again, cores that carry out what has
  * come whole, a queue before them, and all that can be wrong with it.
  */
-final class Server implements Fabric.Entry {
+final class EmulatedEndpoint implements VirtualNetwork.Entry {
   /** What goes wrong with it at the moment; each figure as long as its trouble lasts. */
-  static final class Ills {
+  static final class Faults {
     double slow = 1;
     double errors;
     double garbled;
@@ -30,17 +30,17 @@
   }
 
   /** One request. */
-  private final class Work {
+  private static final class Work {
     final Visit visit;
-    final Ask ask;
-    final Ask.Push push;
+    final ObservedRequest request;
+    final ObservedRequest.Attempt attempt;
     final long untilUs; // when nobody waits for it any more
-    boolean gone; // whoever sent it has closed
+    boolean removed; // whoever sent it has closed
 
-    Work(Visit visit, Ask ask, Ask.Push push, long untilUs) {
+    Work(Visit visit, ObservedRequest request, ObservedRequest.Attempt attempt, long untilUs) {
       this.visit = visit;
-      this.ask = ask;
-      this.push = push;
+      this.request = request;
+      this.attempt = attempt;
       this.untilUs = untilUs;
     }
   }
@@ -54,11 +54,11 @@
   final String zone;
   final int cell;
   final String address;
-  final Ills ills = new Ills();
-  private final World world;
-  private final Host host;
-  private final Chance chance;
-  private final Servers fleet;
+  final Faults faults = new Faults();
+  private final SimulationContext world;
+  private final VirtualMachine host;
+  private final RandomStream random;
+  private final EmulatedEndpoints fleet;
   private final Scenario.Endpoints is;
   private final double speed;
   private final int cores;
@@ -66,16 +66,23 @@
   private final Set<Visit> visits = new LinkedHashSet<>();
   private final ArrayDeque<Work> queue = new ArrayDeque<>();
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>(); // what a pause holds up
-  private final ArrayDeque<Bit> cold = new ArrayDeque<>(); // what was sent while it was cold
-  private double coldUs;
-  private int life; // of the process: what an earlier one began is nothing to this one
+  private final ArrayDeque<Bit> slowStart =
+      new ArrayDeque<>(); // what was sent while it was warming up
+  private double slowStartUs;
+  private int lifecycle; // of the process: what an earlier one began is nothing to this one
   private int running;
   long startedMs;
   boolean draining;
   private boolean up;
   boolean left; // for good
 
-  Server(World world, Servers fleet, String id, String zone, int cell, String address) {
+  EmulatedEndpoint(
+      SimulationContext world,
+      EmulatedEndpoints fleet,
+      String id,
+      String zone,
+      int cell,
+      String address) {
     this.world = world;
     this.fleet = fleet;
     this.id = id;
@@ -83,15 +90,15 @@
     this.cell = cell;
     this.address = address;
     is = world.scenario().endpoints();
-    host = new Host(id, zone);
-    chance = world.chance().named("endpoint " + id);
-    speed = is.speed().draw(chance);
+    host = new VirtualMachine(id, zone);
+    random = world.random().named("endpoint " + id);
+    speed = is.speed().draw(random);
     cores = (int) Math.max(1, Math.round(is.cores()));
     ofCore = is.cores() * speed / cores;
   }
 
   @Override
-  public Host host() {
+  public VirtualMachine host() {
     return host;
   }
 
@@ -108,7 +115,7 @@
   /** Starts; {@code atMs} is 0 where it has run for long and is warm. */
   void start(long atMs) {
     startedMs = atMs;
-    life++;
+    lifecycle++;
     up = true;
     draining = false;
     world.fabric().listen(address, this);
@@ -135,13 +142,13 @@
 
   private void stop() {
     up = false;
-    life++;
+    lifecycle++;
     running = 0;
-    queue.forEach(work -> work.push.endedUs = world.now());
+    queue.forEach(work -> work.attempt.endedUs = world.now());
     queue.clear();
     deferred.clear();
-    cold.clear();
-    coldUs = 0;
+    slowStart.clear();
+    slowStartUs = 0;
     world.fabric().unlisten(address);
   }
 
@@ -155,24 +162,24 @@
     }
   }
 
-  private static final Fabric.Entry NOBODY =
-      new Fabric.Entry() {
-        private final Host nowhere = Fabric.nowhere();
+  private static final VirtualNetwork.Entry NOBODY =
+      new VirtualNetwork.Entry() {
+        private final VirtualMachine nowhere = VirtualNetwork.nowhere();
 
         @Override
-        public Host host() {
+        public VirtualMachine host() {
           return nowhere;
         }
 
         @Override
-        public void connected(End end) {
+        public void connected(SocketEndpoint end) {
           throw new IllegalStateException("nobody is there");
         }
       };
 
   void pause(boolean now) {
-    ills.pauses += now ? 1 : -1;
-    while (ills.pauses == 0 && !deferred.isEmpty()) {
+    faults.pauses += now ? 1 : -1;
+    while (faults.pauses == 0 && !deferred.isEmpty()) {
       deferred.poll().run();
     }
   }
@@ -182,8 +189,8 @@
     if (startedMs == 0) {
       return 1;
     }
-    double start = Double.parseDouble(world.scenario().told().get("rules.start_capacity"));
-    double warmUs = Double.parseDouble(world.scenario().told().get("rules.warm_up_ms")) * 1000;
+    double start = Double.parseDouble(world.scenario().notified().get("rules.start_capacity"));
+    double warmUs = Double.parseDouble(world.scenario().notified().get("rules.warm_up_ms")) * 1000;
     double age = world.now() - startedMs * 1000.0;
     return age >= warmUs ? 1 : start + (1 - start) * age / warmUs;
   }
@@ -191,7 +198,7 @@
   // ---- Connections
 
   @Override
-  public void connected(End end) {
+  public void connected(SocketEndpoint end) {
     Visit visit = new Visit(end);
     end.owner(visit);
     visits.add(visit);
@@ -199,23 +206,24 @@
   }
 
   /** One connection to it. */
-  private final class Visit implements End.Owner {
-    private final End end;
-    private final int of = life;
-    private final Incoming incoming = new Incoming();
-    private Ask ask; // of the request that comes or is carried out
-    private Ask.Push push;
+  private final class Visit implements SocketEndpoint.Owner {
+    private final SocketEndpoint end;
+    private final int of = lifecycle;
+    private final HttpStreamReader incoming = new HttpStreamReader();
+    private ObservedRequest request; // of the request that comes or is carried out
+    private ObservedRequest.Attempt attempt;
     private boolean noted;
     private Work work; // that was handed on
     private long restsUs;
     private boolean isOver;
 
-    Visit(End end) {
+    Visit(SocketEndpoint end) {
       this.end = end;
     }
 
     void rests() {
-      long since = restsUs = world.now();
+      restsUs = world.now();
+      long since = restsUs;
       world
           .time()
           .after(
@@ -225,15 +233,15 @@
                     && work == null
                     && !incoming.headCame()
                     && restsUs == since
-                    && of == life) {
+                    && of == lifecycle) {
                   over(false);
                 }
               });
     }
 
     @Override
-    public void readable(End same) {
-      if (isOver || of != life) {
+    public void readable(SocketEndpoint same) {
+      if (isOver || of != lifecycle) {
         return;
       }
       byte[] bytes = end.readAll();
@@ -244,21 +252,21 @@
         noted = true;
         head();
       }
-      if (!isOver && incoming.whole() && work == null) {
-        whole();
+      if (!isOver && incoming.complete() && work == null) {
+        complete();
       }
       if (!isOver && end.over()) {
-        gone();
+        removed();
       }
     }
 
     /** Whoever sent it gave it up. */
-    private void gone() {
-      if (push != null && push.endedUs == 0) {
-        push.endedUs = world.now();
+    private void removed() {
+      if (attempt != null && attempt.endedUs == 0) {
+        attempt.endedUs = world.now();
       }
       if (work != null) {
-        work.gone = true;
+        work.removed = true;
         queue.remove(work);
       }
       over(false);
@@ -267,8 +275,8 @@
     private void over(boolean hard) {
       isOver = true;
       visits.remove(this);
-      if (push != null && push.endedUs == 0) {
-        push.endedUs = world.now();
+      if (attempt != null && attempt.endedUs == 0) {
+        attempt.endedUs = world.now();
       }
       if (hard) {
         end.breakOff();
@@ -278,8 +286,8 @@
     }
 
     private void head() {
-      ask = world.oracle().ask(incoming.field("request-id"));
-      if (ask == null) {
+      request = world.oracle().request(incoming.field("request-id"));
+      if (request == null) {
         world
             .oracle()
             .broke(
@@ -294,45 +302,45 @@
         answer(404, "", null);
         return;
       }
-      push =
+      attempt =
           world
               .oracle()
-              .pushed(ask, fleet.process(end.other()), id, zone, cell, incoming.headSentUs());
+              .pushed(request, fleet.process(end.other()), id, zone, cell, incoming.headSentUs());
       world
           .trace()
           .note(
               "push",
               "op",
-              ask.id,
+              request.id,
               "to",
               id,
               "from",
               end.other().toString(),
               "sent",
-              incoming.headSentUs() - World.START_US,
+              incoming.headSentUs() - SimulationContext.START_US,
               "n",
-              ask.pushes.size());
-      if (ills.resetsWhen.equals("before")
-          && chance.named("before " + ask.id).happens(ills.resets)) {
-        world.trace().note("reset", "op", ask.id, "at", id, "when", "before");
+              request.attempts.size());
+      if (faults.resetsWhen.equals("before")
+          && random.named("before " + request.id).happens(faults.resets)) {
+        world.trace().note("reset", "op", request.id, "at", id, "when", "before");
         over(true);
       }
     }
 
-    private void whole() {
-      if (ask == null) {
+    private void complete() {
+      if (request == null) {
         return;
       }
-      Scenario.Kind kind = ask.kind;
+      Scenario.Kind kind = request.kind;
       int bodyBytes = kind.effect().equals("idempotent") ? 0 : kind.bodyBytes();
       if (bodyBytes > 0
-          && (incoming.length() != Math.max(bodyBytes, ask.id.length() + 1)
-              || !incoming.start().startsWith(ask.id + " "))) {
+          && (incoming.length() != Math.max(bodyBytes, request.id.length() + 1)
+              || !incoming.start().startsWith(request.id + " "))) {
         world
             .oracle()
             .broke(
                 Rule.TRUE_CONTENT,
-                ask,
+                request,
                 "its content came to " + id + " spoilt: " + incoming.length() + " bytes");
       }
       String timeout = incoming.field("request-timeout-ms");
@@ -340,13 +348,13 @@
       sent(kind.workMs() * 1000);
       if (draining
           || queue.size() >= is.queue()
-          || visits.size() > Math.min(is.connections(), ills.connections)) {
+          || visits.size() > Math.min(is.connections(), faults.connections)) {
         world
             .trace()
             .note(
                 "away",
                 "op",
-                ask.id,
+                request.id,
                 "at",
                 id,
                 "why",
@@ -354,27 +362,28 @@
         answer(503, "turned away", "1");
         return;
       }
-      world.oracle().taken(ask, push);
-      work = new Work(this, ask, push, untilUs);
+      world.oracle().taken(request, attempt);
+      work = new Work(this, request, attempt, untilUs);
       queue.add(work);
       serve();
     }
 
     void answer(int status, String text, String notStarted) {
-      push(status, text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), notStarted, false);
+      attempt(
+          status, text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), notStarted, false);
     }
 
-    void push(int status, byte[] body, String notStarted, boolean chunks) {
+    void attempt(int status, byte[] body, String notStarted, boolean chunks) {
       String load =
           !is.chunks()
                   && is.reportShare() > 0
-                  && ask != null
-                  && chance.named("report " + ask.id).happens(is.reportShare())
+                  && request != null
+                  && random.named("report " + request.id).happens(is.reportShare())
               ? "TEXT inflight=" + running + ", queue=" + queue.size()
               : null;
       boolean last = draining;
       byte[] bytes =
-          Incoming.message(
+          HttpStreamReader.message(
               "HTTP/1.1 " + status + " x",
               body,
               chunks,
@@ -384,19 +393,19 @@
               load,
               "Connection",
               last ? "close" : null);
-      if (push != null) {
-        push.endedUs = world.now();
+      if (attempt != null) {
+        attempt.endedUs = world.now();
       }
       drip(bytes, 0, last);
     }
 
     /** What is large comes as a disk gives it, not at once. */
     private void drip(byte[] bytes, int from, boolean last) {
-      if (isOver || this.of != life && from > 0) {
+      if (isOver || (this.of != lifecycle && from > 0)) {
         return;
       }
       int to = Math.min(bytes.length, from + DRIP);
-      Ask.Push of = push;
+      ObservedRequest.Attempt of = attempt;
       end.send(
           from == 0 && to == bytes.length ? bytes : java.util.Arrays.copyOfRange(bytes, from, to),
           of == null || to < bytes.length ? null : () -> of.read = true);
@@ -408,8 +417,8 @@
     }
 
     private void done(boolean last) {
-      ask = null;
-      push = null;
+      request = null;
+      attempt = null;
       noted = false;
       work = null;
       incoming.next();
@@ -426,22 +435,30 @@
 
   // ---- Work
 
-  /** Counts what a sidecar that knows it to be cold has sent, and falls where that is too much. */
+  /**
+   * Counts what a sidecar that knows it to be warming up has sent, and falls where that is too
+   * much.
+   */
   private void sent(double workUs) {
-    double windowUs = Double.parseDouble(world.scenario().told().get("rules.fall_ms")) * 1000;
-    double multiple = Double.parseDouble(world.scenario().told().get("rules.fall_multiple"));
+    double windowUs = Double.parseDouble(world.scenario().notified().get("rules.fall_ms")) * 1000;
+    double multiple = Double.parseDouble(world.scenario().notified().get("rules.fall_multiple"));
     double share = share();
     if (share >= 1) {
       return;
     }
-    cold.add(new Bit(world.now(), workUs));
-    coldUs += workUs;
-    while (!cold.isEmpty() && world.now() - cold.peek().atUs > windowUs) {
-      coldUs -= cold.poll().workUs;
+    slowStart.add(new Bit(world.now(), workUs));
+    slowStartUs += workUs;
+    while (!slowStart.isEmpty() && world.now() - slowStart.peek().atUs > windowUs) {
+      slowStartUs -= slowStart.poll().workUs;
     }
-    double most =
-        multiple * share * is.cores() * speed * windowUs * world.scenario().rules().coldSlack();
-    if (coldUs > most && fleet.allKnow(id, startedMs)) {
+    double max =
+        multiple
+            * share
+            * is.cores()
+            * speed
+            * windowUs
+            * world.scenario().rules().slowStartSlack();
+    if (slowStartUs > max && fleet.allKnow(id, startedMs)) {
       world
           .oracle()
           .broke(
@@ -451,74 +468,77 @@
                   Locale.ROOT,
                   "%s got %.0f ms of work within %.0f ms and bears %.0f",
                   id,
-                  coldUs / 1000,
+                  slowStartUs / 1000,
                   windowUs / 1000,
-                  most / 1000));
-      cold.clear();
-      coldUs = 0;
+                  max / 1000));
+      slowStart.clear();
+      slowStartUs = 0;
     }
   }
 
   private void serve() {
-    while (running < cores && !queue.isEmpty() && ills.pauses == 0) {
+    while (running < cores && !queue.isEmpty() && faults.pauses == 0) {
       begin(queue.poll());
     }
-    if (ills.pauses > 0 && !queue.isEmpty() && deferred.isEmpty()) {
+    if (faults.pauses > 0 && !queue.isEmpty() && deferred.isEmpty()) {
       deferred.add(this::serve);
     }
   }
 
   private void begin(Work work) {
     if (world.now() > work.untilUs) {
-      world.trace().note("expired", "op", work.ask.id, "at", id);
+      world.trace().note("expired", "op", work.request.id, "at", id);
       work.visit.answer(504, "too late", "1");
       return;
     }
     running++;
-    Scenario.Kind kind = work.ask.kind;
+    Scenario.Kind kind = work.request.kind;
     boolean first =
         kind.effect().equals("idempotent")
             || kind.effect().equals("at_most_once")
             || fleet
                 .group(kind, this)
-                .first(work.ask.key, world.now(), Math.round(kind.windowMs() * 1000));
+                .first(work.request.key, world.now(), Math.round(kind.windowMs() * 1000));
     if (first) {
-      world.oracle().effect(work.ask, id);
+      world.oracle().effect(work.request, id);
     }
-    world.trace().note("begin", "op", work.ask.id, "at", id, "first", first);
+    world.trace().note("begin", "op", work.request.id, "at", id, "first", first);
     double crowd = Math.max(0, running + queue.size() - is.chokeAbove()) * is.choke();
-    // How much work it is belongs to the op, wherever and in whatever order it comes.
+    // How much work it is belongs to the request, wherever and in whatever order it comes.
     double us =
-        world.chance().named("work " + work.ask.id).logNormal(kind.workMs() * 1000, kind.spread())
-            * ills.slow
+        world
+                .random()
+                .named("work " + work.request.id)
+                .logNormal(kind.workMs() * 1000, kind.spread())
+            * faults.slow
             / share()
             / ofCore
             * (1 + crowd / is.cores());
-    int of = life;
+    int of = lifecycle;
     world
         .time()
         .after(
             Math.round(first ? us : us / 10),
             () -> {
-              if (of == life) {
+              if (of == lifecycle) {
                 finish(work);
               }
             });
   }
 
   private void finish(Work work) {
-    if (ills.pauses > 0) {
-      int of = life;
+    if (faults.pauses > 0) {
+      int of = lifecycle;
       deferred.add(
           () -> {
-            if (of == life) {
+            if (of == lifecycle) {
               finish(work);
             }
           });
       return;
     }
     running--;
-    if (!work.gone && !work.visit.isOver && ills.silent == 0) {
+    if (!work.removed && !work.visit.isOver && faults.silent == 0) {
       reply(work);
     }
     serve();
@@ -526,15 +546,17 @@
 
   private void reply(Work work) {
     Visit visit = work.visit;
-    Ask ask = work.ask;
-    Chance own = chance.named(ask.id);
-    boolean error = own.happens(ills.errors);
-    boolean reset = !ills.resetsWhen.equals("before") && own.happens(ills.resets);
-    byte[] body = Incoming.body(ask.id + " " + id + " ", ask.kind.answerBytes());
-    world.trace().note("reply", "op", ask.id, "at", id, "status", error ? 500 : reset ? 0 : 200);
+    ObservedRequest request = work.request;
+    RandomStream own = random.named(request.id);
+    boolean error = own.happens(faults.errors);
+    boolean reset = !faults.resetsWhen.equals("before") && own.happens(faults.resets);
+    byte[] body = HttpStreamReader.body(request.id + " " + id + " ", request.kind.answerBytes());
+    world
+        .trace()
+        .note("reply", "op", request.id, "at", id, "status", error ? 500 : reset ? 0 : 200);
     if (reset) {
-      if (ills.resetsWhen.equals("answer")) {
-        byte[] all = Incoming.message("HTTP/1.1 200 x", body, false);
+      if (faults.resetsWhen.equals("answer")) {
+        byte[] all = HttpStreamReader.message("HTTP/1.1 200 x", body, false);
         visit.end.send(
             java.util.Arrays.copyOf(
                 all,
@@ -544,11 +566,11 @@
       visit.over(true);
     } else if (error) {
       visit.answer(500, "failed", null);
-    } else if (own.happens(ills.garbled)) {
-      visit.end.send(Incoming.body("\u0001\u0002 no answer\r\n\r\n", 40), null);
+    } else if (own.happens(faults.garbled)) {
+      visit.end.send(HttpStreamReader.body("\u0001\u0002 no answer\r\n\r\n", 40), null);
       visit.over(false);
     } else {
-      visit.push(200, body, null, is.chunks());
+      visit.attempt(200, body, null, is.chunks());
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/world/Servers.java
+++ b/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoints.java
@@ -1,7 +1,7 @@
 package dillcross.emulator.world;
 
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.Host;
+import dillcross.emulator.wire.VirtualMachine;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,15 +11,15 @@
  * All endpoints, those that took the place of others among them, and the groups that recognise
  * repeats.
  */
-final class Servers {
-  private final World world;
-  private final List<Server> places = new ArrayList<>(); // who is there now, by place
+final class EmulatedEndpoints {
+  private final SimulationContext world;
+  private final List<EmulatedEndpoint> places = new ArrayList<>(); // who is there now, by place
   private final List<Integer> generations = new ArrayList<>();
-  private final Map<String, Group> groups = new HashMap<>();
-  private final Directory list;
-  private Instances sidecars;
+  private final Map<String, DeduplicationMemory> groups = new HashMap<>();
+  private final DiscoveryService list;
+  private SidecarProcesses sidecars;
 
-  Servers(World world, Directory list) {
+  EmulatedEndpoints(SimulationContext world, DiscoveryService list) {
     this.world = world;
     this.list = list;
     for (int i = 0; i < world.scenario().endpoints().count(); i++) {
@@ -30,17 +30,17 @@
     }
   }
 
-  void sidecars(Instances all) {
+  void sidecars(SidecarProcesses all) {
     sidecars = all;
   }
 
-  private Server make(int place) {
+  private EmulatedEndpoint make(int place) {
     Scenario.Endpoints is = world.scenario().endpoints();
     int generation = generations.get(place);
     String id = "e" + place + (generation == 0 ? "" : "." + generation);
     String address =
         "127." + (20 + generation % 200) + "." + place / 250 + "." + (1 + place % 250) + ":9000";
-    return new Server(
+    return new EmulatedEndpoint(
         world, this, id, is.zones().get(place % is.zones().size()), place % is.cells(), address);
   }
 
@@ -48,12 +48,12 @@
     return places.size();
   }
 
-  Server at(int place) {
+  EmulatedEndpoint at(int place) {
     return places.get(place);
   }
 
   /** Those that a trouble's target names. */
-  List<Server> named(String target) {
+  List<EmulatedEndpoint> named(String target) {
     return places.stream()
         .filter(
             s ->
@@ -65,7 +65,7 @@
   }
 
   /** The name of the process that runs on a sidecar's machine. */
-  String process(Host host) {
+  String process(VirtualMachine host) {
     return sidecars.process(host);
   }
 
@@ -74,7 +74,7 @@
     return sidecars.processes().stream().allMatch(p -> world.oracle().knowsStart(p, id, startedMs));
   }
 
-  Group group(Scenario.Kind kind, Server server) {
+  DeduplicationMemory group(Scenario.Kind kind, EmulatedEndpoint server) {
     String name =
         kind.name()
             + switch (kind.scope()) {
@@ -82,27 +82,27 @@
               case "zone" -> "/zone " + server.zone;
               default -> "/cell " + server.cell;
             };
-    return groups.computeIfAbsent(name, n -> new Group());
+    return groups.computeIfAbsent(name, n -> new DeduplicationMemory());
   }
 
   // ---- What happens to them
 
-  void die(Server server) {
+  void die(EmulatedEndpoint server) {
     if (server.up()) {
       world.trace().note("die", "endpoint", server.id);
       server.die();
     }
   }
 
-  void vanish(Server server) {
+  void vanish(EmulatedEndpoint server) {
     if (server.up()) {
       world.trace().note("vanish", "endpoint", server.id);
       server.vanish();
     }
   }
 
-  /** It starts again, cold, and the list says when. */
-  void back(Server server) {
+  /** It starts again, warming up, and the list says when. */
+  void back(EmulatedEndpoint server) {
     if (!server.up() && !server.left) {
       world.trace().note("back", "endpoint", server.id);
       server.back();
@@ -112,7 +112,7 @@
   }
 
   /** It is told to drain, leaves after its grace, and another has taken its place by then. */
-  void replace(Server server) {
+  void replace(EmulatedEndpoint server) {
     int place = places.indexOf(server);
     if (place < 0 || server.draining || !server.up()) {
       return;
@@ -134,7 +134,7 @@
               list.remove(server);
             });
     generations.set(place, generations.get(place) + 1);
-    Server next = make(place);
+    EmulatedEndpoint next = make(place);
     places.set(place, next);
     world
         .time()
--- a/emulator/src/main/java/dillcross/emulator/world/Troubles.java
+++ b/emulator/src/main/java/dillcross/emulator/world/FaultInjector.java
@@ -1,8 +1,8 @@
 package dillcross.emulator.world;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.scenario.Trouble;
-import dillcross.emulator.scenario.Trouble.Drawn;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.scenario.Fault;
+import dillcross.emulator.scenario.Fault.Drawn;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -13,15 +13,19 @@
  * What goes wrong in a day: drawn ahead, each from a stream of its own, then let loose when its
  * time comes.
  */
-public final class Troubles {
-  private final World world;
-  private final Servers servers;
-  private final Directory list;
-  private final Instances sidecars;
-  private final List<Clients> clients;
+public final class FaultInjector {
+  private final SimulationContext world;
+  private final EmulatedEndpoints servers;
+  private final DiscoveryService list;
+  private final SidecarProcesses sidecars;
+  private final List<EmulatedClients> clients;
 
-  Troubles(
-      World world, Servers servers, Directory list, Instances sidecars, List<Clients> clients) {
+  FaultInjector(
+      SimulationContext world,
+      EmulatedEndpoints servers,
+      DiscoveryService list,
+      SidecarProcesses sidecars,
+      List<EmulatedClients> clients) {
     this.world = world;
     this.servers = servers;
     this.list = list;
@@ -30,35 +34,36 @@
   }
 
   /** The troubles of one day, in the order of the scenario; {@code chance} is the day's. */
-  public static List<Drawn> draw(dillcross.emulator.scenario.Scenario scenario, Chance chance) {
+  public static List<Drawn> draw(
+      dillcross.emulator.scenario.Scenario scenario, RandomStream random) {
     List<Drawn> drawn = new ArrayList<>();
-    for (Trouble trouble : scenario.troubles()) {
-      for (int i = 0; i < trouble.count(); i++) {
-        String id = trouble.count() == 1 ? trouble.id() : trouble.id() + "." + i;
-        Chance own = chance.named("trouble " + id);
-        long atUs = trouble.atMs().drawUs(own);
-        long forUs = trouble.forMs().drawUs(own);
-        double factor = trouble.factor().draw(own);
-        String target = trouble.target();
+    for (Fault fault : scenario.faults()) {
+      for (int i = 0; i < fault.count(); i++) {
+        String id = fault.count() == 1 ? fault.id() : fault.id() + "." + i;
+        RandomStream own = random.named("trouble " + id);
+        long atUs = fault.atMs().drawUs(own);
+        long forUs = fault.forMs().drawUs(own);
+        double factor = fault.factor().draw(own);
+        String target = fault.target();
         if (target.equals("any")) {
           target =
-              switch (trouble.kind().on) {
+              switch (fault.kind().on) {
                 case ENDPOINT -> "e" + own.between(0, scenario.endpoints().count() - 1);
                 case SIDECAR, CLIENTS -> "s" + own.between(0, scenario.sidecars().count() - 1);
                 case ZONE -> own.oneOf(scenario.endpoints().zones());
                 default -> "all";
               };
         }
-        Trouble fixed =
-            new Trouble(
+        Fault fixed =
+            new Fault(
                 id,
-                trouble.kind(),
-                trouble.atMs(),
-                trouble.forMs(),
+                fault.kind(),
+                fault.atMs(),
+                fault.forMs(),
                 target,
-                trouble.factor(),
-                trouble.share(),
-                trouble.mode(),
+                fault.factor(),
+                fault.share(),
+                fault.mode(),
                 1);
         drawn.add(new Drawn(fixed, atUs, forUs, target, factor));
       }
@@ -72,7 +77,7 @@
   }
 
   private void begin(Drawn drawn) {
-    Trouble is = drawn.from();
+    Fault is = drawn.from();
     world
         .trace()
         .note(
@@ -85,7 +90,7 @@
             drawn.target(),
             "for",
             drawn.forUs());
-    Chance own = world.chance().named("strikes " + is.id());
+    RandomStream own = world.random().named("strikes " + is.id());
     long endUs = world.now() + drawn.forUs();
     switch (is.kind()) {
       case VANISH,
@@ -129,10 +134,10 @@
   }
 
   private void endpoints(Drawn drawn, long endUs) {
-    Trouble is = drawn.from();
+    Fault is = drawn.from();
     double factor = drawn.factor();
-    for (Server s : servers.named(drawn.target())) {
-      Server.Ills ills = s.ills;
+    for (EmulatedEndpoint s : servers.named(drawn.target())) {
+      EmulatedEndpoint.Faults faults = s.faults;
       switch (is.kind()) {
         case DIE ->
             span(
@@ -154,20 +159,20 @@
                     servers.back(s);
                   }
                 });
-        case SILENCE -> span(endUs, now -> ills.silent += now ? 1 : -1);
-        case SLOW -> span(endUs, now -> ills.slow *= now ? factor : 1 / factor);
-        case ERRORS -> span(endUs, now -> ills.errors = now ? is.share() : 0);
-        case GARBLE -> span(endUs, now -> ills.garbled = now ? is.share() : 0);
+        case SILENCE -> span(endUs, now -> faults.silent += now ? 1 : -1);
+        case SLOW -> span(endUs, now -> faults.slow *= now ? factor : 1 / factor);
+        case ERRORS -> span(endUs, now -> faults.errors = now ? is.share() : 0);
+        case GARBLE -> span(endUs, now -> faults.garbled = now ? is.share() : 0);
         case RESETS ->
             span(
                 endUs,
                 now -> {
-                  ills.resetsWhen = is.mode();
-                  ills.resets = now ? is.share() : 0;
+                  faults.resetsWhen = is.mode();
+                  faults.resets = now ? is.share() : 0;
                 });
         case PAUSE -> span(endUs, s::pause);
         case NARROW ->
-            span(endUs, now -> ills.connections = now ? (int) factor : Integer.MAX_VALUE);
+            span(endUs, now -> faults.connections = now ? (int) factor : Integer.MAX_VALUE);
         case BLACKHOLE -> span(endUs, now -> s.listens(!now));
         case DRAIN -> servers.replace(s);
         default -> throw new IllegalStateException(is.kind().word());
@@ -185,7 +190,7 @@
   }
 
   private void list(Drawn drawn, long endUs) {
-    Trouble is = drawn.from();
+    Fault is = drawn.from();
     switch (is.kind()) {
       case LIST_OUT ->
           span(
@@ -229,7 +234,7 @@
   }
 
   private void sidecars(Drawn drawn, long endUs) {
-    for (Instance s : sidecars.named(drawn.target())) {
+    for (SidecarProcess s : sidecars.named(drawn.target())) {
       switch (drawn.from().kind()) {
         case STALL -> s.stall(drawn.forUs());
         case RELOAD -> s.reload();
@@ -248,7 +253,7 @@
   }
 
   /** A new process begins when the old one has gone. */
-  private void again(Instance s) {
+  private void again(SidecarProcess s) {
     if (s.running()) {
       world.time().after(50_000, () -> again(s));
     } else {
@@ -256,9 +261,9 @@
     }
   }
 
-  private void clients(Drawn drawn, long endUs, Chance own) {
-    for (Instance s : sidecars.named(drawn.target())) {
-      Clients of = clients.get(s.index);
+  private void clients(Drawn drawn, long endUs, RandomStream own) {
+    for (SidecarProcess s : sidecars.named(drawn.target())) {
+      EmulatedClients of = clients.get(s.index);
       switch (drawn.from().kind()) {
         case BURST -> span(endUs, now -> of.times(now ? drawn.factor() : 1 / drawn.factor()));
         case WAKE -> of.wake((int) drawn.factor(), drawn.forUs(), own);
--- a/emulator/src/main/java/dillcross/emulator/world/Incoming.java
+++ b/emulator/src/main/java/dillcross/emulator/world/HttpStreamReader.java
@@ -9,7 +9,7 @@
  * HTTP as the world reads it, with no line in common with the sidecar's reader: one message at a
  * time, of whose body the length and the first bytes are kept.
  */
-final class Incoming {
+final class HttpStreamReader {
   private static final int KEPT = 96; // bytes of a body that tell whose it is
   private byte[] bytes = new byte[512];
   private int size;
@@ -18,7 +18,7 @@
   private long left; // of the body, or of the chunk
   private boolean chunked;
   private boolean inChunk;
-  private boolean whole;
+  private boolean complete;
   private long length;
   private final StringBuilder start = new StringBuilder();
   private boolean broken;
@@ -46,8 +46,8 @@
     return first != null;
   }
 
-  boolean whole() {
-    return whole;
+  boolean complete() {
+    return complete;
   }
 
   boolean broken() {
@@ -82,7 +82,7 @@
   /** Goes on to the next message. */
   void next() {
     first = null;
-    whole = false;
+    complete = false;
     length = 0;
     start.setLength(0);
     read();
@@ -120,7 +120,7 @@
       inChunk = false;
       left = chunked ? 0 : Long.parseLong(fields.getOrDefault("content-length", "0"));
     }
-    while (first != null && !whole && !broken) {
+    while (first != null && !complete && !broken) {
       if (chunked && !inChunk) {
         int end = -1;
         for (int i = 0; i + 1 < size && end < 0; i++) {
@@ -133,7 +133,7 @@
         drop(end + 2);
         if (line.isEmpty()) {
           if (left < 0) {
-            whole = true; // behind the last chunk
+            complete = true; // behind the last chunk
           }
           continue;
         }
@@ -158,7 +158,7 @@
         return;
       }
       inChunk = false;
-      whole = !chunked;
+      complete = !chunked;
     }
   }
 
--- a/emulator/src/main/java/dillcross/emulator/world/Instance.java
+++ b/emulator/src/main/java/dillcross/emulator/world/SidecarProcess.java
@@ -3,12 +3,12 @@
 import dillcross.balancer.LoadBalancer;
 import dillcross.config.ConfigReader;
 import dillcross.config.ConfigValues;
-import dillcross.emulator.chance.Chance;
 import dillcross.emulator.oracle.Violation.Rule;
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.wire.EmulatedNetwork;
-import dillcross.emulator.wire.End;
-import dillcross.emulator.wire.Host;
+import dillcross.emulator.wire.SocketEndpoint;
+import dillcross.emulator.wire.VirtualMachine;
 import dillcross.net.SidecarServer;
 import dillcross.sidecar.EndpointListUpdate;
 import dillcross.sidecar.RequestCoordinator;
@@ -21,37 +21,37 @@
 import java.util.Optional;
 
 /** One sidecar: a machine, and on it one process after another that runs the sidecar's own code. */
-final class Instance {
+final class SidecarProcess {
   private static final int ADMIN_PORT = 9900;
   private static final long MOST_STOP_US =
-      700_000; // after SIGTERM and the longest TTL it is killed
+      700_000; // after SIGTERM and the longest deadline it is killed
 
   final int index;
   final String name;
   final String address;
-  final Host host;
-  final Host app; // its clients, beside it
-  private final World world;
-  private final Directory list;
-  private final Chance chance;
+  final VirtualMachine host;
+  final VirtualMachine app; // its clients, beside it
+  private final SimulationContext world;
+  private final DiscoveryService list;
+  private final RandomStream random;
   private EmulatedNetwork network;
   private SidecarServer server;
-  private String listAt = Directory.ADDRESS;
+  private String listAt = DiscoveryService.ADDRESS;
   private int starts;
   private boolean ready;
   private boolean stopping;
   private long turns; // of earlier processes
 
-  Instance(World world, Directory list, int index) {
+  SidecarProcess(SimulationContext world, DiscoveryService list, int index) {
     this.world = world;
     this.list = list;
     this.index = index;
     Scenario.Fleet is = world.scenario().sidecars();
     name = "s" + index;
     address = "127.1." + index / 250 + "." + (1 + index % 250) + ":9000";
-    host = new Host(name, is.zones().get(index % is.zones().size()));
-    app = new Host("app of " + name, host);
-    chance = world.chance().named("sidecar " + name);
+    host = new VirtualMachine(name, is.zones().get(index % is.zones().size()));
+    app = new VirtualMachine("app of " + name, host);
+    random = world.random().named("sidecar " + name);
   }
 
   /** Of the one that runs, or ran last. */
@@ -93,7 +93,7 @@
     world
         .time()
         .after(
-            world.scenario().sidecars().startMs().drawUs(chance.named("boot " + starts)),
+            world.scenario().sidecars().startMs().drawUs(random.named("boot " + starts)),
             () -> {
               if (mine == starts && server == null) {
                 start();
@@ -102,36 +102,36 @@
   }
 
   private ConfigValues settingValues() {
-    Map<String, String> told = new HashMap<>(world.scenario().told());
+    Map<String, String> notified = new HashMap<>(world.scenario().notified());
     Scenario scenario = world.scenario();
-    told.put("locality", host.zone());
-    told.put("me", String.valueOf(index));
-    told.put("balancers", String.valueOf(scenario.sidecars().count()));
-    told.put("categories.count", String.valueOf(scenario.categories().size()));
-    for (int i = 0; i < scenario.categories().size(); i++) {
-      Scenario.Kind kind = scenario.categories().get(i);
+    notified.put("locality", host.zone());
+    notified.put("me", String.valueOf(index));
+    notified.put("balancers", String.valueOf(scenario.sidecars().count()));
+    notified.put("categories.count", String.valueOf(scenario.requestClasses().size()));
+    for (int i = 0; i < scenario.requestClasses().size(); i++) {
+      Scenario.Kind kind = scenario.requestClasses().get(i);
       String at = "categories." + i + ".";
-      told.put(at + "name", kind.name());
-      told.put(at + "effect", kind.effect());
-      told.put(at + "key_scope", kind.scope());
-      told.put(at + "window_ms", String.valueOf(kind.windowMs()));
-      told.put(at + "target_latency_ms", String.valueOf(kind.targetMs()));
-      told.put(at + "ttl_ms", String.valueOf(kind.ttlMs()));
-      told.put(at + "benefit", String.valueOf(kind.benefit()));
+      notified.put(at + "name", kind.name());
+      notified.put(at + "effect", kind.effect());
+      notified.put(at + "key_scope", kind.scope());
+      notified.put(at + "window_ms", String.valueOf(kind.windowMs()));
+      notified.put(at + "target_latency_ms", String.valueOf(kind.targetMs()));
+      notified.put(at + "ttl_ms", String.valueOf(kind.timeoutMs()));
+      notified.put(at + "benefit", String.valueOf(kind.priorityWeight()));
     }
-    return ConfigValues.ofPairs(told);
+    return ConfigValues.ofPairs(notified);
   }
 
   private void start() {
     Scenario.Fleet is = world.scenario().sidecars();
     SidecarSettings settings = ConfigReader.sidecarSettings(settingValues());
-    long seed = chance.named("start " + starts).any();
+    long seed = random.named("start " + starts).any();
     RequestCoordinator coordinator =
         new RequestCoordinator(new LoadBalancer(seed, settings.balancer()));
     EndpointListUpdate known = EndpointListUpdate.fromJson(list.known());
     coordinator.onEndpointList(world.now(), known.version(), true, known.entries(), false);
     list.knows(process());
-    world.oracle().begun(process());
+    world.oracle().started(process());
     network =
         new EmulatedNetwork(
             world.time(),
@@ -193,12 +193,15 @@
       int mine = starts;
       world.trace().note("term", "sidecar", name);
       server.requestStop();
-      double mostTtlMs =
-          world.scenario().categories().stream().mapToDouble(Scenario.Kind::ttlMs).max().orElse(0);
+      double maxTimeoutMs =
+          world.scenario().requestClasses().stream()
+              .mapToDouble(Scenario.Kind::timeoutMs)
+              .max()
+              .orElse(0);
       world
           .time()
           .after(
-              Math.round(mostTtlMs * 1000) + MOST_STOP_US + 300_000,
+              Math.round(maxTimeoutMs * 1000) + MOST_STOP_US + 300_000,
               () -> {
                 if (mine == starts && server != null && stopping) {
                   world.trace().note("late", "sidecar", name);
@@ -228,36 +231,36 @@
   void callAdmin(String path) {
     int mine = starts;
     boolean able = server != null && ready && !stopping;
-    Incoming incoming = new Incoming();
+    HttpStreamReader incoming = new HttpStreamReader();
     world.trace().note("admin", "sidecar", name, "path", path);
     world
         .fabric()
         .connect(
             app,
             address.substring(0, address.indexOf(':')) + ":" + ADMIN_PORT,
-            new End.Owner() {
+            new SocketEndpoint.Owner() {
               @Override
-              public void up(End end) {
+              public void up(SocketEndpoint end) {
                 end.send(
-                    Incoming.message(
+                    HttpStreamReader.message(
                         "POST " + path + " HTTP/1.1", new byte[0], false, "Host", "admin"),
                     null);
               }
 
               @Override
-              public void failed(End end) {
+              public void failed(SocketEndpoint end) {
                 answered(0);
               }
 
               @Override
-              public void readable(End end) {
+              public void readable(SocketEndpoint end) {
                 byte[] bytes = end.readAll();
                 if (bytes.length > 0) {
                   incoming.add(bytes, end.firstSentUs());
                 }
                 if (end.over()) {
                   end.close();
-                  answered(incoming.whole() ? Integer.parseInt(incoming.word(1)) : 0);
+                  answered(incoming.complete() ? Integer.parseInt(incoming.word(1)) : 0);
                 }
               }
 
@@ -281,7 +284,10 @@
     if (server != null) {
       world.trace().note("reload", "sidecar", name);
       SidecarSettings settings = ConfigReader.sidecarSettings(settingValues());
-      listAt = listAt.equals(Directory.ADDRESS) ? Directory.OTHER_ADDRESS : Directory.ADDRESS;
+      listAt =
+          listAt.equals(DiscoveryService.ADDRESS)
+              ? DiscoveryService.OTHER_ADDRESS
+              : DiscoveryService.ADDRESS;
       server.beforeEvents();
       server.moveDiscovery(listAt);
       server.applySettings(settings);
--- a/emulator/src/main/java/dillcross/emulator/world/Day.java
+++ b/emulator/src/main/java/dillcross/emulator/world/Simulation.java
@@ -1,51 +1,52 @@
 package dillcross.emulator.world;
 
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.oracle.Ask;
+import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Oracle;
 import dillcross.emulator.oracle.Violation;
 import dillcross.emulator.oracle.Violation.Rule;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.scenario.Trouble.Drawn;
-import dillcross.emulator.time.Timeline;
+import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.trace.Trace;
-import dillcross.emulator.wire.Fabric;
+import dillcross.emulator.wire.VirtualNetwork;
 import dillcross.net.SidecarServer;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.List;
 
 /** One day: a scenario and a seed, played to its end. */
-public final class Day {
+public final class Simulation {
   private static final long WARM_US = 1_000_000; // for the sidecars to start
   private static final long REST_US =
-      2_500_000; // after the last op and the time that idle connections are kept
+      2_500_000; // after the last request and the time that idle connections are kept
   private static final long RESTING_BYTES =
       2 * (7 << 10); // of the buffers' limit, that a connection may keep while it rests
   private static final int MOST_RESTS = 30; // seconds more
-  private static final int RESTING_TIMERS = 3; // to ask for the list, and for the module to wake
+  private static final int RESTING_TIMERS =
+      3; // to ask for the list, and for the load balancer to wake
   private static final long TOO_LONG_US = 600_000_000; // of the time after the last arrival
 
   /** What became of a day. */
   public record Result(
       long seed,
-      List<Drawn> troubles,
+      List<Drawn> faults,
       List<Violation> violations,
       long broken,
       String digest,
       long steps,
       long turns,
       long simulatedUs,
-      long ops,
-      long acked,
+      long requests,
+      long succeeded,
       long inTime,
-      long nacked,
+      long rejected,
       long failed,
       long left,
       long notTaken,
       long retries,
-      long pushes,
-      double benefit,
+      long attempts,
+      double priorityWeight,
       double possible,
       int restarts) {
     public boolean clean() {
@@ -56,37 +57,38 @@
   private final Scenario scenario;
   private final long seed;
   private final List<Drawn> drawn;
-  private final World world;
+  private final SimulationContext world;
   private final Oracle oracle;
-  private final Timeline time = new Timeline(World.START_US);
-  private final Instances sidecars;
-  private final List<Clients> clients = new ArrayList<>();
-  private final Troubles troubles;
+  private final VirtualClock time = new VirtualClock(SimulationContext.START_US);
+  private final SidecarProcesses sidecars;
+  private final List<EmulatedClients> clients = new ArrayList<>();
+  private final FaultInjector faults;
 
-  private Day(
+  private Simulation(
       Scenario scenario, long seed, List<Drawn> drawn, OutputStream lines, Trace.Reader reader) {
     this.scenario = scenario;
     this.seed = seed;
     this.drawn = drawn;
-    Chance chance = Chance.of(seed);
+    RandomStream random = RandomStream.of(seed);
     Scenario.Net net = scenario.network();
-    Fabric fabric =
-        new Fabric(
+    VirtualNetwork fabric =
+        new VirtualNetwork(
             time,
-            chance.named("network"),
+            random.named("network"),
             Math.round(net.nearUs()),
             Math.round(net.farUs()),
             Math.round(net.jitterUs()));
-    Trace trace = new Trace(lines, () -> time.now() - World.START_US, fabric::sum, reader);
-    oracle = new Oracle(time::now, World.START_US, scenario);
-    world = new World(scenario, time, chance, fabric, oracle, trace);
-    Directory list = new Directory(world);
-    Servers servers = new Servers(world, list);
-    sidecars = new Instances(world, list);
+    Trace trace =
+        new Trace(lines, () -> time.now() - SimulationContext.START_US, fabric::sum, reader);
+    oracle = new Oracle(time::now, SimulationContext.START_US, scenario);
+    world = new SimulationContext(scenario, time, random, fabric, oracle, trace);
+    DiscoveryService list = new DiscoveryService(world);
+    EmulatedEndpoints servers = new EmulatedEndpoints(world, list);
+    sidecars = new SidecarProcesses(world, list);
     servers.sidecars(sidecars);
     list.sidecars(sidecars);
-    sidecars.all().forEach(s -> clients.add(new Clients(world, s)));
-    troubles = new Troubles(world, servers, list, sidecars, clients);
+    sidecars.all().forEach(s -> clients.add(new EmulatedClients(world, s)));
+    faults = new FaultInjector(world, servers, list, sidecars, clients);
   }
 
   /** Plays it with the troubles that its seed draws. */
@@ -94,7 +96,7 @@
     return play(
         scenario,
         seed,
-        Troubles.draw(scenario, Chance.of(seed)),
+        FaultInjector.draw(scenario, RandomStream.of(seed)),
         OutputStream.nullOutputStream(),
         null);
   }
@@ -105,16 +107,16 @@
    */
   public static Result play(
       Scenario scenario, long seed, List<Drawn> drawn, OutputStream lines, Trace.Reader reader) {
-    return new Day(scenario, seed, drawn, lines, reader).play();
+    return new Simulation(scenario, seed, drawn, lines, reader).play();
   }
 
   private Result play() {
     world.trace().note("day", "scenario", scenario.name(), "seed", seed);
-    sidecars.all().forEach(Instance::boot);
-    run(World.START_US + WARM_US);
+    sidecars.all().forEach(SidecarProcess::boot);
+    run(SimulationContext.START_US + WARM_US);
     long firstUs = time.now();
     long lastUs = firstUs + Math.round(scenario.seconds() * 1e6);
-    drawn.forEach(d -> troubles.arrange(d, firstUs));
+    drawn.forEach(d -> faults.arrange(d, firstUs));
     clients.forEach(c -> c.come(lastUs));
     run(lastUs);
     while (clients.stream().anyMatch(c -> c.open() > 0) && time.now() < lastUs + TOO_LONG_US) {
@@ -129,7 +131,8 @@
     run(
         time.now()
             + REST_US
-            + Math.round(Double.parseDouble(scenario.told().get("limits.keepalive_ms")) * 1000));
+            + Math.round(
+                Double.parseDouble(scenario.notified().get("limits.keepalive_ms")) * 1000));
     rest();
     return result();
   }
@@ -147,7 +150,7 @@
         i++) {
       run(time.now() + 1_000_000); // timers of what is over go when they are due
     }
-    for (Instance s : sidecars.all()) {
+    for (SidecarProcess s : sidecars.all()) {
       String left = restless(s);
       if (left != null) {
         oracle.broke(
@@ -156,8 +159,8 @@
             s.name + " with " + s.connections() + " connections still holds " + left);
       }
     }
-    for (Ask ask : oracle.asks().values()) {
-      oracle.silent(ask);
+    for (ObservedRequest request : oracle.requests().values()) {
+      oracle.silent(request);
     }
   }
 
@@ -165,50 +168,55 @@
    * What a sidecar holds that it should not when nothing is carried out; null where that is
    * nothing.
    */
-  private static String restless(Instance s) {
+  private static String restless(SidecarProcess s) {
     SidecarServer.Usage usage = s.usage();
     int more = usage == null ? 0 : s.connections() - s.app.connections() - 1; // one is to the list
     boolean rests =
         usage == null
-            || more <= 0
+            || (more <= 0
                 && usage.trackedRequests() + usage.attempts() + usage.openRequests() == 0
                 && usage.timers() <= RESTING_TIMERS
-                && usage.bufferBytes() <= RESTING_BYTES * s.connections();
+                && usage.bufferBytes() <= RESTING_BYTES * s.connections());
     return rests ? null : usage + (more > 0 ? " and " + more + " connections to endpoints" : "");
   }
 
   private Result result() {
-    long acked = 0;
+    long succeeded = 0;
     long inTime = 0;
-    long nacked = 0;
+    long rejected = 0;
     long failed = 0;
     long left = 0;
-    long pushes = 0;
-    double benefit = 0;
+    long attempts = 0;
+    double priorityWeight = 0;
     double possible = 0;
-    for (Ask ask : oracle.asks().values()) {
-      boolean soon = ask.status == 200 && ask.answerUs - ask.sentUs <= ask.targetUs();
-      acked += ask.status == 200 ? 1 : 0;
+    for (ObservedRequest request : oracle.requests().values()) {
+      boolean soon =
+          request.status == 200 && request.answerUs - request.sentUs <= request.targetUs();
+      succeeded += request.status == 200 ? 1 : 0;
       inTime += soon ? 1 : 0;
-      nacked += ask.status == 503 || ask.status == 429 ? 1 : 0;
+      rejected += request.status == 503 || request.status == 429 ? 1 : 0;
       failed +=
-          ask.over && !ask.excused && ask.status != 200 && ask.status != 503 && ask.status != 429
+          request.over
+                  && !request.excused
+                  && request.status != 200
+                  && request.status != 503
+                  && request.status != 429
               ? 1
               : 0;
-      left += ask.excused ? 1 : 0;
-      pushes += ask.pushes.size();
-      benefit += soon ? ask.kind.benefit() : 0;
-      possible += ask.attempt == 0 && !ask.excused ? ask.kind.benefit() : 0;
+      left += request.excused ? 1 : 0;
+      attempts += request.attempts.size();
+      priorityWeight += soon ? request.kind.priorityWeight() : 0;
+      possible += request.attempt == 0 && !request.excused ? request.kind.priorityWeight() : 0;
     }
     Trace trace = world.trace();
     trace.note(
         "end",
         "ops",
-        oracle.asks().size(),
+        oracle.requests().size(),
         "acked",
-        acked,
+        succeeded,
         "nacked",
-        nacked,
+        rejected,
         "failed",
         failed,
         "violations",
@@ -220,18 +228,18 @@
         oracle.broken(),
         trace.end(),
         time.steps(),
-        sidecars.all().stream().mapToLong(Instance::turns).sum(),
-        time.now() - World.START_US,
-        oracle.asks().size(),
-        acked,
+        sidecars.all().stream().mapToLong(SidecarProcess::turns).sum(),
+        time.now() - SimulationContext.START_US,
+        oracle.requests().size(),
+        succeeded,
         inTime,
-        nacked,
+        rejected,
         failed,
         left,
-        clients.stream().mapToLong(Clients::notTaken).sum(),
-        clients.stream().mapToLong(Clients::retries).sum(),
-        pushes,
-        benefit,
+        clients.stream().mapToLong(EmulatedClients::notTaken).sum(),
+        clients.stream().mapToLong(EmulatedClients::retries).sum(),
+        attempts,
+        priorityWeight,
         possible,
         sidecars.all().stream().mapToInt(s -> Math.max(0, s.starts() - 1)).sum());
   }
--- a/emulator/src/test/java/dillcross/emulator/EmulateIT.java
+++ b/emulator/src/test/java/dillcross/emulator/EmulateIT.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aTraceIsTheSameByteForByteAndItsDigestIsTold() throws Exception {
+  void aTraceIsTheSameByteForByteAndItsDigestIsNotified() throws Exception {
     Path a = folder.resolve("a.json");
     Path b = folder.resolve("b.json");
     List<String> first =
@@ -119,7 +119,8 @@
   }
 
   @Test
-  void aCrossingThatBreaksARuleIsToldWithWhatReplaysIt() throws IOException, InterruptedException {
+  void aCrossingThatBreaksARuleIsNotifiedWithWhatReplaysIt()
+      throws IOException, InterruptedException {
     Path strict =
         Files.writeString(
             folder.resolve("strict.toml"),
