--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.Fault;
+import dillcross.emulator.scenario.Fault.Drawn;
+import dillcross.emulator.scenario.Fault.Kind;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.scenario.Trouble;
-import dillcross.emulator.scenario.Trouble.Drawn;
-import dillcross.emulator.scenario.Trouble.Kind;
-import dillcross.emulator.world.Day;
+import dillcross.emulator.world.Simulation;
 import java.io.OutputStream;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -21,6 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Things that happen together, at the worst moment. */
+@SuppressWarnings("StringConcatToTextBlock") // one line a part of a scenario
 class HardCasesTest {
   private static final long WARM_US =
       1_000_000; // before the first arrival, from which troubles are timed
@@ -29,18 +30,18 @@
           + "key_scope = \"all\"\nttl_ms = 1500\ntarget_latency_ms = 600\nbody_bytes = 300000\nanswer_bytes = 700000\n[clients]\nper_s = 12\nretry = \"after\"\n";
   private final List<Object[]> events = new ArrayList<>(); // time, what, then pairs
 
-  private static Scenario calm() throws Faulty {
+  private static Scenario calm() throws InvalidScenarioException {
     return ScenarioReader.read(Path.of("../scenarios/calm.toml"));
   }
 
-  private static Scenario of(String text) throws Faulty {
+  private static Scenario of(String text) throws InvalidScenarioException {
     return ScenarioReader.parse("test.toml", text);
   }
 
-  private static Drawn trouble(Kind kind, String target, long atUs, long forUs, String mode) {
+  private static Drawn fault(Kind kind, String target, long atUs, long forUs, String mode) {
     String id = kind.word() + "-" + target + "-" + atUs;
     return new Drawn(
-        new Trouble(
+        new Fault(
             id,
             kind,
             Range.of(atUs / 1000.0),
@@ -56,13 +57,13 @@
         3);
   }
 
-  private Day.Result play(Scenario scenario, long seed, Drawn... troubles) {
+  private Simulation.Result play(Scenario scenario, long seed, Drawn... faults) {
     events.clear();
-    Day.Result day =
-        Day.play(
+    Simulation.Result day =
+        Simulation.play(
             scenario,
             seed,
-            List.of(troubles),
+            List.of(faults),
             OutputStream.nullOutputStream(),
             (us, what, pairs) -> {
               Object[] event = new Object[pairs.length + 2];
@@ -71,7 +72,7 @@
               System.arraycopy(pairs, 0, event, 2, pairs.length);
               events.add(event);
             });
-    assertEquals(List.of(), day.violations(), () -> "seed " + seed + " with " + List.of(troubles));
+    assertEquals(List.of(), day.violations(), () -> "seed " + seed + " with " + List.of(faults));
     return day;
   }
 
@@ -81,21 +82,21 @@
   }
 
   @Test
-  void twoTroublesInTheSameTickInBothOrders() throws Faulty {
+  void twoFaultsInTheSameTickInBothOrders() throws InvalidScenarioException {
     List<Kind> kinds =
         List.of(Kind.DIE, Kind.VANISH, Kind.SILENCE, Kind.PAUSE, Kind.BLACKHOLE, Kind.DRAIN);
     for (Kind one : kinds) {
       for (Kind other : kinds) {
-        Drawn a = trouble(one, "e0", 700_000, 900_000, "after");
-        Drawn b = trouble(other, "e0", 700_000, 900_000, "after");
+        Drawn a = fault(one, "e0", 700_000, 900_000, "after");
+        Drawn b = fault(other, "e0", 700_000, 900_000, "after");
         if (one != other) {
-          Day.Result first = play(calm(), 5, a, b);
-          assertTrue(first.acked() > 0);
+          Simulation.Result first = play(calm(), 5, a, b);
+          assertTrue(first.succeeded() > 0);
           play(calm(), 5, b, a);
         }
       }
-      Drawn cut = trouble(Kind.CUT, "a", 700_000, 900_000, "after");
-      Drawn end = trouble(one, "e3", 1_600_000, 500_000, "after"); // when the cut ends
+      Drawn cut = fault(Kind.CUT, "a", 700_000, 900_000, "after");
+      Drawn end = fault(one, "e3", 1_600_000, 500_000, "after"); // when the cut ends
       play(calm(), 6, cut, end);
       play(calm(), 6, end, cut);
     }
@@ -107,32 +108,32 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"reply", "answer", "begin", "push"})
-  void aTroubleInTheTickOfAnAnswer(String moment) throws Faulty {
+  void aFaultInTheTickOfAnAnswer(String moment) throws InvalidScenarioException {
     play(calm(), 7);
     List<Long> at = times(moment);
     assertTrue(at.size() > 100);
     for (int i = 20; i < at.size(); i += at.size() / 6) {
       for (int e = 0; e < 8; e += 3) {
         for (Kind kind : List.of(Kind.DIE, Kind.SILENCE, Kind.DRAIN)) {
-          play(calm(), 7, trouble(kind, "e" + e, at.get(i), 400_000, "after"));
+          play(calm(), 7, fault(kind, "e" + e, at.get(i), 400_000, "after"));
         }
       }
-      play(calm(), 7, trouble(Kind.KILL, "s1", at.get(i), 100_000, "after"));
-      play(calm(), 7, trouble(Kind.TERM, "s1", at.get(i), 100_000, "after"));
+      play(calm(), 7, fault(Kind.KILL, "s1", at.get(i), 100_000, "after"));
+      play(calm(), 7, fault(Kind.TERM, "s1", at.get(i), 100_000, "after"));
     }
   }
 
   @Test
-  void aSidecarIsToldToStopInTheMiddleOfAPartition() throws Faulty {
+  void aSidecarIsNotifiedToStopInTheMiddleOfAPartition() throws InvalidScenarioException {
     for (long seed = 1; seed <= 10; seed++) {
       for (String zone : List.of("a", "b", "c")) {
-        Day.Result day =
+        Simulation.Result day =
             play(
                 calm(),
                 seed,
-                trouble(Kind.CUT, zone, 1_000_000, 3_000_000, "after"),
-                trouble(Kind.TERM, "s0", 2_000_000 + seed * 7_001, 400_000, "after"),
-                trouble(Kind.TERM, "s2", 2_500_000, 400_000, "after"));
+                fault(Kind.CUT, zone, 1_000_000, 3_000_000, "after"),
+                fault(Kind.TERM, "s0", 2_000_000 + seed * 7_001, 400_000, "after"),
+                fault(Kind.TERM, "s2", 2_500_000, 400_000, "after"));
         assertEquals(2, times("exit").size(), "both went by themselves");
         assertEquals(2, day.restarts());
       }
@@ -140,31 +141,32 @@
   }
 
   @Test
-  void aListWhoseNumbersBeginAnewDuringARollingDeploy() throws Faulty {
+  void aListWhoseNumbersBeginAnewDuringARollingDeploy() throws InvalidScenarioException {
     for (long seed = 1; seed <= 12; seed++) {
-      Day.Result day =
+      Simulation.Result day =
           play(
               calm(),
               seed,
-              trouble(Kind.DEPLOY, "all", 500_000, 6_000_000, "after"),
-              trouble(Kind.LIST_RENUMBER, "all", 1_000_000 + 400_000 * seed, 0, "after"),
-              trouble(Kind.LIST_RENUMBER, "all", 6_200_000, 0, "after"));
+              fault(Kind.DEPLOY, "all", 500_000, 6_000_000, "after"),
+              fault(Kind.LIST_RENUMBER, "all", 1_000_000 + 400_000 * seed, 0, "after"),
+              fault(Kind.LIST_RENUMBER, "all", 6_200_000, 0, "after"));
       assertEquals(8, times("join").size());
-      assertTrue(day.acked() > 0.95 * day.ops(), day.acked() + " of " + day.ops());
+      assertTrue(
+          day.succeeded() > 0.95 * day.requests(), day.succeeded() + " of " + day.requests());
     }
   }
 
   @Test
-  void anEndpointDiesWhileABodyStreams() throws Faulty {
+  void anEndpointDiesWhileABodyStreams() throws InvalidScenarioException {
     Scenario streams = of(STREAMS);
-    assertTrue(play(streams, 3).acked() > 100);
+    assertTrue(play(streams, 3).succeeded() > 100);
     List<Long> at = times("reply");
     int cut = 0;
     for (int i = 5;
         i < at.size();
         i += at.size() / 8) { // some milliseconds into its answer, or into the next request
       for (int e = 0; e < 8; e += 2) {
-        play(streams, 3, trouble(Kind.DIE, "e" + e, at.get(i) + 4_000, 700_000, "after"));
+        play(streams, 3, fault(Kind.DIE, "e" + e, at.get(i) + 4_000, 700_000, "after"));
         cut += times("cut").size();
       }
     }
@@ -172,45 +174,48 @@
   }
 
   /**
-   * No time passes on the way, in a turn or at an endpoint: all of an op happens in one
+   * No time passes on the way, in a turn or at an endpoint: all of a request happens in one
    * microsecond.
    */
   @Test
-  void aClockStepOfZero() throws Faulty {
+  void aClockStepOfZero() throws InvalidScenarioException {
     Scenario still =
         of(
             "like = \"../scenarios/mixed.toml\"\nseconds = 5\n[sidecars]\ncount = 3\nturn_us = 0\nstart_ms = 0\n[network]\nnear_us = 0\nfar_us = 0\njitter_us = 0\n"
                 + "[list]\ndelay_ms = 0\ntell_ms = 0\n[[category]]\nname = \"read\"\neffect = \"idempotent\"\nwork_ms = 0.001\nspread = 0\n");
     for (long seed = 1; seed <= 10; seed++) {
-      Day.Result day = Day.play(still, seed);
+      Simulation.Result day = Simulation.play(still, seed);
       assertEquals(List.of(), day.violations());
-      assertTrue(day.acked() > 100);
+      assertTrue(day.succeeded() > 100);
     }
   }
 
   @Test
-  void aTroubleShiftsNothingThatOthersDraw() throws Faulty {
+  void aFaultShiftsNothingThatOthersDraw() throws InvalidScenarioException {
     Scenario mixed = ScenarioReader.read(Path.of("../scenarios/mixed.toml"));
     List<Drawn> all =
-        dillcross.emulator.world.Troubles.draw(mixed, dillcross.emulator.chance.Chance.of(9));
+        dillcross.emulator.world.FaultInjector.draw(
+            mixed, dillcross.emulator.random.RandomStream.of(9));
     Scenario fewer =
         new Scenario(
             mixed.name(),
             mixed.seconds(),
             mixed.sidecars(),
-            mixed.told(),
-            mixed.categories(),
+            mixed.notified(),
+            mixed.requestClasses(),
             mixed.clients(),
             mixed.endpoints(),
             mixed.list(),
             mixed.network(),
             mixed.rules(),
-            mixed.troubles().subList(5, mixed.troubles().size()));
+            mixed.faults().subList(5, mixed.faults().size()));
     List<Drawn> left =
-        dillcross.emulator.world.Troubles.draw(fewer, dillcross.emulator.chance.Chance.of(9));
+        dillcross.emulator.world.FaultInjector.draw(
+            fewer, dillcross.emulator.random.RandomStream.of(9));
     assertEquals(all.subList(all.size() - left.size(), all.size()), left);
     assertNotEquals(
         all,
-        dillcross.emulator.world.Troubles.draw(mixed, dillcross.emulator.chance.Chance.of(10)));
+        dillcross.emulator.world.FaultInjector.draw(
+            mixed, dillcross.emulator.random.RandomStream.of(10)));
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/Search.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipSearch.java
@@ -5,7 +5,7 @@
 import java.util.function.IntFunction;
 
 /** Explores sequences of steps with the class that its loader has; what broke, or null. */
-public final class Search implements IntFunction<String> {
+public final class MembershipSearch implements IntFunction<String> {
   @Override
   public String apply(int depth) {
     return Explorer.explore(depth, 11, new AtomicLong());
--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.emulator.members.Explorer;
-import dillcross.emulator.members.Swarm;
-import dillcross.emulator.members.Trial;
+import dillcross.emulator.members.MembershipCluster;
+import dillcross.emulator.members.MembershipTrial;
 import dillcross.membership.MemberState;
 import java.net.URLClassLoader;
 import java.nio.file.Path;
@@ -47,14 +47,17 @@
         "seeds that are never asked | Reconnector | Math.min(wanted, lost.size()) | 0",
         "a refutation that is not believed | MemberRecord | incarnation > other.incarnation | incarnation < other.incarnation"
       })
-  void aPlantedFaultIsFound(String name, String file, String text, String instead) throws Exception {
+  void aPlantedFaultIsFound(String name, String file, String text, String instead)
+      throws Exception {
     String found = null;
     try (URLClassLoader own =
-        Changed.loader(folder, "membership/" + file + ".java", text, instead)) {
+        PlantedFault.loader(folder, "membership/" + file + ".java", text, instead)) {
       @SuppressWarnings("unchecked")
       IntFunction<String> search =
           (IntFunction<String>)
-              own.loadClass(Search.class.getName()).getDeclaredConstructor().newInstance();
+              own.loadClass(MembershipSearch.class.getName())
+                  .getDeclaredConstructor()
+                  .newInstance();
       for (int depth = 1; depth <= 3 && found == null; depth++) {
         found = search.apply(depth);
       }
@@ -64,12 +67,14 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Trial.Fault.class)
-  void twentyFourFindWhoDiedAndAgreeInTheEnd(Trial.Fault fault) {
-    Trial.Result result = Trial.play(24, fault, 5);
+  @EnumSource(MembershipTrial.Fault.class)
+  void twentyFourFindWhoDiedAndAgreeInTheEnd(MembershipTrial.Fault fault) {
+    MembershipTrial.Result result = MembershipTrial.play(24, fault, 5);
     assertTrue(result.convergedMs() >= 0, result::toString);
     assertTrue(result.detectMs().size() > 0, result::toString);
-    if (fault == Trial.Fault.NONE || fault == Trial.Fault.ONE_WAY || fault == Trial.Fault.SLOW) {
+    if (fault == MembershipTrial.Fault.NONE
+        || fault == MembershipTrial.Fault.ONE_WAY
+        || fault == MembershipTrial.Fault.SLOW) {
       assertEquals(0, result.falseDeaths(), result::toString);
     }
   }
@@ -77,13 +82,13 @@
   @Test
   void theSameSeedPlaysTheSame() {
     assertEquals(
-        Trial.play(16, Trial.Fault.ALL, 3).toString(),
-        Trial.play(16, Trial.Fault.ALL, 3).toString());
+        MembershipTrial.play(16, MembershipTrial.Fault.ALL, 3).toString(),
+        MembershipTrial.play(16, MembershipTrial.Fault.ALL, 3).toString());
   }
 
   @Test
   void aWordOfAnotherPartComesToAllAndTheNewestHolds() {
-    Swarm swarm = new Swarm(40, 3, 1, 1_000_000, 400, 9);
+    MembershipCluster swarm = new MembershipCluster(40, 3, 1, 1_000_000, 400, 9);
     for (int i = 0; i < 40; i++) {
       swarm.start(i, 0);
     }
@@ -95,8 +100,8 @@
       assertEquals(MemberState.ALIVE, i == 7 ? MemberState.ALIVE : swarm.holds(i, 7));
       assertTrue(
           i == 7
-              || swarm.of(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
-                  && swarm.of(i).payload("s7", 2).orElseThrow().version() == 2);
+              || (swarm.of(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
+                  && swarm.of(i).payload("s7", 2).orElseThrow().version() == 2));
     }
     swarm.kill(9);
     swarm.start(9, 0); // who comes later hears of it as well
--- a/emulator/src/test/java/dillcross/emulator/Changed.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedFault.java
@@ -22,12 +22,12 @@
  * The program with a line of the sidecar's text changed, compiled anew and loaded beside the
  * unchanged one.
  */
-final class Changed {
+final class PlantedFault {
   private static final Path SOURCES = Path.of("../sidecar/src/main/java/dillcross");
 
   private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
 
-  private Changed() {}
+  private PlantedFault() {}
 
   static URLClassLoader loader(Path folder, String file, String text, String instead)
       throws IOException {
@@ -83,7 +83,7 @@
     for (String path : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
       urls.add(Path.of(path).toUri().toURL());
     }
-    return new URLClassLoader(urls.toArray(new URL[0]), Changed.class.getClassLoader()) {
+    return new URLClassLoader(urls.toArray(new URL[0]), PlantedFault.class.getClassLoader()) {
       @Override
       protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
         synchronized (getClassLoadingLock(name)) {
--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -189,11 +189,11 @@
   void isFound(String name, String file, String text, String instead, String rules, String scenario)
       throws Exception {
     String found;
-    try (URLClassLoader own = Changed.loader(folder, file, text, instead)) {
+    try (URLClassLoader own = PlantedFault.loader(folder, file, text, instead)) {
       @SuppressWarnings("unchecked")
       BiFunction<Path, Long, String> hunt =
           (BiFunction<Path, Long, String>)
-              own.loadClass(Hunt.class.getName()).getDeclaredConstructor().newInstance();
+              own.loadClass(FaultSearch.class.getName()).getDeclaredConstructor().newInstance();
       found = hunt.apply(SCENARIOS.resolve(scenario), MOST);
     }
     assertNotNull(found, "none of " + MOST + " seeds of " + scenario + " breaks a rule");
--- a/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
+++ b/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.emulator.run.Shrink;
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.Fault;
+import dillcross.emulator.scenario.Fault.Drawn;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.scenario.Trouble;
-import dillcross.emulator.scenario.Trouble.Drawn;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -43,35 +43,36 @@
         "sidecars = 3|[[category]]|name = 'a'!f:1: sidecars: has to be a table",
         "[[category]]|name = 'a'|[settings]|cancel = 1!f:4: settings.cancel: neither true nor false"
       })
-  void aFaultNamesFileLineAndKey(String text, String told) {
-    Faulty faulty =
+  void aFaultNamesFileLineAndKey(String text, String notified) {
+    InvalidScenarioException invalid =
         assertThrows(
-            Faulty.class,
+            InvalidScenarioException.class,
             () -> ScenarioReader.parse("f", text.replace('|', '\n').replace('\'', '"')));
-    assertTrue(faulty.getMessage().contains(told), faulty.getMessage());
+    assertTrue(invalid.getMessage().contains(notified), invalid.getMessage());
   }
 
   @Test
   void allFaultsAreSaidAtOnce() {
-    Faulty faulty =
+    InvalidScenarioException invalid =
         assertThrows(
-            Faulty.class,
+            InvalidScenarioException.class,
             () ->
                 ScenarioReader.parse(
                     "f", GOOD + "work = 3\nttl_ms = 0\n[clients]\nretry = \"x\"\n"));
-    assertEquals(3, faulty.getMessage().lines().count(), faulty.getMessage());
+    assertEquals(3, invalid.getMessage().lines().count(), invalid.getMessage());
   }
 
   @Test
   void aFileThatIsNotThereIsAFaultToo() {
     assertTrue(
-        assertThrows(Faulty.class, () -> ScenarioReader.read(Path.of("none.toml")))
+        assertThrows(
+                InvalidScenarioException.class, () -> ScenarioReader.read(Path.of("none.toml")))
             .getMessage()
             .startsWith("none.toml: can't be read"));
   }
 
   @Test
-  void everyScenarioOfOursCanBeRead() throws IOException, Faulty {
+  void everyScenarioOfOursCanBeRead() throws IOException, InvalidScenarioException {
     try (Stream<Path> all = Files.list(Path.of("../scenarios"))) {
       List<Path> files = all.filter(f -> f.toString().endsWith(".toml")).toList();
       assertFalse(files.isEmpty());
@@ -81,35 +82,36 @@
         String text = Files.readString(file);
         assertEquals(
             List.of(),
-            ScenarioReader.parse("cut", ScenarioReader.withoutTroubles(text)).troubles(),
+            ScenarioReader.parse("cut", ScenarioReader.withoutFaults(text)).faults(),
             file + ": troubles stand last");
       }
     }
   }
 
   @Test
-  void whatWasCutReadsBackTheSame() throws Faulty {
+  void whatWasCutReadsBackTheSame() throws InvalidScenarioException {
     String text =
         GOOD + "[[trouble]]\nkind = \"slow\"\nat_ms = [10, 900]\nfactor = [2, 9]\ncount = 3\n";
     Scenario scenario = ScenarioReader.parse("f", text);
     var drawn =
-        dillcross.emulator.world.Troubles.draw(scenario, dillcross.emulator.chance.Chance.of(4));
+        dillcross.emulator.world.FaultInjector.draw(
+            scenario, dillcross.emulator.random.RandomStream.of(4));
     assertEquals(3, drawn.size());
     var few =
         new Shrink.Result(
             dillcross.emulator.oracle.Violation.Rule.ONE_ANSWER, 4, 1, drawn.subList(1, 3), 3, 9);
     Scenario back = ScenarioReader.parse("f", Shrink.write(text, few));
     assertEquals(1, back.seconds());
-    assertEquals(fixed(few.troubles()), back.troubles());
-    assertEquals(scenario.categories(), back.categories());
+    assertEquals(fixed(few.faults()), back.faults());
+    assertEquals(scenario.requestClasses(), back.requestClasses());
   }
 
   /** The same troubles as a scenario would hold them. */
-  private static List<Trouble> fixed(List<Drawn> troubles) {
-    return troubles.stream()
+  private static List<Fault> fixed(List<Drawn> faults) {
+    return faults.stream()
         .map(
             d ->
-                new Trouble(
+                new Fault(
                     d.from().id(),
                     d.from().kind(),
                     Range.of(d.atUs() / 1000.0),
--- a/emulator/src/test/java/dillcross/emulator/SweepTest.java
+++ b/emulator/src/test/java/dillcross/emulator/SweepTest.java
@@ -8,10 +8,10 @@
 import dillcross.emulator.run.Explain;
 import dillcross.emulator.run.Shrink;
 import dillcross.emulator.run.Sweep;
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.world.Day;
+import dillcross.emulator.world.Simulation;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -37,7 +37,8 @@
     }
   }
 
-  private static Sweep.Result clean(Path file, long to) throws Faulty, InterruptedException {
+  private static Sweep.Result clean(Path file, long to)
+      throws InvalidScenarioException, InterruptedException {
     List<String> broken = new ArrayList<>();
     Sweep.Result all =
         new Sweep(
@@ -51,18 +52,18 @@
   }
 
   @Test
-  void everythingAtOnce() throws Faulty, InterruptedException {
-    assertTrue(clean(SCENARIOS.resolve("mixed.toml"), 300).ops() > 100_000);
+  void everythingAtOnce() throws InvalidScenarioException, InterruptedException {
+    assertTrue(clean(SCENARIOS.resolve("mixed.toml"), 300).requests() > 100_000);
   }
 
   @ParameterizedTest
   @MethodSource("alone")
-  void eachTroubleAlone(Path file) throws Faulty, InterruptedException {
+  void eachFaultAlone(Path file) throws InvalidScenarioException, InterruptedException {
     clean(file, 12);
   }
 
   @Test
-  void calmOverloadColdAndCopies() throws Faulty, InterruptedException {
+  void calmOverloadSlowStartAndHedges() throws InvalidScenarioException, InterruptedException {
     for (String name :
         List.of(
             "calm",
@@ -78,38 +79,40 @@
             "pauses")) {
       clean(SCENARIOS.resolve(name + ".toml"), 40);
     }
-    Day.Result calm = Day.play(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1);
-    assertEquals(calm.ops(), calm.acked(), "nothing is lost where nothing goes wrong");
+    Simulation.Result calm =
+        Simulation.play(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1);
+    assertEquals(calm.requests(), calm.succeeded(), "nothing is lost where nothing goes wrong");
   }
 
   /** Days that broke a rule once, cut to what mattered: the seed is named in each. */
   @Test
-  void whatWasFoundStaysMended() throws Faulty, IOException {
+  void whatWasFoundStaysMended() throws InvalidScenarioException, IOException {
     try (Stream<Path> all = Files.list(SCENARIOS.resolve("found"))) {
       for (Path file : all.sorted().toList()) {
         Matcher seed = Pattern.compile("--seed ([0-9]+)").matcher(Files.readString(file));
         assertTrue(seed.find(), file + " names no seed");
         assertEquals(
             List.of(),
-            Day.play(ScenarioReader.read(file), Long.parseLong(seed.group(1))).violations(),
+            Simulation.play(ScenarioReader.read(file), Long.parseLong(seed.group(1))).violations(),
             file.toString());
       }
     }
   }
 
   @Test
-  void theSameSeedIsTheSameDayToTheByte() throws Faulty {
+  void theSameSeedIsTheSameDayToTheByte() throws InvalidScenarioException {
     Scenario mixed = ScenarioReader.read(SCENARIOS.resolve("mixed.toml"));
     var drawn =
-        dillcross.emulator.world.Troubles.draw(mixed, dillcross.emulator.chance.Chance.of(3));
+        dillcross.emulator.world.FaultInjector.draw(
+            mixed, dillcross.emulator.random.RandomStream.of(3));
     ByteArrayOutputStream one = new ByteArrayOutputStream();
     ByteArrayOutputStream two = new ByteArrayOutputStream();
-    Day.Result first = Day.play(mixed, 3, drawn, one, null);
-    Day.Result again = Day.play(mixed, 3, drawn, two, (us, what, pairs) -> {});
+    Simulation.Result first = Simulation.play(mixed, 3, drawn, one, null);
+    Simulation.Result again = Simulation.play(mixed, 3, drawn, two, (us, what, pairs) -> {});
     assertEquals(one.toString(StandardCharsets.UTF_8), two.toString(StandardCharsets.UTF_8));
     assertEquals(first.digest(), again.digest());
-    assertEquals(first.digest(), Day.play(mixed, 3).digest());
-    assertNotEquals(first.digest(), Day.play(mixed, 4).digest());
+    assertEquals(first.digest(), Simulation.play(mixed, 3).digest());
+    assertNotEquals(first.digest(), Simulation.play(mixed, 4).digest());
     assertTrue(
         one.toString(StandardCharsets.UTF_8)
             .lines()
@@ -117,7 +120,7 @@
   }
 
   @Test
-  void howManyAreAtWorkChangesNothing() throws Faulty, InterruptedException {
+  void howManyAreAtWorkChangesNothing() throws InvalidScenarioException, InterruptedException {
     Scenario mixed = ScenarioReader.read(SCENARIOS.resolve("mixed.toml"));
     List<Long> order = new ArrayList<>();
     String alone = new Sweep(mixed, 1, day -> {}).play(5, 30).digest();
@@ -133,20 +136,19 @@
    * the same way.
    */
   @Test
-  void aFailingDayIsCutToWhatMatters() throws Faulty, IOException {
+  void aFailingDayIsCutToWhatMatters() throws InvalidScenarioException, IOException {
     String text =
         Files.readString(SCENARIOS.resolve("mixed.toml"))
             .replaceFirst("\n\\[\\[trouble", "\n[rules]\nanswer_slack_ms = 0\n\n[[trouble");
     Scenario strict = ScenarioReader.parse("strict", text);
     long seed = 1;
-    while (Day.play(strict, seed).clean()) {
+    while (Simulation.play(strict, seed).clean()) {
       seed++;
     }
     Shrink.Result few = Shrink.of(strict, seed, said -> {});
-    assertTrue(
-        few.troubles().size() < few.before() / 2, few.troubles().size() + " of " + few.before());
+    assertTrue(few.faults().size() < few.before() / 2, few.faults().size() + " of " + few.before());
     Scenario back = ScenarioReader.parse("cut", Shrink.write(text, few));
-    Day.Result again = Day.play(back, few.seed());
+    Simulation.Result again = Simulation.play(back, few.seed());
     assertTrue(
         again.violations().stream().anyMatch(v -> v.rule() == few.rule()),
         again.violations().toString());
--- a/emulator/src/test/java/dillcross/emulator/WireContractTest.java
+++ b/emulator/src/test/java/dillcross/emulator/WireContractTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.common.NumericAddress;
-import dillcross.emulator.chance.Chance;
-import dillcross.emulator.time.Timeline;
+import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.wire.EmulatedNetwork;
-import dillcross.emulator.wire.Fabric;
-import dillcross.emulator.wire.Host;
+import dillcross.emulator.wire.VirtualMachine;
+import dillcross.emulator.wire.VirtualNetwork;
 import dillcross.net.grizzly.GrizzlyNetwork;
 import dillcross.net.transport.Network;
 import dillcross.net.transport.TransportChannel;
@@ -171,11 +171,12 @@
     assertEquals(List.of(wanted), real.seen, "on sockets");
 
     Case emulated = making.make();
-    Timeline time = new Timeline(1_000_000);
-    Fabric fabric = new Fabric(time, Chance.of(1), 100, 1000, 0);
-    boolean[] begun = new boolean[1];
+    VirtualClock time = new VirtualClock(1_000_000);
+    VirtualNetwork fabric = new VirtualNetwork(time, RandomStream.of(1), 100, 1000, 0);
+    boolean[] started = new boolean[1];
     EmulatedNetwork wire =
-        new EmulatedNetwork(time, fabric, new Host("one", "a"), "127.0.0.1", 20, () -> {});
+        new EmulatedNetwork(
+            time, fabric, new VirtualMachine("one", "a"), "127.0.0.1", 20, () -> {});
     emulated.network = wire;
     wire.start(
         new Network.EventLoopTask() {
@@ -186,8 +187,8 @@
 
           @Override
           public void afterEvents() {
-            if (!begun[0]) {
-              begun[0] = true;
+            if (!started[0]) {
+              started[0] = true;
               begin(emulated, thrown);
             }
           }
@@ -214,7 +215,7 @@
   }
 
   @Test
-  void whoConnectsToNobodyIsToldSo() throws Exception {
+  void whoConnectsToNobodyIsNotifiedSo() throws Exception {
     int nobody;
     try (ServerSocket free = new ServerSocket(0)) {
       nobody = free.getLocalPort();
@@ -349,7 +350,7 @@
   }
 
   @Test
-  void whatNobodyReadsWaitsAndIsToldWhenItIsTaken() throws Exception {
+  void whatNobodyReadsWaitsAndIsNotifiedWhenItIsTaken() throws Exception {
     same(
         () ->
             new Case() {
@@ -409,7 +410,7 @@
   }
 
   @Test
-  void whatIsLeftUnreadIsToldOfOnceMoreButNotWithinTheCall() throws Exception {
+  void whatIsLeftUnreadIsNotifiedOfOnceMoreButNotWithinTheCall() throws Exception {
     same(
         () ->
             new Case() {
--- a/fleet/src/main/java/dillcross/fleet/Child.java
+++ b/fleet/src/main/java/dillcross/fleet/ChildProcess.java
@@ -21,7 +21,7 @@
  * input) stands beside it and kills it when this process ends in whatever way: nothing is left
  * behind, also after SIGKILL. Signals go to this child's own process id alone.
  */
-final class Child implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
   private static final Pattern ADMIN = Pattern.compile(".*admin endpoint on ([0-9.:]+).*");
   private static final Pattern MEMBERSHIP = Pattern.compile(".*membership on ([0-9.:]+) as .*");
   private static final Pattern READY = Pattern.compile(".*ready on ([0-9.:]+) after.*");
@@ -32,7 +32,7 @@
   final long startedNs = System.nanoTime();
 
   /** {@code log} gets all that it says, {@code home} hears where its datagrams come in. */
-  Child(List<String> command, Path root, Path log, java.util.function.Consumer<String> home)
+  ChildProcess(List<String> command, Path root, Path log, java.util.function.Consumer<String> home)
       throws IOException {
     List<String> all =
         new ArrayList<>(
@@ -76,17 +76,17 @@
     reader.start();
   }
 
-  private static void found(Pattern pattern, String line, CompletableFuture<String> told) {
+  private static void found(Pattern pattern, String line, CompletableFuture<String> notified) {
     Matcher m = pattern.matcher(line);
     if (m.matches()) {
-      told.complete(m.group(1));
+      notified.complete(m.group(1));
     }
   }
 
-  private static String wait(CompletableFuture<String> told)
+  private static String wait(CompletableFuture<String> notified)
       throws IOException, InterruptedException {
     try {
-      return told.get(30, TimeUnit.SECONDS);
+      return notified.get(30, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("no word from the process: " + e.getMessage(), e);
     }
--- a/fleet/src/main/java/dillcross/fleet/Compare.java
+++ b/fleet/src/main/java/dillcross/fleet/ComparisonRun.java
@@ -12,14 +12,14 @@
  * What membership costs: the same load on sidecars that have it and on as many that have not, in
  * one run, while one member comes and goes.
  */
-final class Compare {
-  private Compare() {}
+final class ComparisonRun {
+  private ComparisonRun() {}
 
-  /** Whether every op that found its sidecar was answered. */
+  /** Whether every request that found its sidecar was answered. */
   static boolean play(int each, int seconds, double rate, Path out, PrintStream print)
       throws Exception {
     List<String> zones = List.of("east", "west", "north");
-    try (StandIns standIns = new StandIns(9, zones, 10);
+    try (StandInServices standIns = new StandInServices(9, zones, 10);
         Fleet fleet = new Fleet(Fleet.root(), out, 2 * each, zones, List.of(0), 1000, 1)) {
       fleet.lists(standIns.listAddress());
       IntStream.range(each, 2 * each).forEach(fleet::alone);
@@ -32,19 +32,19 @@
       for (int m : fleet.all()) {
         fleet.child(m).address();
       }
-      List<Load> warm = Load.all(fleet, rate);
+      List<LoadGenerator> warm = LoadGenerator.all(fleet, rate);
       Thread.sleep(5000);
-      warm.forEach(Load::close);
+      warm.forEach(LoadGenerator::close);
       Thread.sleep(1500);
       List<Set<Integer>> kinds = List.of(with, fleet.those(m -> m >= each));
       List<Long> cpu = kinds.stream().map(fleet::cpuMs).toList();
       long bytes = fleet.plane.bytes.get();
-      List<Load> loads = Load.all(fleet, rate);
+      List<LoadGenerator> loads = LoadGenerator.all(fleet, rate);
       Thread.sleep(1000L * seconds / 2);
       fleet.signal(each - 1, "STOP"); // news to talk about; its own clients are not counted below
       Thread.sleep(1000L * seconds / 2);
       fleet.signal(each - 1, "CONT");
-      loads.forEach(Load::close);
+      loads.forEach(LoadGenerator::close);
       Thread.sleep(1500);
       print.println(
           "| membership | sidecars | ops | p50 | p99 | p99.9 | not acked | CPU ms/s a sidecar | bytes/s a sidecar |");
@@ -52,11 +52,12 @@
       boolean answered = true;
       for (int kind = 0; kind < 2; kind++) {
         int from = kind * each;
-        List<Load> own = IntStream.range(from, from + each - 1).mapToObj(loads::get).toList();
+        List<LoadGenerator> own =
+            IntStream.range(from, from + each - 1).mapToObj(loads::get).toList();
         Histogram all = new Histogram(60_000_000L, 3);
         own.forEach(l -> all.add(l.latencyUs));
         long sent = own.stream().mapToLong(l -> l.sent.get()).sum();
-        long acked = own.stream().mapToLong(l -> l.acked.get()).sum();
+        long succeeded = own.stream().mapToLong(l -> l.succeeded.get()).sum();
         answered &= own.stream().allMatch(l -> l.unheard.get() == 0);
         double used = (fleet.cpuMs(kinds.get(kind)) - cpu.get(kind)) / (seconds + 1.5) / each;
         print.printf(
@@ -68,7 +69,7 @@
             all.getValueAtPercentile(50) / 1e3,
             all.getValueAtPercentile(99) / 1e3,
             all.getValueAtPercentile(99.9) / 1e3,
-            sent - acked,
+            sent - succeeded,
             used,
             kind == 0
                 ? String.format(
--- a/fleet/src/main/java/dillcross/fleet/Plane.java
+++ b/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
@@ -1,6 +1,6 @@
 package dillcross.fleet;
 
-import dillcross.emulator.chance.Chance;
+import dillcross.emulator.random.RandomStream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -23,16 +23,16 @@
  * whom; it passes it on from the sender's socket, so the receiver sees the address that it knows.
  * One thread. What a datagram meets is drawn from the seed, by link and by its number there.
  */
-final class Plane implements AutoCloseable {
+final class DatagramFaultProxy implements AutoCloseable {
   private record Late(long atNs, long order, int from, int to, byte[] bytes) {}
 
   private final Selector selector = Selector.open();
   private final List<DatagramChannel> sockets = new ArrayList<>(); // by member
   private final AtomicReferenceArray<SocketAddress> homes; // where members really are, as last seen
-  private final Chance[][] chances;
+  private final RandomStream[][] chances;
   private final PriorityQueue<Late> late =
       new PriorityQueue<>(Comparator.comparingLong(Late::atNs).thenComparingLong(Late::order));
-  final List<Ill> ills = new CopyOnWriteArrayList<>();
+  final List<LinkFault> faults = new CopyOnWriteArrayList<>();
   final AtomicLong passed = new AtomicLong();
   final AtomicLong lost = new AtomicLong();
   final AtomicLong bytes = new AtomicLong();
@@ -40,10 +40,10 @@
   private long order;
   private volatile boolean over;
 
-  Plane(int members, long seed) throws IOException {
+  DatagramFaultProxy(int members, long seed) throws IOException {
     homes = new AtomicReferenceArray<>(members);
-    chances = new Chance[members][members];
-    Chance all = Chance.of(seed).named("plane");
+    chances = new RandomStream[members][members];
+    RandomStream all = RandomStream.of(seed).named("plane");
     for (int i = 0; i < members; i++) {
       DatagramChannel socket = DatagramChannel.open();
       socket.configureBlocking(false);
@@ -136,21 +136,21 @@
   }
 
   private void pass(int from, int to, byte[] got) {
-    Chance chance = chances[from][to];
+    RandomStream random = chances[from][to];
     long delayUs = 0;
     boolean twice = false;
     bytes.addAndGet(got.length);
-    for (Ill ill : ills) {
-      if (ill.concerns(from, to)) {
-        if (chance.happens(ill.loss())) {
+    for (LinkFault fault : faults) {
+      if (fault.concerns(from, to)) {
+        if (random.happens(fault.loss())) {
           lost.incrementAndGet();
           return;
         }
-        delayUs += ill.delayUs() + chance.between(0L, ill.jitterUs());
-        twice |= chance.happens(ill.twice());
-        if (chance.happens(ill.garbled())) {
+        delayUs += fault.delayUs() + random.between(0L, fault.jitterUs());
+        twice |= random.happens(fault.twice());
+        if (random.happens(fault.garbled())) {
           for (int i = 0; i < 3; i++) {
-            got[(int) chance.between(0L, got.length - 1L)] ^= (byte) chance.between(1L, 255L);
+            got[(int) random.between(0L, got.length - 1L)] ^= (byte) random.between(1L, 255L);
           }
         }
       }
--- a/fleet/src/main/java/dillcross/fleet/Demo.java
+++ b/fleet/src/main/java/dillcross/fleet/Demo.java
@@ -15,14 +15,15 @@
  * probation and comes back; a sidecar is killed, the others see it, and it returns.
  */
 final class Demo {
-  private static final double PER_S = 60; // ops of each sidecar
+  private static final double PER_S = 60; // requests of each sidecar
   private static final int FAILING = 2;
   private static final int KILLED = 1;
   private static final long STEP_MS = 500;
   private final PrintStream out;
   private final boolean live;
-  private final List<double[]> pushes = new ArrayList<>(); // by endpoint, a second, of each step
-  private final List<double[]> ops = new ArrayList<>(); // acked, nacked or failed, unheard
+  private final List<double[]> attempts = new ArrayList<>(); // by endpoint, a second, of each step
+  private final List<double[]> requests =
+      new ArrayList<>(); // succeeded, rejected or failed, unheard
 
   Demo(PrintStream out, boolean live) {
     this.out = out;
@@ -37,7 +38,7 @@
     Files.createDirectories(folder);
     List<String> zones = List.of("east", "west");
     List<String> news = new ArrayList<>();
-    try (StandIns standIns = new StandIns(4, zones, 12);
+    try (StandInServices standIns = new StandInServices(4, zones, 12);
         Fleet fleet =
             new Fleet(Fleet.root(), folder.resolve("processes"), 3, zones, List.of(0), 300, 1)) {
       fleet.lists(standIns.listAddress());
@@ -54,7 +55,7 @@
       for (int i = 0; i < fleet.size(); i++) {
         fleet.child(i).address();
       }
-      List<Load> loads = Load.all(fleet, PER_S);
+      List<LoadGenerator> loads = LoadGenerator.all(fleet, PER_S);
       long fromNs = System.nanoTime();
       double[] at = {4, 10, 15, 19, 24};
       int done = 0;
@@ -73,53 +74,53 @@
         step(fleet, standIns, loads, s, news);
         Thread.sleep(STEP_MS);
       }
-      loads.forEach(Load::close);
-      Thread.sleep(Load.TTL_MS + 500);
+      loads.forEach(LoadGenerator::close);
+      Thread.sleep(LoadGenerator.TTL_MS + 500);
       Histogram all = new Histogram(60_000_000L, 3);
       loads.forEach(l -> all.add(l.latencyUs));
       long sent = sum(loads, 0);
-      long acked = sum(loads, 1);
+      long succeeded = sum(loads, 1);
       long unheard = sum(loads, 4);
-      String told =
+      String notified =
           String.format(
               Locale.ROOT,
               "ops %d: acked %d, nacked %d, failed %d, with no sidecar there %d; latency p50 %.1f ms, p99 %.1f ms%n",
               sent,
-              acked,
+              succeeded,
               sum(loads, 2),
               sum(loads, 3),
               unheard,
               all.getValueAtPercentile(50) / 1000.0,
               all.getValueAtPercentile(99) / 1000.0);
-      out.print(told);
+      out.print(notified);
       Report.demo(
           folder,
           news,
-          told,
+          notified,
           standIns.endpoints.stream().map(e -> e.id).toList(),
-          pushes,
-          ops,
+          attempts,
+          requests,
           STEP_MS / 1000.0);
       out.println("report: " + folder.resolve("report.html"));
-      return acked + unheard > 0.97 * sent;
+      return succeeded + unheard > 0.97 * sent;
     }
   }
 
-  private static long sum(List<Load> loads, int which) {
+  private static long sum(List<LoadGenerator> loads, int which) {
     return loads.stream()
         .mapToLong(
             l ->
                 switch (which) {
                   case 0 -> l.sent.get();
-                  case 1 -> l.acked.get();
-                  case 2 -> l.nacked.get();
+                  case 1 -> l.succeeded.get();
+                  case 2 -> l.rejected.get();
                   case 3 -> l.failed.get();
                   default -> l.unheard.get();
                 })
         .sum();
   }
 
-  private static String act(int step, Fleet fleet, StandIns standIns)
+  private static String act(int step, Fleet fleet, StandInServices standIns)
       throws IOException, InterruptedException {
     switch (step) {
       case 0 -> {
@@ -144,14 +145,19 @@
     }
   }
 
-  private void step(Fleet fleet, StandIns standIns, List<Load> loads, double s, List<String> news) {
-    double[] to = standIns.endpoints.stream().mapToDouble(e -> e.pushes.get()).toArray();
+  private void step(
+      Fleet fleet,
+      StandInServices standIns,
+      List<LoadGenerator> loads,
+      double s,
+      List<String> news) {
+    double[] to = standIns.endpoints.stream().mapToDouble(e -> e.attempts.get()).toArray();
     double[] now = {sum(loads, 1), sum(loads, 2) + sum(loads, 3), sum(loads, 4)};
     String views =
         fleet.all().stream()
             .map(
                 m -> {
-                  View view = fleet.view(m);
+                  MembershipView view = fleet.view(m);
                   return Fleet.name(m)
                       + (view == null
                           ? " is not there"
@@ -161,10 +167,11 @@
                                   .collect(Collectors.joining(", ")));
                 })
             .collect(Collectors.joining("; "));
-    double[] lastTo = pushes.isEmpty() ? new double[to.length] : pushes.get(pushes.size() - 1);
-    double[] last = ops.isEmpty() ? new double[now.length] : ops.get(ops.size() - 1);
-    pushes.add(to);
-    ops.add(now);
+    double[] lastTo =
+        attempts.isEmpty() ? new double[to.length] : attempts.get(attempts.size() - 1);
+    double[] last = requests.isEmpty() ? new double[now.length] : requests.get(requests.size() - 1);
+    attempts.add(to);
+    requests.add(now);
     StringBuilder line =
         new StringBuilder(
             String.format(
--- a/fleet/src/main/java/dillcross/fleet/Experiment.java
+++ b/fleet/src/main/java/dillcross/fleet/Experiment.java
@@ -1,6 +1,6 @@
 package dillcross.fleet;
 
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Range;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -71,15 +71,15 @@
   private static final String WHOM =
       "any|half|all|others|s[0-9]{1,3}|zone:[a-z0-9-]+|share:(0\\.[0-9]+|1)";
 
-  static Experiment read(Path file) throws Faulty {
+  static Experiment read(Path file) throws InvalidScenarioException {
     TomlParseResult all;
     try {
       all = Toml.parse(file);
     } catch (IOException e) {
-      throw new Faulty(List.of("dillcross: " + file + " can't be read: " + e));
+      throw new InvalidScenarioException(List.of("dillcross: " + file + " can't be read: " + e));
     }
     if (all.hasErrors()) {
-      throw new Faulty(
+      throw new InvalidScenarioException(
           List.of(
               "dillcross: "
                   + file
@@ -97,12 +97,12 @@
       zones.add(String.valueOf(given.get(i)));
     }
     List<Integer> seeds = new ArrayList<>();
-    TomlArray asked = all.isArray("seeds") ? all.getArray("seeds") : null;
-    for (int i = 0; asked != null && i < asked.size(); i++) {
-      if (!(asked.get(i) instanceof Long seed) || seed < 0 || seed >= sidecars) {
-        throw at.fault("seeds", "names no sidecar: " + asked.get(i));
+    TomlArray requested = all.isArray("seeds") ? all.getArray("seeds") : null;
+    for (int i = 0; requested != null && i < requested.size(); i++) {
+      if (!(requested.get(i) instanceof Long seed) || seed < 0 || seed >= sidecars) {
+        throw at.fault("seeds", "names no sidecar: " + requested.get(i));
       }
-      seeds.add((int) (long) (Long) asked.get(i));
+      seeds.add((int) (long) (Long) requested.get(i));
     }
     List<Fault> faults = new ArrayList<>();
     TomlArray tables = all.isArray("fault") ? all.getArray("fault") : null;
@@ -120,7 +120,7 @@
         faults);
   }
 
-  private static Fault fault(Reader at) throws Faulty {
+  private static Fault fault(Reader at) throws InvalidScenarioException {
     at.known(OF_FAULT);
     String word = at.text("kind", "", ".+");
     Kind kind = null;
@@ -143,7 +143,7 @@
   }
 
   private record Reader(Path file, TomlTable table) {
-    void known(Set<String> keys) throws Faulty {
+    void known(Set<String> keys) throws InvalidScenarioException {
       for (String key : table.keySet()) {
         if (!keys.contains(key)) {
           throw fault(
@@ -152,7 +152,7 @@
       }
     }
 
-    String text(String key, String ifAbsent, String pattern) throws Faulty {
+    String text(String key, String ifAbsent, String pattern) throws InvalidScenarioException {
       Object value = table.contains(key) ? table.get(key) : ifAbsent;
       if (!(value instanceof String text) || !text.matches(pattern)) {
         throw fault(key, "out of range: " + value);
@@ -160,17 +160,18 @@
       return (String) value;
     }
 
-    double number(String key, double ifAbsent, double least, double most) throws Faulty {
+    double number(String key, double ifAbsent, double min, double max)
+        throws InvalidScenarioException {
       Object value = table.contains(key) ? table.get(key) : (Object) ifAbsent;
       if (!(value instanceof Number number)
-          || number.doubleValue() < least
-          || number.doubleValue() > most) {
+          || number.doubleValue() < min
+          || number.doubleValue() > max) {
         throw fault(key, "out of range: " + value);
       }
       return ((Number) value).doubleValue();
     }
 
-    Range range(String key, double ifAbsent) throws Faulty {
+    Range range(String key, double ifAbsent) throws InvalidScenarioException {
       if (table.contains(key) && table.get(key) instanceof TomlArray pair) {
         if (pair.size() != 2
             || !(pair.get(0) instanceof Number a)
@@ -185,8 +186,8 @@
       return Range.of(number(key, ifAbsent, 0, 7200));
     }
 
-    Faulty fault(String key, String what) {
-      return new Faulty(
+    InvalidScenarioException fault(String key, String what) {
+      return new InvalidScenarioException(
           List.of(
               "dillcross: "
                   + file
--- a/fleet/src/main/java/dillcross/fleet/Run.java
+++ b/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
@@ -9,6 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -21,7 +22,7 @@
  * Plays one experiment on real processes and looks on from outside, at the doors alone. Rows go to
  * {@code rows.csv} (all that was seen), changes to {@code timeline.csv}.
  */
-final class Run {
+final class ExperimentRun {
   /** How many pairs of observer and subject were held for what, at a moment. */
   record Moment(long ms, long alive, long suspect, long dead, long unseen) {}
 
@@ -64,7 +65,7 @@
   private final List<String> violations = new ArrayList<>();
   private final Histogram detect = new Histogram(3_600_000L, 3);
 
-  Run(Experiment experiment, long seed, Path out) {
+  ExperimentRun(Experiment experiment, long seed, Path out) {
     this.experiment = experiment;
     this.seed = seed;
     this.out = out;
@@ -107,7 +108,7 @@
         long ms = (System.nanoTime() - fromNs) / 1_000_000;
         while (!waiting.isEmpty() && waiting.get(0).atMs() <= ms) {
           Schedule.Drawn drawn = waiting.remove(0);
-          timeline.println(ms + ",rig," + drawn.told());
+          timeline.println(ms + ",rig," + drawn.notified());
           begin(fleet, drawn, ms, ends, timeline);
         }
         while (!ends.isEmpty() && ends.firstKey() <= ms) {
@@ -138,7 +139,7 @@
           .those(fleet::runs)
           .forEach(
               m -> {
-                View view = fleet.view(m);
+                MembershipView view = fleet.view(m);
                 if (view != null) {
                   view.counts().forEach((key, value) -> counts.merge(key, value, Long::sum));
                 }
@@ -166,7 +167,7 @@
       Fleet fleet,
       Schedule.Drawn drawn,
       long ms,
-      TreeMap<Long, List<Runnable>> ends,
+      NavigableMap<Long, List<Runnable>> ends,
       PrintWriter timeline)
       throws IOException, InterruptedException {
     List<Runnable> end = ends.computeIfAbsent(ms + drawn.forMs(), at -> new ArrayList<>());
@@ -200,43 +201,43 @@
         }
       }
       case CUT, CUT_ONE_WAY -> {
-        List<Ill> ills = new ArrayList<>(List.of(Fleet.cut(drawn.of(), drawn.to())));
+        List<LinkFault> faults = new ArrayList<>(List.of(Fleet.cut(drawn.of(), drawn.to())));
         if (drawn.fault().kind() == Kind.CUT) {
-          ills.add(Fleet.cut(drawn.to(), drawn.of()));
+          faults.add(Fleet.cut(drawn.to(), drawn.of()));
           cut.addAll(drawn.of().size() <= drawn.to().size() ? drawn.of() : drawn.to());
         }
-        fleet.plane.ills.addAll(ills);
+        fleet.plane.faults.addAll(faults);
         end.add(
             () -> {
-              fleet.plane.ills.removeAll(ills);
+              fleet.plane.faults.removeAll(faults);
               drawn.of().forEach(m -> sinceMs.put(m, ms + drawn.forMs()));
               drawn.to().forEach(m -> sinceMs.put(m, ms + drawn.forMs()));
               cut.removeAll(drawn.of());
               cut.removeAll(drawn.to());
             });
       }
-      case LOSS -> ill(fleet, drawn, new Ill(drawn.of(), drawn.to(), share, 0, 0, 0, 0), end);
-      case DELAY -> ill(fleet, drawn, new Ill(drawn.of(), drawn.to(), 0, us, us / 2, 0, 0), end);
-      case TWICE -> ill(fleet, drawn, new Ill(drawn.of(), drawn.to(), 0, 0, us, share, 0), end);
-      case GARBLE -> ill(fleet, drawn, new Ill(drawn.of(), drawn.to(), 0, 0, 0, 0, share), end);
+      case LOSS -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), share, 0, 0, 0, 0), end);
+      case DELAY -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), 0, us, us / 2, 0, 0), end);
+      case TWICE -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), 0, 0, us, share, 0), end);
+      case GARBLE -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), 0, 0, 0, 0, share), end);
       case CLOCK -> {} // from the start
     }
   }
 
-  private static void ill(Fleet fleet, Schedule.Drawn drawn, Ill ill, List<Runnable> end) {
-    List<Ill> both =
+  private static void apply(Fleet fleet, LinkFault fault, List<Runnable> end) {
+    List<LinkFault> both =
         List.of(
-            ill,
-            new Ill(
-                ill.to(),
-                ill.from(),
-                ill.loss(),
-                ill.delayUs(),
-                ill.jitterUs(),
-                ill.twice(),
-                ill.garbled()));
-    fleet.plane.ills.addAll(both);
-    end.add(() -> fleet.plane.ills.removeAll(both));
+            fault,
+            new LinkFault(
+                fault.to(),
+                fault.from(),
+                fault.loss(),
+                fault.delayUs(),
+                fault.jitterUs(),
+                fault.twice(),
+                fault.garbled()));
+    fleet.plane.faults.addAll(both);
+    end.add(() -> fleet.plane.faults.removeAll(both));
   }
 
   private void again(Fleet fleet, int member, long ms, PrintWriter timeline) {
@@ -253,14 +254,14 @@
   private void look(
       Fleet fleet, ExecutorService lookers, long ms, PrintWriter rows, PrintWriter timeline)
       throws Exception {
-    List<Future<View>> views = new ArrayList<>();
+    List<Future<MembershipView>> views = new ArrayList<>();
     for (int i = 0; i < fleet.size(); i++) {
       int member = i;
       views.add(paused.contains(i) ? null : lookers.submit(() -> fleet.view(member)));
     }
     long[] counts = new long[4];
     for (int observer = 0; observer < fleet.size(); observer++) {
-      View view = views.get(observer) == null ? null : views.get(observer).get();
+      MembershipView view = views.get(observer) == null ? null : views.get(observer).get();
       if (view == null) {
         counts[3] += fleet.size() - 1L;
         continue;
--- a/fleet/src/main/java/dillcross/fleet/Fleet.java
+++ b/fleet/src/main/java/dillcross/fleet/Fleet.java
@@ -19,12 +19,12 @@
   private final int intervalMs;
   private final List<String> zones;
   private final List<Integer> seeds;
-  private final Child[] children;
+  private final ChildProcess[] children;
   private final long[] shiftMs;
   private final Set<Integer> alone = new TreeSet<>(); // without membership
   private String list = "127.0.0.1:1"; // nobody
   private final String[] lists; // of those that have one of their own
-  final Plane plane;
+  final DatagramFaultProxy plane;
 
   /**
    * @param root of the repository, where the built program is
@@ -45,10 +45,10 @@
     this.zones = zones;
     this.seeds = seeds;
     this.intervalMs = intervalMs;
-    children = new Child[members];
+    children = new ChildProcess[members];
     shiftMs = new long[members];
     lists = new String[members];
-    plane = new Plane(members, seed);
+    plane = new DatagramFaultProxy(members, seed);
   }
 
   /** The folder of the repository: this one, or the first above it that holds the built program. */
@@ -79,7 +79,7 @@
     return children[member] != null;
   }
 
-  Child child(int member) {
+  ChildProcess child(int member) {
     return children[member];
   }
 
@@ -105,7 +105,7 @@
 
   /** Where its clients reach a member; null while it is not ready. */
   String listensNow(int member) {
-    Child child = children[member];
+    ChildProcess child = children[member];
     return child == null ? null : child.addressNow();
   }
 
@@ -131,7 +131,7 @@
                 zone(member),
                 member,
                 children.length));
-    String asked =
+    String requested =
         seeds.stream().map(s -> "\"" + plane.address(s) + "\"").collect(Collectors.joining(", "));
     Files.writeString(
         operator,
@@ -142,7 +142,8 @@
                 seeds = [%s]
                 interval_ms = %d
                 """
-            .formatted(Plane.home(member), plane.address(member), asked, intervalMs));
+            .formatted(
+                DatagramFaultProxy.home(member), plane.address(member), requested, intervalMs));
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -165,7 +166,7 @@
                 "--clock-shift-ms=" + shiftMs[member]));
     command.addAll(alone.contains(member) ? List.of() : List.of("--operator", operator.toString()));
     children[member] =
-        new Child(
+        new ChildProcess(
             command, root, out.resolve(name(member) + ".log"), home -> plane.isAt(member, home));
   }
 
@@ -177,7 +178,7 @@
 
   /** SIGKILL; its place is empty from then on. */
   void kill(int member) throws IOException, InterruptedException {
-    Child child = children[member];
+    ChildProcess child = children[member];
     children[member] = null;
     if (child != null) {
       child.signal("KILL");
@@ -197,11 +198,11 @@
   }
 
   /** Null where it gives none, as when it is stopped or starts. */
-  View view(int member) {
-    Child child = children[member];
+  MembershipView view(int member) {
+    ChildProcess child = children[member];
     String admin = child == null ? null : child.adminNow();
     try {
-      return admin == null ? null : View.of(admin);
+      return admin == null ? null : MembershipView.of(admin);
     } catch (IOException silent) {
       return null;
     }
@@ -214,7 +215,7 @@
     return members.stream()
         .allMatch(
             m -> {
-              View view = view(m);
+              MembershipView view = view(m);
               Set<String> alive = new TreeSet<>(Set.of(name(m)));
               if (view != null) {
                 view.states()
@@ -230,10 +231,10 @@
   }
 
   /** Waits until that holds; how many milliseconds it took, or -1 where it did not come in time. */
-  static long until(long mostMs, java.util.concurrent.Callable<Boolean> holds) throws Exception {
+  static long until(long maxMs, java.util.concurrent.Callable<Boolean> holds) throws Exception {
     long from = System.nanoTime();
     while (!holds.call()) {
-      if (System.nanoTime() - from > mostMs * 1_000_000) {
+      if (System.nanoTime() - from > maxMs * 1_000_000) {
         return -1;
       }
       Thread.sleep(50);
@@ -251,20 +252,20 @@
     return all().stream().filter(which).collect(Collectors.toCollection(TreeSet::new));
   }
 
-  static Ill cut(Set<Integer> from, Set<Integer> to) {
-    return new Ill(from, to, 1, 0, 0, 0, 0);
+  static LinkFault cut(Set<Integer> from, Set<Integer> to) {
+    return new LinkFault(from, to, 1, 0, 0, 0, 0);
   }
 
   /** Cuts two parts from each other, both ways. */
-  List<Ill> split(Set<Integer> one, Set<Integer> other) {
-    List<Ill> both = List.of(cut(one, other), cut(other, one));
-    plane.ills.addAll(both);
+  List<LinkFault> split(Set<Integer> one, Set<Integer> other) {
+    List<LinkFault> both = List.of(cut(one, other), cut(other, one));
+    plane.faults.addAll(both);
     return both;
   }
 
   @Override
   public void close() throws IOException {
-    for (Child child : Arrays.asList(children)) {
+    for (ChildProcess child : Arrays.asList(children)) {
       if (child != null) {
         child.close();
       }
--- a/fleet/src/main/java/dillcross/fleet/Commands.java
+++ b/fleet/src/main/java/dillcross/fleet/FleetCommand.java
@@ -1,6 +1,6 @@
 package dillcross.fleet;
 
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Seeds;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,9 +16,9 @@
 @Command(
     name = "dillcross",
     mixinStandardHelpOptions = true,
-    subcommands = Commands.OfFleet.class,
+    subcommands = FleetCommand.OfFleet.class,
     description = "dillcross and its tools.")
-final class Commands implements Runnable {
+final class FleetCommand implements Runnable {
   private static final int CLEAN = 0;
   private static final int BROKEN = 1;
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -28,6 +28,7 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
   }
 
+  @SuppressWarnings("SystemConsoleNull") // on Java 17 null tells that it is no terminal
   @Command(
       name = "demo",
       mixinStandardHelpOptions = true,
@@ -70,7 +71,7 @@
         @Option(names = "--seed", defaultValue = "1", paramLabel = "N") long seed,
         @Option(names = "--out", required = true, paramLabel = "DIR") Path out)
         throws Exception {
-      Run.Result result = new Run(Experiment.read(file), seed, out).play();
+      ExperimentRun.Result result = new ExperimentRun(Experiment.read(file), seed, out).play();
       Report.write(result, out);
       Files.writeString(out.resolve("summary.txt"), Report.text(result));
       System.out.print(Report.text(result));
@@ -99,11 +100,11 @@
         @Option(names = "--out", required = true, paramLabel = "DIR") Path out)
         throws Exception {
       if (sidecars < 3 || sidecars > 30 || seconds < 1 || rate <= 0 || rate > 1000) {
-        throw new Faulty(
+        throw new InvalidScenarioException(
             List.of(
                 "dillcross: --sidecars takes 3 to 30, --seconds 1 at least, --rate up to 1000"));
       }
-      return Compare.play(sidecars, seconds, rate, out, System.out) ? CLEAN : BROKEN;
+      return ComparisonRun.play(sidecars, seconds, rate, out, System.out) ? CLEAN : BROKEN;
     }
 
     @Command(
@@ -125,7 +126,8 @@
       double bytes = 0;
       double cpu = 0;
       for (long seed = named.from(); seed <= named.to(); seed++) {
-        Run.Result result = new Run(experiment, seed, out.resolve("seed-" + seed)).play();
+        ExperimentRun.Result result =
+            new ExperimentRun(experiment, seed, out.resolve("seed-" + seed)).play();
         Files.writeString(out.resolve("seed-" + seed).resolve("summary.txt"), Report.text(result));
         detect.add(result.detectMs());
         agreed.recordValue(Math.max(0, result.agreedMs()));
--- a/fleet/src/main/java/dillcross/fleet/Ill.java
+++ b/fleet/src/main/java/dillcross/fleet/LinkFault.java
@@ -10,7 +10,7 @@
  * @param twice share that comes twice
  * @param garbled share with bytes changed
  */
-record Ill(
+record LinkFault(
     java.util.Set<Integer> from,
     java.util.Set<Integer> to,
     double loss,
--- a/fleet/src/main/java/dillcross/fleet/Load.java
+++ b/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
@@ -16,15 +16,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop clients of one sidecar: ops leave at their times whether or not earlier ones were
+ * Open-loop clients of one sidecar: requests leave at their times whether or not earlier ones were
  * answered, and each is timed from when it was meant to leave.
  */
-final class Load implements AutoCloseable {
+@SuppressWarnings("FutureReturnValueIgnored") // outcomes are counted as they complete
+final class LoadGenerator implements AutoCloseable {
   static final int TTL_MS = 1000;
   final Histogram latencyUs = new ConcurrentHistogram(60_000_000L, 3);
   final AtomicLong sent = new AtomicLong();
-  final AtomicLong acked = new AtomicLong();
-  final AtomicLong nacked = new AtomicLong();
+  final AtomicLong succeeded = new AtomicLong();
+  final AtomicLong rejected = new AtomicLong();
   final AtomicLong failed = new AtomicLong();
   final AtomicLong unheard = new AtomicLong(); // no sidecar there, or no answer
   private final ScheduledExecutorService clock =
@@ -45,7 +46,7 @@
   private final long everyNs;
   private long next;
 
-  Load(String name, Supplier<String> address, double perS) {
+  LoadGenerator(String name, Supplier<String> address, double perS) {
     this.name = name;
     this.address = address;
     everyNs = Math.round(1e9 / perS);
@@ -79,7 +80,9 @@
                 unheard.incrementAndGet();
               } else {
                 latencyUs.recordValue(Math.min(59_000_000L, (System.nanoTime() - meantNs) / 1000));
-                (answer.statusCode() == 200 ? acked : answer.statusCode() == 503 ? nacked : failed)
+                (answer.statusCode() == 200
+                        ? succeeded
+                        : answer.statusCode() == 503 ? rejected : failed)
                     .incrementAndGet();
               }
             });
@@ -90,11 +93,11 @@
     clock.shutdownNow();
   }
 
-  static List<Load> all(Fleet fleet, double perS) {
-    List<Load> loads = new ArrayList<>();
+  static List<LoadGenerator> all(Fleet fleet, double perS) {
+    List<LoadGenerator> loads = new ArrayList<>();
     for (int i = 0; i < fleet.size(); i++) {
       int member = i;
-      loads.add(new Load(Fleet.name(i), () -> fleet.listensNow(member), perS));
+      loads.add(new LoadGenerator(Fleet.name(i), () -> fleet.listensNow(member), perS));
     }
     return loads;
   }
--- a/fleet/src/main/java/dillcross/fleet/Main.java
+++ b/fleet/src/main/java/dillcross/fleet/Main.java
@@ -1,6 +1,6 @@
 package dillcross.fleet;
 
-import dillcross.emulator.cli.FaultyInput;
+import dillcross.emulator.cli.InvalidInputException;
 import picocli.CommandLine;
 
 /** Where the rig starts. */
@@ -17,8 +17,8 @@
 
   /** The exit status: 0 clean, 1 violations, 2 faulty input. */
   static int run(String... args) {
-    return new CommandLine(new Commands())
-        .setExecutionExceptionHandler(new FaultyInput())
+    return new CommandLine(new FleetCommand())
+        .setExecutionExceptionHandler(new InvalidInputException())
         .execute(args);
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/View.java
+++ b/fleet/src/main/java/dillcross/fleet/MembershipView.java
@@ -14,7 +14,7 @@
  * What one sidecar's admin endpoint says at a moment: its own name, whom it holds for what, and its
  * counts.
  */
-record View(
+record MembershipView(
     String name,
     int health,
     Map<String, String> states,
@@ -23,7 +23,7 @@
   /**
    * @throws IOException where there is no answer, as from a process that is stopped
    */
-  static View of(String admin) throws IOException {
+  static MembershipView of(String admin) throws IOException {
     int colon = admin.lastIndexOf(':');
     try (Socket socket = new Socket()) {
       socket.setSoTimeout(400);
@@ -44,7 +44,7 @@
     }
   }
 
-  private static View parse(Map<String, Object> all) {
+  private static MembershipView parse(Map<String, Object> all) {
     Map<?, ?> self = (Map<?, ?>) all.get("self");
     Map<String, String> states = new LinkedHashMap<>();
     Map<String, Long> boots = new LinkedHashMap<>();
@@ -56,7 +56,7 @@
     Map<String, Long> counts = new LinkedHashMap<>();
     ((Map<?, ?>) all.get("counts"))
         .forEach((key, value) -> counts.put((String) key, ((Number) value).longValue()));
-    return new View(
+    return new MembershipView(
         (String) self.get("name"), ((Number) self.get("health")).intValue(), states, boots, counts);
   }
 
--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -18,7 +18,7 @@
 final class Report {
   private Report() {}
 
-  static String text(Run.Result result) {
+  static String text(ExperimentRun.Result result) {
     StringBuilder all = new StringBuilder();
     all.append(
         String.format(
@@ -29,7 +29,8 @@
             result.experiment().sidecars(),
             result.joinedMs() / 1000.0));
     for (Schedule.Drawn drawn : result.faults()) {
-      all.append(String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.told()));
+      all.append(
+          String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.notified()));
     }
     all.append(
         String.format(
@@ -39,7 +40,7 @@
             result.detectMs().getValueAtPercentile(50) / 1000.0,
             result.detectMs().getValueAtPercentile(99) / 1000.0,
             result.detectMs().getMaxValue() / 1000.0,
-            Run.LOOK_MS));
+            ExperimentRun.LOOK_MS));
     all.append(
         String.format(
             Locale.ROOT,
@@ -58,7 +59,7 @@
     return all.append("violations ").append(result.violations().size()).append('\n').toString();
   }
 
-  static void write(Run.Result result, Path out) throws IOException {
+  static void write(ExperimentRun.Result result, Path out) throws IOException {
     String chart = svg(held(result));
     Files.writeString(out.resolve("held.svg"), chart);
     StringBuilder rows = new StringBuilder();
@@ -100,23 +101,23 @@
     return svg.substring(svg.indexOf("<svg"));
   }
 
-  /** The demo's: pushes by endpoint and ops by outcome, a second. */
+  /** The demo's: attempts by endpoint and requests by outcome, a second. */
   static void demo(
       Path out,
       List<String> news,
-      String told,
+      String notified,
       List<String> endpoints,
-      List<double[]> pushes,
-      List<double[]> ops,
+      List<double[]> attempts,
+      List<double[]> requests,
       double stepS)
       throws IOException {
-    String first = svg(rates("pushes to each endpoint", endpoints, pushes, stepS));
+    String first = svg(rates("pushes to each endpoint", endpoints, attempts, stepS));
     String second =
         svg(
             rates(
                 "ops of clients",
                 List.of("acked", "nacked or failed", "no sidecar there"),
-                ops,
+                requests,
                 stepS));
     Files.writeString(out.resolve("pushes.svg"), first);
     Files.writeString(out.resolve("ops.svg"), second);
@@ -124,7 +125,7 @@
         out.resolve("report.html"),
         page(
             "dillcross demo",
-            String.join("\n", news) + "\n" + told,
+            String.join("\n", news) + "\n" + notified,
             inline(first) + inline(second)));
   }
 
@@ -154,7 +155,7 @@
     return chart;
   }
 
-  private static XYChart held(Run.Result result) {
+  private static XYChart held(ExperimentRun.Result result) {
     XYChart chart =
         new XYChartBuilder()
             .width(900)
@@ -168,22 +169,26 @@
         .setLegendPosition(Styler.LegendPosition.OutsideS)
         .setLegendLayout(Styler.LegendLayout.Horizontal);
     double[] s = result.moments().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
-    add(chart, "held alive", s, result.moments().stream().mapToDouble(Run.Moment::alive).toArray());
+    add(
+        chart,
+        "held alive",
+        s,
+        result.moments().stream().mapToDouble(ExperimentRun.Moment::alive).toArray());
     add(
         chart,
         "held suspect",
         s,
-        result.moments().stream().mapToDouble(Run.Moment::suspect).toArray());
+        result.moments().stream().mapToDouble(ExperimentRun.Moment::suspect).toArray());
     add(
         chart,
         "held dead or left",
         s,
-        result.moments().stream().mapToDouble(Run.Moment::dead).toArray());
+        result.moments().stream().mapToDouble(ExperimentRun.Moment::dead).toArray());
     add(
         chart,
         "observer gives no view",
         s,
-        result.moments().stream().mapToDouble(Run.Moment::unseen).toArray());
+        result.moments().stream().mapToDouble(ExperimentRun.Moment::unseen).toArray());
     return chart;
   }
 
--- a/fleet/src/main/java/dillcross/fleet/Schedule.java
+++ b/fleet/src/main/java/dillcross/fleet/Schedule.java
@@ -1,6 +1,6 @@
 package dillcross.fleet;
 
-import dillcross.emulator.chance.Chance;
+import dillcross.emulator.random.RandomStream;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
 record Schedule(List<Drawn> faults) {
   /** One fault with its time; milliseconds from when all have found each other. */
   record Drawn(long atMs, long forMs, Experiment.Fault fault, Set<Integer> of, Set<Integer> to) {
-    String told() {
+    String notified() {
       return fault.kind().word()
           + " of "
           + names(of)
@@ -36,15 +36,15 @@
 
   static Schedule draw(Experiment experiment, long seed) {
     List<Drawn> drawn = new ArrayList<>();
-    Chance all = Chance.of(seed).named("schedule");
+    RandomStream all = RandomStream.of(seed).named("schedule");
     for (int i = 0; i < experiment.faults().size(); i++) {
       Experiment.Fault fault = experiment.faults().get(i);
       for (int k = 0; k < fault.times(); k++) {
-        Chance own = all.named(i + " " + k);
+        RandomStream own = all.named(i + " " + k);
         long at =
             Math.round(
-                1000 * (own.between(fault.atS().least(), fault.atS().most()) + k * fault.every()));
-        long lasts = Math.round(1000 * own.between(fault.forS().least(), fault.forS().most()));
+                1000 * (own.between(fault.atS().min(), fault.atS().max()) + k * fault.every()));
+        long lasts = Math.round(1000 * own.between(fault.forS().min(), fault.forS().max()));
         Set<Integer> of = whom(experiment, fault.of(), own, Set.of());
         drawn.add(new Drawn(at, lasts, fault, of, whom(experiment, fault.to(), own, of)));
       }
@@ -54,7 +54,7 @@
   }
 
   private static Set<Integer> whom(
-      Experiment experiment, String word, Chance chance, Set<Integer> but) {
+      Experiment experiment, String word, RandomStream random, Set<Integer> but) {
     List<Integer> all =
         IntStream.range(0, experiment.sidecars())
             .boxed()
@@ -62,7 +62,7 @@
     if (word.equals("others")) {
       all.removeAll(but);
     } else if (word.equals("any")) {
-      all = List.of(chance.oneOf(all));
+      all = List.of(random.oneOf(all));
     } else if (word.startsWith("s") && !word.startsWith("share:")) {
       all.retainAll(Set.of(Integer.parseInt(word.substring(1))));
     } else if (word.startsWith("zone:")) {
@@ -71,7 +71,7 @@
     } else if (!word.equals("all")) {
       double share = word.equals("half") ? 0.5 : Double.parseDouble(word.substring(6));
       for (int i = all.size() - 1; i > 0; i--) {
-        Collections.swap(all, i, (int) chance.between(0L, i));
+        Collections.swap(all, i, (int) random.between(0L, i));
       }
       all = all.subList(0, Math.max(1, (int) Math.round(share * all.size())));
     }
--- a/fleet/src/main/java/dillcross/fleet/StandIns.java
+++ b/fleet/src/main/java/dillcross/fleet/StandInServices.java
@@ -20,12 +20,12 @@
  * Endpoints and the list service, in this process: each endpoint takes its time, and fails when
  * told to.
  */
-final class StandIns implements AutoCloseable {
+final class StandInServices implements AutoCloseable {
   /** One endpoint. */
   static final class Endpoint {
     final String id;
     final String zone;
-    final AtomicLong pushes = new AtomicLong();
+    final AtomicLong attempts = new AtomicLong();
     private final HttpServer server;
     volatile long workMs;
     volatile boolean fails;
@@ -43,7 +43,7 @@
     private void answer(HttpExchange exchange) throws IOException {
       try (exchange) {
         exchange.getRequestBody().readAllBytes();
-        pushes.incrementAndGet();
+        attempts.incrementAndGet();
         try {
           Thread.sleep(fails ? 1 : workMs);
         } catch (InterruptedException e) {
@@ -65,12 +65,12 @@
           });
   private final HttpServer list = server(threads);
   final List<Endpoint> endpoints = new ArrayList<>();
-  private final Map<Integer, Map<Endpoint, TcpLink>> links =
+  private final Map<Integer, Map<Endpoint, TcpFaultProxy>> links =
       new ConcurrentHashMap<>(); // by sidecar, where it has links of its own
   private final Map<Integer, HttpServer> lists = new ConcurrentHashMap<>(); // likewise
   private final long startedMs = System.currentTimeMillis() - 600_000; // warm
 
-  StandIns(int count, List<String> zones, long workMs) throws IOException {
+  StandInServices(int count, List<String> zones, long workMs) throws IOException {
     for (int i = 0; i < count; i++) {
       endpoints.add(new Endpoint("e" + i, zones.get(i % zones.size()), workMs, threads));
     }
@@ -93,9 +93,9 @@
    * A list for that sidecar alone, on which each endpoint is behind a link of its own; its address.
    */
   String listFor(int sidecar) throws IOException {
-    Map<Endpoint, TcpLink> own = new LinkedHashMap<>();
+    Map<Endpoint, TcpFaultProxy> own = new LinkedHashMap<>();
     for (Endpoint endpoint : endpoints) {
-      own.put(endpoint, new TcpLink("127.0.0.1:" + endpoint.server.getAddress().getPort()));
+      own.put(endpoint, new TcpFaultProxy("127.0.0.1:" + endpoint.server.getAddress().getPort()));
     }
     links.put(sidecar, own);
     HttpServer server = server(threads);
@@ -106,7 +106,7 @@
   }
 
   /** The link between that sidecar and an endpoint. */
-  TcpLink link(int sidecar, Endpoint endpoint) {
+  TcpFaultProxy link(int sidecar, Endpoint endpoint) {
     return links.get(sidecar).get(endpoint);
   }
 
@@ -152,8 +152,8 @@
 
   @Override
   public void close() throws IOException {
-    for (Map<Endpoint, TcpLink> own : links.values()) {
-      for (TcpLink link : own.values()) {
+    for (Map<Endpoint, TcpFaultProxy> own : links.values()) {
+      for (TcpFaultProxy link : own.values()) {
         link.close();
       }
     }
--- a/fleet/src/main/java/dillcross/fleet/TcpLink.java
+++ b/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
@@ -16,7 +16,7 @@
  * asked. A cut closes nothing and loses nothing: bytes wait, as a cut network's do, until it heals
  * or somebody gives up.
  */
-final class TcpLink implements AutoCloseable {
+final class TcpFaultProxy implements AutoCloseable {
   private static final int CHUNK = 4096;
   private static final long LOOK_MS = 5;
 
@@ -32,7 +32,7 @@
   private volatile int bytesPerS; // 0 for as fast as it goes
   private volatile boolean over;
 
-  TcpLink(String to) throws IOException {
+  TcpFaultProxy(String to) throws IOException {
     int colon = to.lastIndexOf(':');
     target =
         new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1)));
@@ -84,28 +84,28 @@
   private void accept() {
     while (!over) {
       try {
-        Socket asker = entrance.accept();
+        Socket requester = entrance.accept();
         connections.incrementAndGet();
-        start(() -> join(asker));
+        start(() -> join(requester));
       } catch (IOException closed) {
         return;
       }
     }
   }
 
-  private void join(Socket asker) {
-    Socket asked = new Socket();
+  private void join(Socket requester) {
+    Socket requested = new Socket();
     try {
-      open.add(asker);
-      open.add(asked);
-      asker.setTcpNoDelay(true);
-      asked.setTcpNoDelay(true);
-      asked.connect(target, 2000);
-      start(() -> pump(asker, asked, true));
-      pump(asked, asker, false);
+      open.add(requester);
+      open.add(requested);
+      requester.setTcpNoDelay(true);
+      requested.setTcpNoDelay(true);
+      requested.connect(target, 2000);
+      start(() -> pump(requester, requested, true));
+      pump(requested, requester, false);
     } catch (IOException nobodyThere) {
-      close(asker);
-      close(asked);
+      close(requester);
+      close(requested);
     }
   }
 
@@ -119,9 +119,9 @@
         while ((forth ? cutForth : cutBack) && !over) {
           rest(LOOK_MS);
         }
-        int most = bytesPerS;
+        int max = bytesPerS;
         out.write(chunk, 0, count);
-        rest(most == 0 ? 0 : 1000L * count / most);
+        rest(max == 0 ? 0 : 1000L * count / max);
       }
     } catch (IOException broken) {
       // as at its end: the other side hears of it below
--- a/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
+++ b/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.emulator.scenario.Faulty;
+import dillcross.emulator.scenario.InvalidScenarioException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.stream.Stream;
@@ -20,13 +20,13 @@
 
   @Test
   void theScheduleIsTheSameForTheSameSeedAndAnotherForAnother() throws Exception {
-    assertEquals(told(3), told(3));
-    assertNotEquals(told(3), told(4));
+    assertEquals(notified(3), notified(3));
+    assertNotEquals(notified(3), notified(4));
   }
 
-  private static java.util.List<String> told(long seed) throws Exception {
+  private static java.util.List<String> notified(long seed) throws Exception {
     return Schedule.draw(Experiment.read(SHIPPED.resolve("short.toml")), seed).faults().stream()
-        .map(d -> d.atMs() + " " + d.told())
+        .map(d -> d.atMs() + " " + d.notified())
         .toList();
   }
 
@@ -54,7 +54,8 @@
   void aFaultNamesLineAndKey(String text, int line, String key) throws Exception {
     Path file = folder.resolve("x.toml");
     Files.writeString(file, text.replace(';', '\n'));
-    String said = assertThrows(Faulty.class, () -> Experiment.read(file)).getMessage();
+    String said =
+        assertThrows(InvalidScenarioException.class, () -> Experiment.read(file)).getMessage();
     assertTrue(said.contains("line " + line) && said.contains(key == null ? "" : key), said);
     assertEquals(2, Main.run("fleet", "run", file.toString(), "--out", folder.toString()));
   }
--- a/fleet/src/test/java/dillcross/fleet/MembersIT.java
+++ b/fleet/src/test/java/dillcross/fleet/MembersIT.java
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aQuarterKilledInOneInstantIsFoundAndItsReturnTold() throws Exception {
+  void aQuarterKilledInOneInstantIsFoundAndItsReturnNotified() throws Exception {
     fleet(8, List.of(0));
     agreed(fleet.all(), "all find each other");
     long boot = fleet.view(3).boots().get("s6");
@@ -98,7 +98,7 @@
     agreed(fleet.those(i -> i < 4), "the others hold it for dead");
     fleet.signal(4, "CONT");
     agreed(fleet.all(), "it is back");
-    View woken = fleet.view(4);
+    MembershipView woken = fleet.view(4);
     assertTrue(woken.counts().get("paused") > 0, "it found itself late: " + woken);
     assertEquals(0, woken.counts().get("deaths"), "it holds nobody for dead on waking: " + woken);
   }
@@ -107,12 +107,12 @@
   void aOneSidedCutKillsNobody() throws Exception {
     fleet(5, List.of(0));
     agreed(fleet.all(), "all find each other");
-    fleet.plane.ills.add(Fleet.cut(Set.of(0), Set.of(1))); // 1 hears nothing from 0
+    fleet.plane.faults.add(Fleet.cut(Set.of(0), Set.of(1))); // 1 hears nothing from 0
     long probes = sum("probes");
     assertNotEquals(
         -1, Fleet.until(LONG_MS, () -> sum("probes") > probes + 5 * 40), "probes go on");
     assertEquals(0, sum("deaths"), "others reach both");
-    fleet.plane.ills.clear();
+    fleet.plane.faults.clear();
     agreed(fleet.all(), "all is well again");
   }
 
@@ -125,7 +125,7 @@
     fleet.split(one, other);
     agreed(one, "one half holds the other for dead");
     agreed(other, "and the other way round");
-    fleet.plane.ills.clear();
+    fleet.plane.faults.clear();
     agreed(fleet.all(), "they find each other again");
     assertTrue(sum("refuted") >= 6, "each refuted its death");
   }
@@ -134,7 +134,7 @@
   void thirtyPerCentOfDatagramsLostAndOthersLateTwiceAndOutOfOrder() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 6, List.of("east", "west"), List.of(0), INTERVAL_MS, 7);
     Set<Integer> all = fleet.all();
-    fleet.plane.ills.add(new Ill(all, all, 0.3, 0, 20_000, 0.2, 0));
+    fleet.plane.faults.add(new LinkFault(all, all, 0.3, 0, 20_000, 0.2, 0));
     fleet.startAll();
     assertNotEquals(
         -1,
@@ -151,7 +151,7 @@
                     .map(fleet::view)
                     .allMatch(v -> v != null && v.states().get("s5").equals("dead"))),
         "a death is found all the same");
-    fleet.plane.ills.clear();
+    fleet.plane.faults.clear();
     agreed(fleet.those(i -> i < 5), "nobody else is held dead when the loss ends");
   }
 
@@ -160,7 +160,7 @@
     fleet(4, List.of(0));
     agreed(fleet.all(), "all find each other");
     Set<Integer> all = fleet.all();
-    fleet.plane.ills.add(new Ill(all, all, 0, 0, 0, 0, 0.2));
+    fleet.plane.faults.add(new LinkFault(all, all, 0, 0, 0, 0, 0.2));
     try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
       String[] to = fleet.plane.address(1).split(":");
       byte[] noise = new byte[900];
@@ -180,7 +180,7 @@
                     && fleet.view(1).counts().get("malformed") > 20
                     && fleet.view(1).counts().get("flooded") > 0),
         () -> "both are counted: " + fleet.view(1));
-    fleet.plane.ills.clear();
+    fleet.plane.faults.clear();
     agreed(all, "all know just each other");
   }
 
@@ -190,19 +190,21 @@
     agreed(fleet.all(), "all find each other");
     for (int i = 0; i < 4; i++) {
       fleet.signal(i, "TERM");
-      int gone = i;
-      assertNotEquals(-1, Fleet.until(LONG_MS, () -> !fleet.child(gone).alive()), "it ends");
+      int removed = i;
+      assertNotEquals(-1, Fleet.until(LONG_MS, () -> !fleet.child(removed).alive()), "it ends");
       assertNotEquals(
           -1,
           Fleet.until(
               LONG_MS,
               () ->
-                  fleet.those(m -> m != gone).stream()
+                  fleet.those(m -> m != removed).stream()
                       .map(fleet::view)
                       .allMatch(
                           v ->
                               v != null
-                                  && !v.states().getOrDefault("s" + gone, "left").equals("alive"))),
+                                  && !v.states()
+                                      .getOrDefault("s" + removed, "left")
+                                      .equals("alive"))),
           "the others know");
       fleet.kill(i); // its guard
       fleet.shift(i, i == 3 ? -3_600_000 : 0); // an hour back
@@ -233,22 +235,22 @@
   }
 
   @Test
-  void opsAreServedWhileMembersComeAndGo() throws Exception {
+  void requestsAreServedWhileMembersComeAndGo() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 3, List.of("east"), List.of(0), INTERVAL_MS, 7);
-    try (StandIns standIns = new StandIns(3, List.of("east"), 5)) {
+    try (StandInServices standIns = new StandInServices(3, List.of("east"), 5)) {
       fleet.lists(standIns.listAddress());
       fleet.startAll();
       agreed(fleet.all(), "all find each other");
       assertNotEquals(-1, Fleet.until(LONG_MS, () -> fleet.listensNow(0) != null));
-      try (Load load = new Load("c", () -> fleet.listensNow(0), 50)) {
-        assertNotEquals(-1, Fleet.until(LONG_MS, () -> load.acked.get() > 20));
+      try (LoadGenerator load = new LoadGenerator("c", () -> fleet.listensNow(0), 50)) {
+        assertNotEquals(-1, Fleet.until(LONG_MS, () -> load.succeeded.get() > 20));
         fleet.kill(2);
-        fleet.plane.ills.add(Fleet.cut(Set.of(0), Set.of(1)));
+        fleet.plane.faults.add(Fleet.cut(Set.of(0), Set.of(1)));
         assertNotEquals(
             -1,
             Fleet.until(LONG_MS, () -> fleet.view(0).states().get("s2").equals("dead")),
             "the killed one is found");
-        assertNotEquals(-1, Fleet.until(LONG_MS, () -> load.acked.get() > 200), "ops go on");
+        assertNotEquals(-1, Fleet.until(LONG_MS, () -> load.succeeded.get() > 200), "ops go on");
         assertEquals(0, load.unheard.get(), "each that was sent was answered");
       }
     }
@@ -257,26 +259,26 @@
   @Test
   void oneSidecarCutOffFromAZoneOfEndpointsServesOnAndGoesBack() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 2, List.of("east", "west"), List.of(0), INTERVAL_MS, 7);
-    try (StandIns standIns = new StandIns(4, List.of("east", "west"), 5)) {
+    try (StandInServices standIns = new StandInServices(4, List.of("east", "west"), 5)) {
       fleet.lists(0, standIns.listFor(0));
       fleet.lists(1, standIns.listFor(1));
       fleet.startAll();
       assertNotEquals(
           -1,
           Fleet.until(LONG_MS, () -> fleet.listensNow(0) != null && fleet.listensNow(1) != null));
-      List<StandIns.Endpoint> east =
+      List<StandInServices.Endpoint> east =
           standIns.endpoints.stream().filter(e -> e.zone.equals("east")).toList();
-      try (Load one = new Load("a", () -> fleet.listensNow(0), 40);
-          Load other = new Load("b", () -> fleet.listensNow(1), 40)) {
+      try (LoadGenerator one = new LoadGenerator("a", () -> fleet.listensNow(0), 40);
+          LoadGenerator other = new LoadGenerator("b", () -> fleet.listensNow(1), 40)) {
         assertNotEquals(
             -1,
-            Fleet.until(LONG_MS, () -> one.acked.get() > 40 && east.get(0).pushes.get() > 0),
+            Fleet.until(LONG_MS, () -> one.succeeded.get() > 40 && east.get(0).attempts.get() > 0),
             "its own zone is in use");
         east.forEach(e -> standIns.link(0, e).cut(true, true)); // closes nothing
-        long before = one.acked.get();
+        long before = one.succeeded.get();
         assertNotEquals(
             -1,
-            Fleet.until(LONG_MS, () -> one.acked.get() > before + 100),
+            Fleet.until(LONG_MS, () -> one.succeeded.get() > before + 100),
             "it serves on from the other zone");
         east.forEach(e -> standIns.link(0, e).cut(false, false));
         long connections =
@@ -291,11 +293,11 @@
             "it goes back");
         assertEquals(0, one.unheard.get() + other.unheard.get(), "each op was answered");
         assertEquals(
-            other.sent.get(),
-            other.acked.get() + other.nacked.get() + other.failed.get(),
+            (float) other.sent.get(),
+            (float) (other.succeeded.get() + other.rejected.get() + other.failed.get()),
             40,
             "the other sidecar saw nothing of it");
-        assertTrue(other.acked.get() > 0.9 * other.sent.get() - 40);
+        assertTrue(other.succeeded.get() > 0.9 * other.sent.get() - 40);
       }
     }
   }
@@ -308,7 +310,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                Orphans.class.getName(),
+                OrphanProcesses.class.getName(),
                 folder.toString())
             .directory(root.toFile())
             .redirectErrorStream(true)
--- a/fleet/src/test/java/dillcross/fleet/Orphans.java
+++ b/fleet/src/test/java/dillcross/fleet/OrphanProcesses.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /** A rig that is killed: starts three processes, one of them stopped, names them, and waits. */
-final class Orphans {
-  private Orphans() {}
+final class OrphanProcesses {
+  private OrphanProcesses() {}
 
   public static void main(String[] args) throws Exception {
     Fleet fleet = new Fleet(Fleet.root(), Path.of(args[0]), 3, List.of("east"), List.of(0), 200, 1);
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -70,6 +70,6 @@
   boolean isRetryByClientSafe(Request request) {
     return !request.mayHaveRun()
         || request.isIdempotent()
-        || request.hasIdempotencyKey() && request.requestClass.scope() == DeduplicationScope.ALL;
+        || (request.hasIdempotencyKey() && request.requestClass.scope() == DeduplicationScope.ALL);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -66,6 +66,7 @@
     return changed;
   }
 
+  @SuppressWarnings("ReferenceEquality") // the very object: the state was made with it just now
   private void applyEntry(Endpoint entry, long nowUs) {
     EndpointState state = endpoints.computeIfAbsent(entry.id(), id -> new EndpointState(entry));
     Endpoint before = state.endpoint;
@@ -90,7 +91,7 @@
     return entry.startedUs() != before.startedUs()
         || entry.cell() != before.cell()
         || !entry.zone().equals(before.zone())
-        || !policy.dynamicWeights() && entry.weight() != before.weight();
+        || (!policy.dynamicWeights() && entry.weight() != before.weight());
   }
 
   /** The list names it no more, or as removed; whether it may be used all the same. */
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -133,7 +133,7 @@
     meanObjectiveUs =
         (long)
             configured.stream().mapToLong(RequestClass::latencyObjectiveUs).average().orElse(1e6);
-    traffic.widenSpan(meanObjectiveUs);
+    traffic.widenSpan((double) meanObjectiveUs);
     for (RequestClass requestClass : configured) {
       ClassState state =
           classes.computeIfAbsent(requestClass.name(), name -> new ClassState(requestClass));
@@ -184,7 +184,7 @@
     Request request = newRequest(id, classes.get(className), timeoutUs);
     if (demand.fadeIfDue(now, meanObjectiveUs)) {
       double spanUs = demand.timeForRequestsUs(MIN_REQUESTS_IN_SPAN);
-      traffic.setSpan(Math.max(meanObjectiveUs, spanUs));
+      traffic.setSpan(Math.max((double) meanObjectiveUs, spanUs));
       subset.resize(demand.requestsPerSecond());
     }
     double need = demand.recordArrival(request, tenant);
--- a/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
@@ -68,7 +68,7 @@
     endpoint.lastSuccessUs = nowUs;
     endpoint.lastAnsweredSentUs = Math.max(endpoint.lastAnsweredSentUs, attempt.sentUs);
     boolean isIdle = admission.isNearlyIdle();
-    classState.recordLatency(tookUs, isIdle ? BASELINE_RISE_IDLE : BASELINE_RISE);
+    classState.recordLatency((double) tookUs, isIdle ? BASELINE_RISE_IDLE : BASELINE_RISE);
     double ratio = tookUs / classState.meanLatencyUs();
     endpoint.recordLatencyRatio(Math.min(MAX_LATENCY_RATIO, ratio));
     endpoint.consecutiveOverloads = 0;
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -45,7 +45,7 @@
         attempt.outcome == AttemptOutcome.CONNECT_FAILED || attempt.outcome == AttemptOutcome.RESET;
     return state.consecutiveFailures >= CONSECUTIVE_FAILURES
         || state.failureShare > FAILURE_SHARE
-        || isUnreachable && attempt.endpoint.removedUs > 0;
+        || (isUnreachable && attempt.endpoint.removedUs > 0);
   }
 
   private void eject(EjectionState state, boolean bySilence, long nowUs) {
--- a/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
@@ -85,7 +85,7 @@
     }
     double price = isFirst ? 0 : retryPrice(request);
     boolean mustQueue = isFirst && !requests.waiting.isEmpty();
-    if (!budget.allows(price) || request.isBodyReleased && !isFirst) {
+    if (!budget.allows(price) || (request.isBodyReleased && !isFirst)) {
       giveUp(request, nowUs);
     } else if (!mustQueue && admission.admits(request, nowUs) && sendToPicked(request, nowUs)) {
       budget.spend(price);
@@ -119,7 +119,7 @@
     long objectiveUs = request.requestClass.latencyObjectiveUs();
     double spareUs = objectiveUs - 1.5 * request.classState.meanLatencyUs();
     long untilUs = request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);
-    boolean mayQueue = isFirst || !admission.admits(request, nowUs) && !request.mayHaveRun();
+    boolean mayQueue = isFirst || (!admission.admits(request, nowUs) && !request.mayHaveRun());
     boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs;
     if (mayQueue && isInTime && !endpoints.available.isEmpty()) {
       requests.waiting.add(request);
--- a/sidecar/src/main/java/dillcross/cli/Main.java
+++ b/sidecar/src/main/java/dillcross/cli/Main.java
@@ -8,6 +8,7 @@
 
   private Main() {}
 
+  /** Runs the command that the arguments name, and exits with its status. */
   public static void main(String[] args) throws InterruptedException {
     if (System.getProperty(LOG_FORMAT) == null) {
       System.setProperty(LOG_FORMAT, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n"); // one line a message
--- a/sidecar/src/main/java/dillcross/cli/ServeCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/ServeCommand.java
@@ -150,8 +150,7 @@
     String address = member.advertise().isEmpty() ? member.bind() : member.advertise();
     long seed = config.seed() ^ bootUs ^ member.name().hashCode();
     MemberRecord self =
-        new MemberRecord(
-            member.name(), address, member.zone(), bootUs, 0, MemberState.ALIVE, "");
+        new MemberRecord(member.name(), address, member.zone(), bootUs, 0, MemberState.ALIVE, "");
     MembershipSettings settings =
         new MembershipSettings(
             member.seeds(),
--- a/sidecar/src/main/java/dillcross/membership/AntiEntropy.java
+++ b/sidecar/src/main/java/dillcross/membership/AntiEntropy.java
@@ -20,8 +20,7 @@
   private final Outbox outbox;
   private int rotation; // which part of the differing buckets is sent next
 
-  AntiEntropy(
-      MembershipSettings settings, MemberTable table, LocalMember local, Outbox outbox) {
+  AntiEntropy(MembershipSettings settings, MemberTable table, LocalMember local, Outbox outbox) {
     this.settings = settings;
     this.table = table;
     this.local = local;
@@ -66,7 +65,7 @@
     List<MemberEntry> differing = differing(ownDigest, packet.digest());
     boolean wantsDelta =
         packet.kind() == Packet.Kind.DIGEST && !Arrays.equals(ownDigest, packet.digest());
-    if (differing.isEmpty() && !wantsDelta || !outbox.hasBudget()) {
+    if ((differing.isEmpty() && !wantsDelta) || !outbox.hasBudget()) {
       return;
     }
     if (!differing.isEmpty()) {
@@ -95,8 +94,7 @@
     List<MemberRecord> records = new ArrayList<>();
     List<Payload> payloads = new ArrayList<>();
     MemberRecord self = local.self();
-    Packet bare =
-        new Packet(Packet.Kind.DELTA, 0, self, null, digest, List.of(), List.of());
+    Packet bare = new Packet(Packet.Kind.DELTA, 0, self, null, digest, List.of(), List.of());
     int space = settings.datagramBytes() - bare.size();
     while (!remaining.isEmpty()) {
       MemberEntry entry = remaining.peek();
@@ -112,8 +110,7 @@
     if (withOwnPayloads) {
       addFitting(local.payloads(), payloads, space);
     }
-    outbox.put(
-        receiver, new Packet(Packet.Kind.DELTA, 0, self, null, digest, records, payloads));
+    outbox.put(receiver, new Packet(Packet.Kind.DELTA, 0, self, null, digest, records, payloads));
   }
 
   private static int size(MemberEntry entry) {
--- a/sidecar/src/main/java/dillcross/membership/FailureDetector.java
+++ b/sidecar/src/main/java/dillcross/membership/FailureDetector.java
@@ -63,7 +63,7 @@
     Probe probe = new Probe(entry.record, null, 0);
     int slowness = 1 + health.multiplier();
     probe.indirectUs = nowUs + settings.timeoutUs() * slowness;
-    long fullUs = (long) (PROBE_SHARE * settings.intervalUs()) * slowness;
+    long fullUs = ((long) (PROBE_SHARE * settings.intervalUs())) * slowness;
     probe.endUs = Math.max(nowUs + fullUs, probe.indirectUs + settings.timeoutUs());
     start(probe);
   }
@@ -116,8 +116,7 @@
     List<MemberRecord> helpers = helpersFor(probe.target);
     for (MemberRecord helper : helpers.subList(0, Math.min(HELPERS, helpers.size()))) {
       probe.helpers++;
-      outbox.send(
-          helper.address(), Packet.Kind.PING_REQUEST, sequence, probe.target, List.of());
+      outbox.send(helper.address(), Packet.Kind.PING_REQUEST, sequence, probe.target, List.of());
     }
     ping(probe.target, sequence); // the first may have been lost alone
   }
@@ -191,8 +190,7 @@
 
   private void onUnanswered(Probe probe) {
     if (!probe.isOwn()) {
-      outbox.reply(
-          probe.requester, Packet.Kind.NACK, probe.requesterSequence, null, List.of());
+      outbox.reply(probe.requester, Packet.Kind.NACK, probe.requesterSequence, null, List.of());
       return;
     }
     counters.unanswered++;
--- a/sidecar/src/main/java/dillcross/membership/GossipQueue.java
+++ b/sidecar/src/main/java/dillcross/membership/GossipQueue.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * What is still to be gossiped, each item some times, the least sent first and of these the newest. A
- * newer item on the same subject takes the older one's place, so there are no more than subjects.
+ * What is still to be gossiped, each item some times, the least sent first and of these the newest.
+ * A newer item on the same subject takes the older one's place, so there are no more than subjects.
  */
 final class GossipQueue {
   /** A record or a payload, and how often it was sent. */
--- a/sidecar/src/main/java/dillcross/membership/LocalHealth.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalHealth.java
@@ -1,8 +1,8 @@
 package dillcross.membership;
 
 /**
- * Lifeguard's local health: how well this process hears. 0 is well; each more makes its own verdicts
- * slower by as much again.
+ * Lifeguard's local health: how well this process hears. 0 is well; each more makes its own
+ * verdicts slower by as much again.
  */
 final class LocalHealth {
   private static final int MAX = 8;
--- a/sidecar/src/main/java/dillcross/membership/Membership.java
+++ b/sidecar/src/main/java/dillcross/membership/Membership.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 
 /**
- * Which other members live: SWIM's probes, suspicion and incarnations with Lifeguard's local health,
- * without leader or consensus. No I/O, no clock, no threads. Inputs carry the time in microseconds of
- * one clock that never goes back; then pull {@link #next} until it is null and send each packet. {@link
- * #nextDueUs} says when {@link #onTime} is wanted again; called much later, it takes itself for
- * paused. docs/membership.md has the protocol and its bounds.
+ * Which other members live: SWIM's probes, suspicion and incarnations with Lifeguard's local
+ * health, without leader or consensus. No I/O, no clock, no threads. Inputs carry the time in
+ * microseconds of one clock that never goes back; then pull {@link #next} until it is null and send
+ * each packet. {@link #nextDueUs} says when {@link #onTime} is wanted again; called much later, it
+ * takes itself for paused. docs/membership.md has the protocol and its bounds.
  */
 public final class Membership {
   private static final int DIGEST_INTERVALS = 10; // between two digests
@@ -249,8 +249,8 @@
 
   /**
    * A process that was paused or starved finds all its timers run out at once. What it did not hear
-   * meanwhile says nothing of others, so all that waits for an answer waits on, and it judges slowly
-   * for a while. Guards too against a clock that is told late.
+   * meanwhile says nothing of others, so all that waits for an answer waits on, and it judges
+   * slowly for a while. Guards too against a clock that is told late.
    */
   private void onPause(long lateUs) {
     counters.pauses++;
--- a/sidecar/src/main/java/dillcross/membership/Outbox.java
+++ b/sidecar/src/main/java/dillcross/membership/Outbox.java
@@ -7,7 +7,8 @@
 
 /** Packets to send, within a budget of bytes; gossip rides along on each as far as that goes. */
 final class Outbox {
-  private static final int GOSSIP_FACTOR = 3; // times the logarithm of the size that an item is sent
+  private static final int GOSSIP_FACTOR =
+      3; // times the logarithm of the size that an item is sent
   private static final int[] NO_DIGEST = {};
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -100,8 +101,7 @@
       List<MemberRecord> first) {
     List<MemberRecord> records = new ArrayList<>(first);
     List<Payload> payloads = new ArrayList<>();
-    Packet bare =
-        new Packet(kind, sequence, self.get(), about, digest, records, payloads);
+    Packet bare = new Packet(kind, sequence, self.get(), about, digest, records, payloads);
     int allowed = (int) Math.min(settings.datagramBytes(), Math.max(0, budget));
     int space = allowed - bare.size();
     int times = GOSSIP_FACTOR * (int) Math.ceil(Math.log(table.liveCount() + 2.0) / Math.log(2));
--- a/sidecar/src/main/java/dillcross/membership/Payload.java
+++ b/sidecar/src/main/java/dillcross/membership/Payload.java
@@ -1,8 +1,8 @@
 package dillcross.membership;
 
 /**
- * A small message of another part of {@code origin}, gossiped to all; of one origin's type the newest
- * boot and version hold.
+ * A small message of another part of {@code origin}, gossiped to all; of one origin's type the
+ * newest boot and version hold.
  */
 public record Payload(String origin, long boot, int type, long version, byte[] bytes) {
   /** Of {@code bytes}, at the most. */
--- a/sidecar/src/main/java/dillcross/membership/Reconnector.java
+++ b/sidecar/src/main/java/dillcross/membership/Reconnector.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 
 /**
- * Contacts those who were lost, as they may be there again and nobody else would ask: a part that was
- * cut off for long, or a seed.
+ * Contacts those who were lost, as they may be there again and nobody else would ask: a part that
+ * was cut off for long, or a seed.
  */
 final class Reconnector {
   private final MembershipSettings settings;
--- a/sidecar/src/main/java/dillcross/membership/RecordMerger.java
+++ b/sidecar/src/main/java/dillcross/membership/RecordMerger.java
@@ -88,6 +88,7 @@
   }
 
   /** The entry holds that record from now on. */
+  @SuppressWarnings("ReferenceEquality") // the very object: the entry was made with it just now
   void update(MemberEntry entry, MemberRecord record) {
     MemberRecord before = entry.record;
     entry.record = record;
--- a/sidecar/src/main/java/dillcross/net/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/AttemptExecutor.java
@@ -290,6 +290,7 @@
   }
 
   /** Streams the rest of a response to a client. */
+  @SuppressWarnings("ReferenceEquality") // the very response, and not one that equals it
   void relayResponse(InboundResponse response, Connection client, boolean chunked) {
     InFlightAttempt attempt = (InFlightAttempt) response.source().attachment;
     if (attempt == null || attempt.streaming != response) {
--- a/sidecar/src/main/java/dillcross/net/BodyRelay.java
+++ b/sidecar/src/main/java/dillcross/net/BodyRelay.java
@@ -23,6 +23,7 @@
   static final int WINDOW_BYTES = 64 << 10;
 
   private static final int MAX_FRAMING_BYTES = 16; // of one chunk, or of the end of the body
+  private static final byte[] LINE_END = HttpMessage.lineEnd();
   private static final byte[] LAST_CHUNK = {'0', '\r', '\n', '\r', '\n'};
 
   private final Connection source;
@@ -89,7 +90,7 @@
       target.out().add(LAST_CHUNK); // space for it was left
     }
     boolean isBroken =
-        parser.fault() != 0 || !isComplete && available == 0 && source.hasInputEnded();
+        parser.fault() != 0 || (!isComplete && available == 0 && source.hasInputEnded());
     if (isComplete || isBroken) {
       finish(isComplete && !isBroken);
     } else {
@@ -115,7 +116,7 @@
     out.moveFrom(source.in(), count);
     source.parser().onBodyTaken(count);
     if (chunked) {
-      out.add(HttpMessage.LINE_END);
+      out.add(LINE_END);
     }
   }
 
--- a/sidecar/src/main/java/dillcross/net/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/ClientConnections.java
@@ -75,7 +75,7 @@
         return closeIfIdle(connection);
       }
       boolean isBetter =
-          candidate == null || candidate.requestCount > 1 && connection.requestCount < 2;
+          candidate == null || (candidate.requestCount > 1 && connection.requestCount < 2);
       candidate = isBetter ? connection : candidate;
     }
     return candidate != null && closeIfIdle(candidate);
--- a/sidecar/src/main/java/dillcross/net/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/Connection.java
@@ -206,7 +206,7 @@
     int got = channel.read(DISCARDED.clear());
     discardedBytes += Math.max(0, got);
     progressBytes += Math.max(0, got);
-    return got < 0 || isClosing && discardedBytes > maxDiscardedBytes;
+    return got < 0 || (isClosing && discardedBytes > maxDiscardedBytes);
   }
 
   /** Stops reading while what has arrived can't go on, or each select would report it again. */
@@ -218,7 +218,7 @@
       hasOverrun = true;
       in.clear();
     }
-    if (isInputFull() || hasOverrun && discardedBytes > maxDiscardedBytes || hasInputEnded) {
+    if (isInputFull() || (hasOverrun && discardedBytes > maxDiscardedBytes) || hasInputEnded) {
       isPaused = true; // the transport may have enabled it again with an event of its own
       setReadInterest(false);
     }
--- a/sidecar/src/main/java/dillcross/net/DatagramLimiter.java
+++ b/sidecar/src/main/java/dillcross/net/DatagramLimiter.java
@@ -1,8 +1,8 @@
 package dillcross.net;
 
 /**
- * Limits how many datagrams are read, so that a flood does not take the thread from the requests: at
- * most some hundredths of a core. Members' own addresses have a limit of their own.
+ * Limits how many datagrams are read, so that a flood does not take the thread from the requests:
+ * at most some hundredths of a core. Members' own addresses have a limit of their own.
  */
 final class DatagramLimiter {
   private static final double FROM_MEMBERS_PER_SECOND = 2000;
--- a/sidecar/src/main/java/dillcross/net/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/EndpointConnectionPool.java
@@ -51,6 +51,7 @@
   }
 
   /** Whether the endpoint has not been closed or moved since it was asked for. */
+  @SuppressWarnings("ReferenceEquality") // the very object: an endpoint that came back equals it
   boolean isCurrent(String id, Endpoint endpoint) {
     return endpoints.get(id) == endpoint;
   }
--- a/sidecar/src/main/java/dillcross/net/HttpConnectionCodec.java
+++ b/sidecar/src/main/java/dillcross/net/HttpConnectionCodec.java
@@ -26,7 +26,7 @@
     if (!connection.isClosing && !isBusy && readMessage(connection)) {
       return;
     }
-    if (connection.hasInputEnded() || connection.isInputFull() && !isBusy) {
+    if (connection.hasInputEnded() || (connection.isInputFull() && !isBusy)) {
       connection.close();
     } else if (isBusy) {
       connection.pauseIfFull();
--- a/sidecar/src/main/java/dillcross/net/MembershipService.java
+++ b/sidecar/src/main/java/dillcross/net/MembershipService.java
@@ -24,7 +24,8 @@
 import java.util.logging.Logger;
 
 /**
- * Sends and receives the datagrams of a membership, and shows it to operators. On the selector thread.
+ * Sends and receives the datagrams of a membership, and shows it to operators. On the selector
+ * thread.
  */
 public final class MembershipService implements Network.DatagramHandler {
   private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
@@ -53,10 +54,7 @@
    * @param datagramBytes of the largest packet
    */
   public MembershipService(
-      Membership membership,
-      PacketCodec codec,
-      InetSocketAddress bindAddress,
-      int datagramBytes) {
+      Membership membership, PacketCodec codec, InetSocketAddress bindAddress, int datagramBytes) {
     this.membership = membership;
     this.codec = codec;
     this.bindAddress = bindAddress;
--- a/sidecar/src/main/java/dillcross/net/PacketCodec.java
+++ b/sidecar/src/main/java/dillcross/net/PacketCodec.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 
 /**
- * Packets among sidecars as CBOR: a map of short names, lists below it. A name, or an item at the end
- * of a list, that is not known is skipped, so a later version may add both. What is malformed in any
- * other way is no packet.
+ * Packets among sidecars as CBOR: a map of short names, lists below it. A name, or an item at the
+ * end of a list, that is not known is skipped, so a later version may add both. What is malformed
+ * in any other way is no packet.
  */
 public final class PacketCodec {
   /** Raised only where older readers would misread. */
@@ -44,6 +44,7 @@
     return bytes.toByteArray();
   }
 
+  @SuppressWarnings("EnumOrdinal") // the order of the kinds is that of the wire
   private void write(JsonGenerator out, Packet packet) throws IOException {
     out.writeStartObject();
     out.writeNumberField("v", VERSION);
@@ -79,6 +80,7 @@
     out.writeEndObject();
   }
 
+  @SuppressWarnings("EnumOrdinal") // the order of the states is that of the wire
   private static void write(JsonGenerator out, MemberRecord record) throws IOException {
     out.writeStartArray(record, RECORD_FIELDS);
     out.writeString(record.name());
--- a/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
@@ -54,7 +54,7 @@
    */
   void advance(long nowUs, long elapsedUs, boolean mayFinish) {
     boolean isEnough = sent >= requestCount || elapsedUs > MAX_DURATION_US || address == null;
-    if (!isEnough && attempts.inFlight() > 0 || !mayFinish) {
+    if ((!isEnough && attempts.inFlight() > 0) || !mayFinish) {
       return;
     }
     if (isEnough) {
--- a/sidecar/src/main/java/dillcross/net/http/AsciiText.java
+++ b/sidecar/src/main/java/dillcross/net/http/AsciiText.java
@@ -23,9 +23,9 @@
   }
 
   private static boolean isTokenCharacter(int c) {
-    return c >= '0' && c <= '9'
-        || c >= 'a' && c <= 'z'
-        || c >= 'A' && c <= 'Z'
+    return (c >= '0' && c <= '9')
+        || (c >= 'a' && c <= 'z')
+        || (c >= 'A' && c <= 'Z')
         || TOKEN_MARKS.indexOf(c) >= 0;
   }
 
@@ -36,6 +36,6 @@
 
   /** Whether the text has no control characters but tabs. */
   static boolean isFieldText(String text) {
-    return text.chars().allMatch(c -> c >= ' ' && c != DELETE || c == '\t');
+    return text.chars().allMatch(c -> (c >= ' ' && c != DELETE) || c == '\t');
   }
 }
--- a/sidecar/src/main/java/dillcross/net/http/ChunkDecoder.java
+++ b/sidecar/src/main/java/dillcross/net/http/ChunkDecoder.java
@@ -42,7 +42,7 @@
         return 0;
       }
       String line = AsciiText.read(in, 0, end);
-      in.skip(end + HttpMessage.LINE_END.length);
+      in.skip(end + HttpMessage.LINE_END.length());
       if (isInTrailer) {
         skipTrailerLine(end);
       } else {
@@ -57,7 +57,7 @@
 
   /** Whether the line end behind a chunk was there and well-formed. */
   private boolean skipLineEnd(RingBuffer in) {
-    if (in.size() < HttpMessage.LINE_END.length) {
+    if (in.size() < HttpMessage.LINE_END.length()) {
       return false;
     }
     isLineEndPending = false;
@@ -65,13 +65,13 @@
       fault = HttpMessageParser.MALFORMED;
       return false;
     }
-    in.skip(HttpMessage.LINE_END.length);
+    in.skip(HttpMessage.LINE_END.length());
     return true;
   }
 
   /** Trailer fields are read and dropped. */
   private void skipTrailerLine(int length) {
-    trailerBytes += length + HttpMessage.LINE_END.length;
+    trailerBytes += length + HttpMessage.LINE_END.length();
     isComplete = length == 0;
     if (trailerBytes >= HttpMessageParser.MAX_HEAD_BYTES) {
       fault = HttpMessageParser.HEAD_TOO_LARGE;
--- a/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
@@ -119,8 +119,8 @@
     String length = head.field(HeaderNames.CONTENT_LENGTH);
     String coding = head.field(HeaderNames.TRANSFER_ENCODING);
     boolean isKnownCoding =
-        coding == null || coding.equalsIgnoreCase("chunked") && !firstLine.contains(HTTP_10);
-    boolean isKnownLength = length == null || coding == null && length.matches("[0-9]{1,18}");
+        coding == null || (coding.equalsIgnoreCase("chunked") && !firstLine.contains(HTTP_10));
+    boolean isKnownLength = length == null || (coding == null && length.matches("[0-9]{1,18}"));
     return isKnownCoding && isKnownLength;
   }
 }
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
@@ -23,7 +23,12 @@
   long UNTIL_CLOSE = -2;
 
   /** The line end of HTTP. */
-  byte[] LINE_END = {'\r', '\n'};
+  String LINE_END = "\r\n";
+
+  /** The bytes of the line end. */
+  static byte[] lineEnd() {
+    return LINE_END.getBytes(StandardCharsets.US_ASCII);
+  }
 
   /** Fields of one connection only, or that the writer of the next message sets itself. */
   Set<String> HOP_BY_HOP =
@@ -99,7 +104,7 @@
     byte[] body = body();
     boolean isChunk = remainingBytes() == UNKNOWN && body.length > 0;
     byte[] size = isChunk ? chunkHead(body.length) : NO_BODY;
-    byte[] end = isChunk ? LINE_END : NO_BODY;
+    byte[] end = isChunk ? lineEnd() : NO_BODY;
     byte[] all = Arrays.copyOf(head, head.length + size.length + body.length + end.length);
     System.arraycopy(size, 0, all, head.length, size.length);
     System.arraycopy(body, 0, all, head.length + size.length, body.length);
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -221,7 +221,7 @@
     skipEmptyLines(in);
     int end = findHeadEnd(in);
     int maxBytes = parsesRequests ? MAX_REQUEST_HEAD_BYTES : MAX_HEAD_BYTES;
-    if (end > maxBytes || end < 0 && in.size() > maxBytes) {
+    if (end > maxBytes || (end < 0 && in.size() > maxBytes)) {
       fault = HEAD_TOO_LARGE;
     } else if (end < 0 && !startsLikeMessage(in)) {
       fault = MALFORMED;
@@ -272,12 +272,12 @@
   }
 
   private static boolean mayStartRequest(char c, int index) {
-    return c >= ' ' && c < 127 || c == '\r' || c == '\n' && index > 0;
+    return (c >= ' ' && c < 127) || c == '\r' || (c == '\n' && index > 0);
   }
 
   private static boolean mayStartResponse(char c, int index) {
     char lineEnd = index % 2 == 0 ? '\r' : '\n';
-    return c == RESPONSE_START.charAt(index) || c == lineEnd && index < 2;
+    return c == RESPONSE_START.charAt(index) || (c == lineEnd && index < 2);
   }
 
   /** Prepares to read the body of a message, or notes the fault of its head. */
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/sidecar/EndpointAddresses.java
@@ -0,0 +1,44 @@
+package dillcross.sidecar;
+
+import dillcross.model.Endpoint;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+
+/** Where the endpoints that may be used are, as the endpoint list last said. */
+final class EndpointAddresses {
+  private final Map<String, EndpointEntry> entries = new HashMap<>();
+
+  /** Takes entries that are up; the ids of those that moved or restarted, in their order. */
+  List<String> apply(List<EndpointEntry> updates) {
+    List<String> changed = new ArrayList<>();
+    for (EndpointEntry entry : updates) {
+      Endpoint endpoint = entry.endpoint();
+      boolean isUp = endpoint.health() == Endpoint.Health.UP;
+      EndpointEntry before = isUp ? entries.put(endpoint.id(), entry) : null;
+      if (before != null && !before.isSameProcess(entry)) {
+        changed.add(endpoint.id());
+      }
+    }
+    return changed;
+  }
+
+  /** Forgets those that match, or each deployment would leave its old endpoints here; sorted. */
+  List<String> removeIf(Predicate<String> filter) {
+    List<String> removed = entries.keySet().stream().filter(filter).sorted().toList();
+    entries.keySet().removeAll(removed);
+    return removed;
+  }
+
+  /** The entry of that id; null where there is none. */
+  EndpointEntry find(String id) {
+    return entries.get(id);
+  }
+
+  /** Whether the entry is still the same process at the same address. */
+  boolean isCurrent(EndpointEntry entry) {
+    return entry.isSameProcess(entries.get(entry.endpoint().id()));
+  }
+}
--- a/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
+++ b/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
@@ -7,7 +7,6 @@
 import dillcross.model.Endpoint;
 import dillcross.sidecar.OpenRequest.OpenAttempt;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -25,7 +24,7 @@
 
   private final LoadBalancer balancer;
   private final Map<Long, OpenRequest> requests = new HashMap<>();
-  private final Map<String, EndpointEntry> entries = new HashMap<>();
+  private final EndpointAddresses addresses = new EndpointAddresses();
   private final TimerQueue timers = new TimerQueue();
   private final ArrayDeque<NetworkCommand> commands = new ArrayDeque<>();
   private final DecisionExecutor executor = new DecisionExecutor();
@@ -76,26 +75,14 @@
   }
 
   private void applyEndpoints(long nowUs, boolean complete, List<EndpointEntry> updates) {
-    List<Endpoint> endpoints = new ArrayList<>(updates.size());
-    for (EndpointEntry entry : updates) {
-      Endpoint endpoint = entry.endpoint();
-      boolean isUp = endpoint.health() == Endpoint.Health.UP;
-      EndpointEntry before = isUp ? entries.put(endpoint.id(), entry) : null;
-      if (before != null && !before.isSameProcess(entry)) {
-        commands.add(new NetworkCommand.CloseConnections(endpoint.id()));
-      }
-      endpoints.add(endpoint);
-    }
+    closeConnections(addresses.apply(updates));
+    List<Endpoint> endpoints = updates.stream().map(EndpointEntry::endpoint).toList();
     balancer.onEndpointList(nowUs, complete, endpoints);
-    closeUnlisted();
+    closeConnections(addresses.removeIf(id -> !balancer.isListed(id)));
   }
 
-  /** Or each deployment would leave its old endpoints here. */
-  private void closeUnlisted() {
-    List<String> unlisted =
-        entries.keySet().stream().filter(id -> !balancer.isListed(id)).sorted().toList();
-    unlisted.forEach(id -> commands.add(new NetworkCommand.CloseConnections(id)));
-    entries.keySet().removeAll(unlisted);
+  private void closeConnections(List<String> ids) {
+    ids.forEach(id -> commands.add(new NetworkCommand.CloseConnections(id)));
   }
 
   /**
@@ -264,9 +251,7 @@
       return true;
     }
     EndpointEntry target = request.attempts.get(attemptNumber).target;
-    return !request.isOver
-        && nowUs < request.deadlineUs()
-        && target.isSameProcess(entries.get(target.endpoint().id()));
+    return !request.isOver && nowUs < request.deadlineUs() && addresses.isCurrent(target);
   }
 
   /**
@@ -395,7 +380,7 @@
               && decision.deadlineUs() < request.deadlineUs();
       long deadlineUs = isLimited ? decision.deadlineUs() : requestEndUs;
       int number = request.attempts.size();
-      EndpointEntry target = entries.get(decision.endpoint());
+      EndpointEntry target = addresses.find(decision.endpoint());
       request.attempts.add(new OpenAttempt(target, nowUs));
       request.attemptsInFlight++;
       if (isLimited) {
--- a/sidecar/src/test/java/dillcross/balancer/LoadBalancerTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/LoadBalancerTest.java
@@ -14,6 +14,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class LoadBalancerTest {
+  private static final List<AttemptOutcome> FREQUENT_OUTCOMES =
+      List.of(
+          AttemptOutcome.SUCCEEDED,
+          AttemptOutcome.ERROR,
+          AttemptOutcome.OVERLOADED,
+          AttemptOutcome.CLIENT_ERROR,
+          AttemptOutcome.TIMED_OUT);
   private static final String[] THREE = {"a:UP:1:east", "b:UP:1:east", "c:UP:2:west"};
 
   // ---- The design's life cycle
@@ -37,8 +44,8 @@
   })
   void ejectsAfterFiveInARowOrTooLargeAShare(String outcomes, boolean ejected) {
     BalancerFixture s = BalancerFixture.withEndpoints("a");
-    for (char c : outcomes.toCharArray()) {
-      fail(s, c);
+    for (int i = 0; i < outcomes.length(); i++) {
+      fail(s, outcomes.charAt(i));
     }
     s.updateList(false, "b");
     assertEquals(ejected, s.traffic(30, "a") == 0);
@@ -597,7 +604,7 @@
         case 3, 4, 5 -> {
           if (!s.inFlight.isEmpty()) {
             SentAttempt p = s.inFlight.get(random.nextInt(s.inFlight.size()));
-            AttemptOutcome o = AttemptOutcome.values()[random.nextInt(5)];
+            AttemptOutcome o = FREQUENT_OUTCOMES.get(random.nextInt(FREQUENT_OUTCOMES.size()));
             s.endAttempt(p, o);
           }
         }
@@ -726,7 +733,7 @@
       Set<String> before = s.thinTraffic(40, 250).keySet();
       s.updateList(false, "e7:REMOVED");
       Set<String> after = s.thinTraffic(40, 250).keySet();
-      moved += after.stream().filter(e -> !before.contains(e)).count();
+      moved += (int) after.stream().filter(e -> !before.contains(e)).count();
     }
     assertTrue(moved <= 60, "moved " + moved + " of " + 60 * 3);
   }
@@ -841,7 +848,7 @@
     s.traffic(60, "a");
     int hedges = 0;
     for (int i = 0; i < 80; i++) {
-      long request = s.arrive("read");
+      s.arrive("read");
       s.pass(25);
       for (SentAttempt p : List.copyOf(s.inFlight)) {
         if (!p.endpoint().equals("a")) {
@@ -1031,12 +1038,12 @@
       s.applySettings(BalancerFixture.RETRIES, true, BalancerFixture.REQUEST_CLASSES);
       s.updateList(true, "a", "b");
       s.traffic(20, "b");
-      got[0] += s.traffic(20, "b");
+      got[0] += (int) s.traffic(20, "b");
       for (int renewals = 0; renewals < 30; renewals++) {
         s.updateList(false, "b:UP:1:east:0:0.2");
-        got[1] += renewals == 0 ? s.traffic(20, "b") : 0;
+        got[1] += renewals == 0 ? (int) s.traffic(20, "b") : 0;
       }
-      got[2] += s.traffic(20, "b");
+      got[2] += (int) s.traffic(20, "b");
     }
     assertTrue(got[1] > 0.25 * got[0], "once: " + Arrays.toString(got));
     assertTrue(got[2] < 0.25 * got[0], "for long: " + Arrays.toString(got));
--- a/sidecar/src/test/java/dillcross/cli/CrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/CrossingIT.java
@@ -22,11 +22,11 @@
 
 /**
  * Two events that cross, on real sockets, each crossing forced: by a process that is held (SIGSTOP)
- * while both come, or by an endpoint whose queue of connections is full, so that a push to it
+ * while both come, or by an endpoint whose queue of connections is full, so that an attempt to it
  * waits. The table is docs/crossings.md.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class CrossingIT extends Served {
+class CrossingIT extends SidecarFixture {
   private static final String SYN_SENT = "02";
   private static final String ESTABLISHED = "01";
   private static final String CLOSE_WAIT = "08";
@@ -48,7 +48,7 @@
   }
 
   private void awaitStopping() throws Exception {
-    await(() -> status(ask(connect(), HEALTH)).equals("503"));
+    await(() -> status(exchange(connect(), HEALTH)).equals("503"));
   }
 
   /**
@@ -91,7 +91,7 @@
     }
 
     /** Until the program asks for its connection. */
-    void awaitAsked() throws Exception {
+    void awaitRequested() throws Exception {
       await(() -> connections(false, server.getLocalPort(), SYN_SENT) > 0);
     }
 
@@ -120,7 +120,9 @@
     void serves(Socket on) {
       StandIn.start(
           () -> {
-            for (String m; !(m = message(on.getInputStream())).isEmpty(); ) {
+            for (String m = message(on.getInputStream());
+                !m.isEmpty();
+                m = message(on.getInputStream())) {
               got.add(m.split(" ")[1]);
               on.getOutputStream()
                   .write(answer(200, "", BODY).getBytes(StandardCharsets.ISO_8859_1));
@@ -137,8 +139,8 @@
   }
 
   /**
-   * Serves with a connect limit, TTLs and latencies so long, beyond this test's own, that a push
-   * waits for its connection.
+   * Serves with a connect limit, deadlines and latencies so long, beyond this test's own, that an
+   * attempt waits for its connection.
    */
   private void servingPatiently(String servers, String... changes) throws IOException {
     List<String> all =
@@ -172,7 +174,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"closes", "resets", "half-closes"})
-  void whoHasGoneByThenIsNotServed(String how) throws Exception {
+  void clientsThatHaveDisconnectedAreNotServed(String how) throws Exception {
     serving(entry("a", "in_service", a.address()));
     held(
         () -> {
@@ -180,19 +182,21 @@
             Socket client = connect();
             client
                 .getOutputStream()
-                .write(op("/read/gone", 5000).getBytes(StandardCharsets.ISO_8859_1));
+                .write(request("/read/gone", 5000).getBytes(StandardCharsets.ISO_8859_1));
             leave(client, how);
           }
         });
     assertEquals(
-        "200", status(ask(connect(), op("/read/ok", 2000)))); // it was accepted after all of those
+        "200",
+        status(
+            exchange(connect(), request("/read/ok", 2000)))); // it was accepted after all of those
     rested();
     assertEquals(List.of("/read/ok"), a.requests.stream().map(r -> r.split(" ")[1]).toList());
   }
 
   /**
-   * Clients leave while their ops wait for a connection: it comes up, and none of them goes over
-   * it.
+   * Clients leave while their requests wait for a connection: it comes up, and none of them goes
+   * over it.
    */
   @ParameterizedTest
   @CsvSource({
@@ -218,7 +222,7 @@
     List<Socket> waiting = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
       Socket client = connect();
-      String request = op(behind < 0 ? "/buy/gone" : "/read/gone", 90_000);
+      String request = request(behind < 0 ? "/buy/gone" : "/read/gone", 90_000);
       if (behind < 0) { // its body flows
         request =
             request.replace(
@@ -230,18 +234,18 @@
           .write((request + "x".repeat(Math.max(0, behind))).getBytes(StandardCharsets.ISO_8859_1));
       waiting.add(client);
     }
-    late.awaitAsked();
+    late.awaitRequested();
     for (Socket client : waiting) {
       leave(client, how);
     }
     await(
         () ->
             connections(true, port, ESTABLISHED) + connections(true, port, CLOSE_WAIT)
-                == 0); // it lets go of them while the push still waits
+                == 0); // it lets go of them while the attempt still waits
     assertEquals(0, connections(false, late.server.getLocalPort(), ESTABLISHED), "it still waits");
     late.room();
     late.serves();
-    assertEquals("200", status(ask(connect(), op("/read/after", 90_000))));
+    assertEquals("200", status(exchange(connect(), request("/read/after", 90_000))));
     assertEquals(List.of("/read/after"), late.got);
   }
 
@@ -260,8 +264,8 @@
   }
 
   /**
-   * As much is in flight as may be, and one op waits for a place: its client leaves, then there is
-   * room.
+   * As much is in flight as may be, and one request waits for a place: its client leaves, then
+   * there is room.
    */
   @ParameterizedTest
   @CsvSource({"closes,true", "closes,false", "resets,true", "half-closes,true"})
@@ -277,7 +281,7 @@
       clients
           .get(i)
           .getOutputStream()
-          .write(op("/read/" + i + "then", 90_000).getBytes(StandardCharsets.ISO_8859_1));
+          .write(request("/read/" + i + "then", 90_000).getBytes(StandardCharsets.ISO_8859_1));
     }
     await(() -> a.requests.size() + answers.size() == clients.size() - 1);
     int waits = 0;
@@ -291,13 +295,13 @@
             connections(true, port, ESTABLISHED) == open - 1
                 && connections(true, port, CLOSE_WAIT) == 0);
     a.go.countDown();
-    assertEquals("200", status(ask(connect(), op("/read/after", 90_000))));
+    assertEquals("200", status(exchange(connect(), request("/read/after", 90_000))));
     assertFalse(a.got.containsKey("/read/" + waits + "then"), "sent on: " + a.got);
   }
 
   /**
-   * An endpoint turns the op away, the next one's connection comes up late, and the client leaves
-   * meanwhile.
+   * An endpoint turns the request away, the next one's connection comes up late, and the client
+   * leaves meanwhile.
    */
   @ParameterizedTest
   @CsvSource({"closes,true", "closes,false", "resets,false", "half-closes,true"})
@@ -306,10 +310,10 @@
     servingPatiently(
         entry("a", "in_service", a.address()), "\"cancel\":true", "\"cancel\":" + cancel);
     Socket client = connect();
-    begin(client, op("/read/fullthen", 90_000), "/read/fullthen");
+    begin(client, request("/read/fullthen", 90_000), "/read/fullthen");
     discovery.tell(entry("b", "in_service", late.address()));
     a.go.countDown();
-    late.awaitAsked(); // the repeat
+    late.awaitRequested(); // the repeat
     leave(client, how);
     await(() -> connections(true, port, ESTABLISHED) + connections(true, port, CLOSE_WAIT) == 0);
     late.room();
@@ -319,22 +323,24 @@
             "a",
             "terminating",
             a.address())); // so that what comes next goes where the repeat would
-    assertEquals("200", status(ask(connect(), op("/read/after", 90_000))));
+    assertEquals("200", status(exchange(connect(), request("/read/after", 90_000))));
     assertEquals(List.of("/read/after"), late.got);
   }
 
   /**
-   * A push waits for its connection while news of its endpoint comes: it goes where the list says
-   * by then, or not at all.
+   * An attempt waits for its connection while news of its endpoint comes: it goes where the list
+   * says by then, or not at all.
    */
   @ParameterizedTest
   @ValueSource(strings = {"terminating", "terminated", "moved", "began anew"})
-  void newsOfAnEndpointMeetAPushThatWaits(String news) throws Exception {
+  void listUpdatesMeetAnAttemptThatWaits(String news) throws Exception {
     Late late = new Late();
     servingPatiently(entry("a", "in_service", late.address()));
     Socket client = connect();
-    client.getOutputStream().write(op("/read/x", 90_000).getBytes(StandardCharsets.ISO_8859_1));
-    late.awaitAsked();
+    client
+        .getOutputStream()
+        .write(request("/read/x", 90_000).getBytes(StandardCharsets.ISO_8859_1));
+    late.awaitRequested();
     long nowMs = System.currentTimeMillis();
     discovery.tell(
         switch (news) {
@@ -346,14 +352,14 @@
         });
     Socket opened = late.open();
     assertEquals("", message(opened.getInputStream()), "what it was opened for is no more");
-    boolean other = news.startsWith("term"); // the same endpoint is not tried twice for one op
+    boolean other = news.startsWith("term"); // the same endpoint is not tried twice for one request
     assertEquals(other ? "200" : "503", status(message(client.getInputStream())));
     assertEquals(other ? 1 : 0, b.requests.size());
   }
 
   /**
-   * The connection comes up, its endpoint drains and the op's time ends, all while nothing is read:
-   * then nothing is sent.
+   * The connection comes up, its endpoint drains and the request's time ends, all while nothing is
+   * read: then nothing is sent.
    */
   @ParameterizedTest
   @ValueSource(strings = {"drains", "out of time"})
@@ -361,10 +367,12 @@
     Late late = new Late();
     servingPatiently(entry("a", "in_service", late.address()));
     Socket client = connect();
-    int ttlMs = what.equals("drains") ? 90_000 : 2500;
+    int timeoutMs = what.equals("drains") ? 90_000 : 2500;
     long fromNs = System.nanoTime();
-    client.getOutputStream().write(op("/read/x", ttlMs).getBytes(StandardCharsets.ISO_8859_1));
-    late.awaitAsked();
+    client
+        .getOutputStream()
+        .write(request("/read/x", timeoutMs).getBytes(StandardCharsets.ISO_8859_1));
+    late.awaitRequested();
     Socket[] opened = new Socket[1];
     held(
         () -> {
@@ -376,7 +384,8 @@
                     + entry("a", "terminating", late.address()));
             rested(); // its bytes are on their way over loopback
           }
-          while (!what.equals("drains") && System.nanoTime() - fromNs < (ttlMs + 50) * 1_000_000L) {
+          while (!what.equals("drains")
+              && System.nanoTime() - fromNs < (timeoutMs + 50) * 1_000_000L) {
             Thread.sleep(5);
           }
         });
@@ -389,7 +398,7 @@
       assertTrue(status(answer).matches("50[23]"), answer);
       late.serves(opened[0]);
       late.serves();
-      assertEquals("200", status(ask(connect(), op("/read/after", 90_000))));
+      assertEquals("200", status(exchange(connect(), request("/read/after", 90_000))));
       assertEquals(List.of("/read/after"), late.got);
     }
   }
@@ -411,7 +420,7 @@
             Socket client = connect();
             client
                 .getOutputStream()
-                .write(op("/read/ok", 2000).getBytes(StandardCharsets.ISO_8859_1));
+                .write(request("/read/ok", 2000).getBytes(StandardCharsets.ISO_8859_1));
             clients.add(client);
           }
         });
@@ -429,9 +438,9 @@
   @Test
   void aRequestThatComesLateIntoAStopIsAnswered() throws Exception {
     serving(entry("a", "in_service", a.address()));
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))));
     Socket client = connect();
-    String request = op("/buy/hang", 2000);
+    String request = request("/buy/hang", 2000);
     client
         .getOutputStream()
         .write(request.substring(0, request.length() - 1).getBytes(StandardCharsets.ISO_8859_1));
@@ -449,15 +458,15 @@
   }
 
   /**
-   * Told to stop, it goes on hearing of drains until its last push, also after a call to the list
-   * that failed.
+   * Told to stop, it goes on hearing of drains until its last attempt, also after a call to the
+   * list that failed.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aStoppingProcessHearsOfDrains(boolean fails) throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket client = connect();
-    String request = op("/read/late", 2000);
+    String request = request("/read/late", 2000);
     client
         .getOutputStream()
         .write(request.substring(0, request.length() - 1).getBytes(StandardCharsets.ISO_8859_1));
@@ -491,7 +500,7 @@
   void nothingThatStaysOpenIsLeftAtTheExit() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket half = connect();
-    String request = op("/read/ok", 2000);
+    String request = request("/read/ok", 2000);
     half.getOutputStream().write(request.substring(0, 20).getBytes(StandardCharsets.ISO_8859_1));
     Socket silent = connect();
     signal("TERM");
@@ -513,7 +522,7 @@
     await(() -> discovery.broken.isEmpty());
     discovery.tell(
         entry("b", "in_service", b.address()) + "," + entry("a", "terminating", a.address()));
-    assertEquals("200", status(ask(connect(), op("/read/after", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/after", 2000))));
     assertEquals(1, b.got.get("/read/after"));
     assertEquals(2, discovery.accepted.get(), "on a connection of its own");
   }
@@ -523,7 +532,7 @@
    * the old one it was given.
    */
   @Test
-  void whereListsArePushedTheFirstIsHadBeforeItIsReady() throws Exception {
+  void whereListsArePushedTheFirstArrivesBeforeItIsReady() throws Exception {
     discovery.broken.add(
         "later"
             + answer(
@@ -539,7 +548,7 @@
         "\"locality\"",
         "\"discovery\":\"automatic\",\"locality\"");
     awaitReady();
-    assertEquals("200", status(ask(connect(), op("/read/x", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/x", 2000))));
     assertEquals(0, a.requests.size());
     assertEquals(1, b.requests.size());
     assertTrue(discovery.requests.get(0).contains("since=0"), "whole: " + discovery.requests);
@@ -554,12 +563,12 @@
         "\"locality\"",
         "\"discovery\":\"automatic\",\"locality\"");
     awaitReady();
-    assertEquals("200", status(ask(connect(), op("/read/x", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/x", 2000))));
   }
 
   /**
-   * Idle clients fill the descriptors while the list can't be had: it is had at its return, and ops
-   * on open connections are served.
+   * Idle clients fill the descriptors while the list can't be had: it is had at its return, and
+   * requests on open connections are served.
    */
   @Test
   void idleClientsKeepNobodyFromTheList() throws Exception {
@@ -570,20 +579,20 @@
     serving(entry("a", "in_service", a.address()));
     Socket own = connect();
     for (int i = 0; i < 3; i++) { // who asked once only makes room for others
-      assertEquals("200", status(ask(own, op("/read/before", 2000))));
+      assertEquals("200", status(exchange(own, request("/read/before", 2000))));
     }
     for (int i = 0; i < 400; i++) {
       connect();
       if (i % 8
           == 0) { // it is in use, as open connections are; one that rests for 2 s may be closed to
         // make room
-        assertEquals("200", status(ask(own, op("/read/meanwhile", 2000))));
+        assertEquals("200", status(exchange(own, request("/read/meanwhile", 2000))));
       }
     }
     assertFalse(discovery.broken.isEmpty(), "it can't be had all that time");
     discovery.tell(
         entry("b", "in_service", b.address()) + "," + entry("a", "terminating", a.address()));
-    assertEquals("200", status(ask(own, op("/read/after", 2000))));
+    assertEquals("200", status(exchange(own, request("/read/after", 2000))));
     assertEquals(1, b.got.get("/read/after"));
   }
 
@@ -624,13 +633,13 @@
         "\"discovery\":\"automatic\",\"locality\"");
     awaitReady();
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", status(ask(connect(), op("/read/x", 2000))));
+      assertEquals("200", status(exchange(connect(), request("/read/x", 2000))));
     }
     assertEquals(20, b.got.get("/read/x"));
     discovery.broken.add(answer(200, "", list(8, 8000, a.address())));
     discovery.news(""); // has the call that is out answered, and then comes that
     awaitLine("endpoint list larger than 1048576 bytes, keeping the last one");
-    assertEquals("200", status(ask(connect(), op("/read/x", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/x", 2000))));
     assertEquals(0, a.requests.size());
   }
 
@@ -640,7 +649,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aCallAfterAFailureOrAMoveAsksForWhatThereIs(boolean moves) throws Exception {
+  void aCallAfterAFailureOrAMoveRequestsWhatThereIs(boolean moves) throws Exception {
     StandIn moved = standIn();
     if (!moves) {
       discovery.broken.add(answer(503, "", ""));
--- a/sidecar/src/test/java/dillcross/cli/ServeIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ServeIT.java
@@ -34,12 +34,12 @@
     value = 60,
     threadMode =
         Timeout.ThreadMode.SEPARATE_THREAD) // a read of the log is not ended by an interrupt
-class ServeIT extends Served {
+class ServeIT extends SidecarFixture {
   private static final int LARGE = 12 << 20;
 
   /**
-   * Each row of the protocol's outcomes, for an op whose repeat only the endpoint's own cell would
-   * recognise.
+   * Each row of the protocol's outcomes, for a request whose repeat only the endpoint's own cell
+   * would recognise.
    */
   @ParameterizedTest
   @CsvSource({
@@ -56,40 +56,41 @@
   void eachOutcome(String what, String status) throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    String answer = ask(socket, op("/buy/x/" + what, 600));
+    String answer = exchange(socket, request("/buy/x/" + what, 600));
     assertEquals(status, status(answer), answer);
     assertEquals(1, a.got.get("/buy/x/" + what), "pushed once");
-    String pushed = a.requests.get(0);
+    String forwarded = a.requests.get(0);
     assertTrue(
-        pushed.contains("request-id: r1\r\n")
-            && pushed.contains("idempotency-key: k9\r\n")
-            && pushed.contains("x-trace: t\r\n")
-            && pushed.endsWith("\r\n\r\nabc"),
-        pushed);
-    int waitMs = Integer.parseInt(pushed.replaceAll("(?s).*request-timeout-ms: ([0-9]+).*", "$1"));
-    assertTrue(waitMs > 0 && waitMs <= 600, pushed);
+        forwarded.contains("request-id: r1\r\n")
+            && forwarded.contains("idempotency-key: k9\r\n")
+            && forwarded.contains("x-trace: t\r\n")
+            && forwarded.endsWith("\r\n\r\nabc"),
+        forwarded);
+    int waitMs =
+        Integer.parseInt(forwarded.replaceAll("(?s).*request-timeout-ms: ([0-9]+).*", "$1"));
+    assertTrue(waitMs > 0 && waitMs <= 600, forwarded);
     if (status.equals("200")) {
       assertTrue(answer.endsWith("\r\n\r\n" + BODY), answer);
     }
     String after;
-    do { // the module may stay away from it for a moment
-      after = status(ask(socket, op("/read/ok", 2000)));
+    do { // the load balancer may stay away from it for a moment
+      after = status(exchange(socket, request("/read/ok", 2000)));
     } while (after.equals("503"));
     assertEquals("200", after, "the connection and the sidecar live on");
   }
 
   /**
-   * A spoilt answer may have run: it ends its push at once, and its connection; nothing of it
+   * A spoilt answer may have run: it ends its attempt at once, and its connection; nothing of it
    * reaches a client.
    */
   @ParameterizedTest
   @ValueSource(strings = {"noise", "endless", "huge"})
-  void aSpoiltAnswerEndsItsPushAtOnce(String what) throws Exception {
+  void aMalformedResponseEndsItsAttemptAtOnce(String what) throws Exception {
     start(entry("a", "in_service", a.address()), "\"ttl_ms\":2000", "\"ttl_ms\":60000");
     awaitReady();
     Socket socket = connect();
-    assertEquals("502", status(ask(socket, op("/buy/" + what, 60_000))));
-    assertEquals("200", status(ask(socket, op("/buy/ok", 2000))));
+    assertEquals("502", status(exchange(socket, request("/buy/" + what, 60_000))));
+    assertEquals("200", status(exchange(socket, request("/buy/ok", 2000))));
     assertEquals(2, a.accepted.get());
   }
 
@@ -99,7 +100,7 @@
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
     for (int i = 0; i < 20; i++) {
-      String answer = ask(socket, op("/read/large", 2000));
+      String answer = exchange(socket, request("/read/large", 2000));
       assertTrue(
           status(answer).equals("200") && answer.endsWith("x".repeat(400_000)),
           () -> answer.substring(0, 80));
@@ -115,10 +116,10 @@
   void pipelinedRequestsWaitTheirTurn() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    StringBuilder all = new StringBuilder(op("/buy/slow", 2000));
+    StringBuilder all = new StringBuilder(request("/buy/slow", 2000));
     for (int kb : new int[] {20, 60, 60, 1}) {
       all.append(
-          op("/buy/" + kb, 5000)
+          request("/buy/" + kb, 5000)
               .replace(
                   "Content-Length: 3\r\n\r\nabc",
                   "Content-Length: " + kb * 1000 + "\r\n\r\n" + "b".repeat(kb * 1000)));
@@ -157,11 +158,11 @@
     StandIn echo = new StandIn(true);
     toClose.add(echo);
     serving(entry("a", "in_service", echo.address()));
-    List<java.util.concurrent.CompletableFuture<String>> told = new ArrayList<>();
+    List<java.util.concurrent.CompletableFuture<String>> notified = new ArrayList<>();
     CountDownLatch others = new CountDownLatch(7);
     for (int i = 0; i < 8; i++) {
       int n = i;
-      told.add(
+      notified.add(
           java.util.concurrent.CompletableFuture.supplyAsync(
               () -> {
                 try {
@@ -206,10 +207,10 @@
                 }
               }));
     }
-    for (var one : told) {
+    for (var one : notified) {
       assertEquals("200 true", one.get());
     }
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))));
     assertEquals(8, sentOnce("/buy/echo0", echo) + sentOnce("/buy/echo1", echo));
   }
 
@@ -222,7 +223,9 @@
   void aBreakInMidAnswerIsSeen(String what) throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    socket.getOutputStream().write(op("/read/" + what, 2000).getBytes(StandardCharsets.US_ASCII));
+    socket
+        .getOutputStream()
+        .write(request("/read/" + what, 2000).getBytes(StandardCharsets.US_ASCII));
     String head = head(socket.getInputStream());
     assertEquals("200", status(head));
     String rest = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -233,7 +236,7 @@
     Socket old = connect();
     old.getOutputStream()
         .write(
-            op("/read/brokenchunks", 2000)
+            request("/read/brokenchunks", 2000)
                 .replace("HTTP/1.1", "HTTP/1.0")
                 .getBytes(StandardCharsets.US_ASCII));
     assertEquals("200", status(head(old.getInputStream())));
@@ -241,7 +244,7 @@
         IOException.class,
         () -> old.getInputStream().readAllBytes(),
         "a plain end would pass for a whole");
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))));
   }
 
   /**
@@ -253,13 +256,13 @@
   void whatComesBehindAnAnswerAnswersNothing(String what) throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    String answer = ask(socket, op("/read/" + what, 2000));
+    String answer = exchange(socket, request("/read/" + what, 2000));
     assertTrue(status(answer).equals("200") && answer.endsWith(BODY), answer);
     while (what.equals("late") && !a.got.containsKey("written")) {
       Thread.sleep(1);
     }
     for (int i = 0; i < 5; i++) {
-      answer = ask(socket, op("/read/ok", 2000));
+      answer = exchange(socket, request("/read/ok", 2000));
       assertTrue(status(answer).equals("200") && answer.endsWith(BODY), answer);
       rested();
     }
@@ -267,19 +270,19 @@
   }
 
   @Test
-  void whatNeverConnectsIsNacked() throws Exception {
+  void whatNeverConnectsIsRejected() throws Exception {
     a.close();
     serving(entry("a", "in_service", a.address()));
-    assertEquals("503", status(ask(connect(), op("/buy/ok", 600))));
+    assertEquals("503", status(exchange(connect(), request("/buy/ok", 600))));
   }
 
   @Test
-  void aClientThatLeavesTakesItsPushWithIt() throws Exception {
+  void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    begin(socket, op("/buy/hang", 2000), "/buy/hang");
+    begin(socket, request("/buy/hang", 2000), "/buy/hang");
     socket.close();
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))));
   }
 
   @Test
@@ -291,7 +294,7 @@
       assertEquals(
           "200",
           status(
-              ask(
+              exchange(
                   socket,
                   "GET /read/"
                       + i
@@ -301,52 +304,54 @@
     }
     assertEquals(50, a.requests.size());
     assertEquals(1, a.accepted.get());
-    assertEquals("200", status(ask(socket, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")));
+    assertEquals("200", status(exchange(socket, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")));
     assertTrue(a.requests.get(7).startsWith("GET /read/7?q=1 HTTP/1.1\r\n"), a.requests.get(7));
   }
 
   /**
-   * What a cut-off machine leaves open is dead: connections older than a push that was given up are
-   * not used again.
+   * What a cut-off machine leaves open is dead: connections older than an attempt that was given up
+   * are not used again.
    */
   @Test
-  void connectionsOlderThanAGivenUpPushAreDropped() throws Exception {
+  void connectionsOlderThanAnAbandonedAttemptAreClosed() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket first = connect();
     Socket second = connect();
-    first.getOutputStream().write(op("/read/slow", 2000).getBytes(StandardCharsets.ISO_8859_1));
-    assertEquals("200", status(ask(second, op("/read/slow", 2000))));
+    first
+        .getOutputStream()
+        .write(request("/read/slow", 2000).getBytes(StandardCharsets.ISO_8859_1));
+    assertEquals("200", status(exchange(second, request("/read/slow", 2000))));
     assertEquals("200", status(message(first.getInputStream())));
     assertEquals(2, a.accepted.get());
     rested();
-    assertEquals("502", status(ask(first, op("/buy/hang", 300))));
-    assertEquals("200", status(ask(first, op("/read/ok", 2000))));
+    assertEquals("502", status(exchange(first, request("/buy/hang", 300))));
+    assertEquals("200", status(exchange(first, request("/read/ok", 2000))));
     assertEquals(3, a.accepted.get());
   }
 
   /**
-   * A push that is written as the endpoint closes an idle connection may have run: we close before
-   * it does.
+   * An attempt that is written as the endpoint closes an idle connection may have run: we close
+   * before it does.
    */
   @Test
   void idleConnectionsAreDroppedBeforeTheirLimit() throws Exception {
     start(entry("a", "in_service", a.address()), "\"keepalive_ms\":9000", "\"keepalive_ms\":300");
     awaitReady();
     Socket socket = connect();
-    assertEquals("200", status(ask(socket, op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(socket, request("/read/ok", 2000))));
     Thread.sleep(400);
-    assertEquals("200", status(ask(socket, op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(socket, request("/read/ok", 2000))));
     assertEquals(2, a.accepted.get());
   }
 
   @Test
-  void aConnectThatGetsNoAnswerIsNacked() throws Exception {
+  void aConnectThatGetsNoAnswerIsRejected() throws Exception {
     try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Socket full = new Socket(silent.getInetAddress(), silent.getLocalPort());
         Socket over = new Socket(silent.getInetAddress(), silent.getLocalPort())) {
       serving(entry("a", "in_service", "127.0.0.1:" + silent.getLocalPort()));
       assertTrue(full.isConnected() && over.isConnected());
-      assertEquals("503", status(ask(connect(), op("/buy/ok", 1500))));
+      assertEquals("503", status(exchange(connect(), request("/buy/ok", 1500))));
     }
   }
 
@@ -357,12 +362,12 @@
   void theListIsFollowedAndDrainsAreKept() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    assertEquals("200", status(ask(socket, op("/read/before", 2000))));
+    assertEquals("200", status(exchange(socket, request("/read/before", 2000))));
     discovery.tell(
         entry("b", "in_service", b.address()) + "," + entry("a", "terminating", a.address()));
     int before = a.requests.size();
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", status(ask(socket, op("/read/after", 2000))));
+      assertEquals("200", status(exchange(socket, request("/read/after", 2000))));
     }
     assertEquals(before, a.requests.size());
     assertEquals(20, b.got.get("/read/after"));
@@ -382,14 +387,14 @@
   void aNewEndpointAtAnOldAddressInheritsNothing() throws Exception {
     serving(entry("a0", "in_service", a.address()));
     Socket socket = connect();
-    assertEquals("200", status(ask(socket, op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(socket, request("/read/ok", 2000))));
     long before = descriptors();
     for (int i = 1; i <= 20; i++) {
       discovery.tell(
           entry("a" + i, "in_service", a.address())
               + ","
               + entry("a" + (i - 1), "terminated", a.address()));
-      assertEquals("200", status(ask(socket, op("/read/ok", 2000))));
+      assertEquals("200", status(exchange(socket, request("/read/ok", 2000))));
       assertEquals(i + 1, a.accepted.get());
     }
     while (descriptors() > before + 1) {
@@ -400,12 +405,12 @@
   /** A watch that falls silent is given up before long, and the list asked for anew. */
   @Test
   @Timeout(18)
-  void aWatchThatFallsSilentIsAskedAgain() throws Exception {
+  void aSilentWatchIsRenewed() throws Exception {
     discovery.broken.add("silent");
     serving(entry("a", "in_service", a.address()));
     discovery.tell(
         entry("b", "in_service", b.address()) + "," + entry("a", "terminated", a.address()));
-    assertEquals("200", status(ask(connect(), op("/read/after", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/after", 2000))));
     assertEquals(1, b.got.get("/read/after"));
   }
 
@@ -414,7 +419,7 @@
    * through when it is back.
    */
   @Test
-  void aListOutOfReachIsAskedForAgain() throws Exception {
+  void anUnavailableListIsRequestedAgain() throws Exception {
     discovery.broken.addAll(
         List.of(
             answer(503, "", ""),
@@ -422,11 +427,11 @@
             "",
             answer(200, "", "{\"version\":2,\"servers\":[{}]}")));
     serving(entry("a", "in_service", a.address()));
-    assertEquals("200", status(ask(connect(), op("/read/before", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/before", 2000))));
     discovery.tell(
         entry("b", "in_service", b.address()) + "," + entry("a", "terminated", a.address()));
     assertTrue(discovery.broken.isEmpty());
-    assertEquals("200", status(ask(connect(), op("/read/after", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/after", 2000))));
     assertEquals(1, b.got.get("/read/after"));
   }
 
@@ -452,11 +457,11 @@
   void badInputIsRefusedAndGoesNoFurther(String request) throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    String answer = ask(socket, request);
+    String answer = exchange(socket, request);
     assertTrue(status(answer).startsWith("4") && !status(answer).equals("429"), answer);
     assertEquals(-1, socket.getInputStream().read(), "closed");
     assertTrue(a.requests.isEmpty());
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))), "and it lives on");
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))), "and it lives on");
   }
 
   /** The answer to an id that is open belongs to the one who asked first. */
@@ -464,11 +469,11 @@
   void anIdThatIsOpenIsNotTakenTwice() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket first = connect();
-    String request = op("/read/slow", 2000);
+    String request = request("/read/slow", 2000);
     begin(first, request, "/read/slow");
-    assertEquals("400", status(ask(connect(), request)));
+    assertEquals("400", status(exchange(connect(), request)));
     assertEquals("200", status(message(first.getInputStream())));
-    assertEquals("200", status(ask(first, request)), "answered, it is free again");
+    assertEquals("200", status(exchange(first, request)), "answered, it is free again");
     assertEquals(2, a.got.get("/read/slow"));
   }
 
@@ -481,10 +486,11 @@
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
     for (int i = 0; i < 20; i++) {
-      assertEquals("400", status(ask(socket, op("/read/400", 2000))));
+      assertEquals("400", status(exchange(socket, request("/read/400", 2000))));
     }
     assertEquals(20, a.got.get("/read/400"), "each was pushed once");
-    assertEquals("200", status(ask(socket, op("/read/ok", 2000))), "and it was not ejected");
+    assertEquals(
+        "200", status(exchange(socket, request("/read/ok", 2000))), "and it was not ejected");
   }
 
   /**
@@ -497,22 +503,22 @@
     serving(entry("a", "in_service", a.address()));
     Socket usual = connect();
     for (int i = 0; i < 3; i++) {
-      assertEquals("200", status(ask(usual, op("/read/ok", 2000))));
+      assertEquals("200", status(exchange(usual, request("/read/ok", 2000))));
     }
     for (int i = 0; i < 300; i++) {
       Socket one = connect();
       if (what.equals("once")) {
-        assertEquals("200", status(ask(one, op("/read/ok", 2000))));
+        assertEquals("200", status(exchange(one, request("/read/ok", 2000))));
       } else {
         one.getOutputStream().write(what.getBytes(StandardCharsets.ISO_8859_1));
       }
     }
     Socket late = connect();
     late.setSoTimeout(8000); // not when the crowd has given up
-    assertEquals("200", status(ask(late, op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(late, request("/read/ok", 2000))));
     assertEquals(
         "200",
-        status(ask(usual, op("/read/ok", 2000))),
+        status(exchange(usual, request("/read/ok", 2000))),
         "who asked again and again kept its connection");
     assertTrue(process.isAlive());
   }
@@ -526,12 +532,12 @@
     serving(entry("a", "in_service", a.address()));
     Socket usual = connect();
     for (int i = 0; i < 3; i++) {
-      assertEquals("200", status(ask(usual, op("/read/ok", 2000))));
+      assertEquals("200", status(exchange(usual, request("/read/ok", 2000))));
     }
     int closed = 0;
     for (int i = 0; i < 80; i++) {
       Socket once = connect();
-      String answer = ask(once, op("/read/ok", 2000));
+      String answer = exchange(once, request("/read/ok", 2000));
       assertEquals("200", status(answer));
       if (answer.contains("connection: close")) {
         assertEquals(-1, once.getInputStream().read());
@@ -540,7 +546,7 @@
     }
     assertTrue(closed > 0 && closed < 80, () -> "first answers that close");
     assertFalse(
-        ask(usual, op("/read/ok", 2000)).contains("connection: close"),
+        exchange(usual, request("/read/ok", 2000)).contains("connection: close"),
         "who asked again and again keeps it");
   }
 
@@ -553,19 +559,19 @@
     serving(entry("a", "in_service", a.address()));
     Socket silent = connect();
     Socket half = connect();
-    assertEquals("200", status(ask(half, op("/read/ok", 2000))));
-    String answer = ask(half, "GET /read/ok HTTP/1.1\r\nHost");
+    assertEquals("200", status(exchange(half, request("/read/ok", 2000))));
+    String answer = exchange(half, "GET /read/ok HTTP/1.1\r\nHost");
     assertEquals("408", status(answer), answer);
     assertEquals(-1, half.getInputStream().read(), "and closed");
     assertEquals(-1, silent.getInputStream().read());
     Socket large = connect();
     answer =
-        ask(
+        exchange(
             large,
             "POST /buy/x HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
                 + "x".repeat(400_000));
     assertEquals("413", status(answer), answer);
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))));
     assertEquals(2, a.requests.size());
   }
 
@@ -582,7 +588,7 @@
     for (int i = 0; i < 450; i++) {
       sinceNs.add(System.nanoTime());
       String request =
-          op("/buy/ok", 2000)
+          request("/buy/ok", 2000)
                   .replace("Content-Length: 3\r\n\r\nabc", "Content-Length: 60000\r\n\r\n")
               + "x".repeat(60_000);
       all.add(connect());
@@ -592,12 +598,12 @@
     }
     for (Socket socket : all) {
       try {
-        String status = status(ask(socket, "x"));
+        String status = status(exchange(socket, "x"));
         boolean slow =
             System.nanoTime() - sinceNs.get(all.indexOf(socket))
                 > 2_000_000_000L; // this machine was, and then it is told so
         assertTrue(
-            List.of("200", "503", "closed").contains(status) || slow && status.equals("408"),
+            List.of("200", "503", "closed").contains(status) || (slow && status.equals("408")),
             status);
       } catch (java.net.SocketException closed) {
         socket.close(); // turned away before its last byte
@@ -609,7 +615,7 @@
     assertTrue(
         peak.find() && Integer.parseInt(peak.group(1)) < 192 << 10,
         "within the memory it gets: " + peak.group(1) + " kB");
-    assertEquals("200", status(ask(connect(), op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(connect(), request("/read/ok", 2000))));
     assertTrue(process.isAlive());
   }
 
@@ -622,9 +628,9 @@
     StandIn moved = standIn();
     serving(entry("a", "in_service", a.address()));
     Socket socket = connect();
-    assertEquals("200", status(ask(socket, op("/read/before", 2000))));
+    assertEquals("200", status(exchange(socket, request("/read/before", 2000))));
     rested();
-    begin(socket, op("/buy/slow", 2000), "/buy/slow");
+    begin(socket, request("/buy/slow", 2000), "/buy/slow");
     String was0 = Files.readString(folder.resolve("config.json"));
     for (String fault :
         new String[] {
@@ -654,7 +660,7 @@
         status(message(socket.getInputStream())),
         "what was open is answered on its connection");
     for (int i = 0; i < 10; i++) {
-      assertEquals("200", status(ask(socket, op("/read/after", 2000))));
+      assertEquals("200", status(exchange(socket, request("/read/after", 2000))));
     }
     assertEquals(10, b.got.get("/read/after"));
     hangUp("\"seed\"", "\"seed\"");
@@ -662,7 +668,7 @@
     assertEquals(1, a.accepted.get(), "nor did it lose a connection");
   }
 
-  /** How many ops with such a path endpoints were sent; none of them twice. */
+  /** How many requests with such a path endpoints were sent; none of them twice. */
   private static long sentOnce(String path, StandIn... endpoints) {
     List<String> ids = new ArrayList<>();
     for (StandIn endpoint : endpoints) {
@@ -677,8 +683,8 @@
   }
 
   /**
-   * Settings are switched with ops in flight, forth and back: each op has one answer, none runs
-   * twice.
+   * Settings are switched with requests in flight, forth and back: each request has one answer,
+   * none runs twice.
    */
   @Test
   void newSettingsAreTakenOnForthAndBack() throws Exception {
@@ -702,7 +708,9 @@
       for (int i = 0; i < 12; i++) {
         open.add(connect());
         String path = i % 2 == 0 ? "/pay/slow" : round == 0 ? "/read/slow" : "/view/slow";
-        open.get(i).getOutputStream().write(op(path, 2000).getBytes(StandardCharsets.ISO_8859_1));
+        open.get(i)
+            .getOutputStream()
+            .write(request(path, 2000).getBytes(StandardCharsets.ISO_8859_1));
       }
       while (sentOnce("/pay/slow", a, b) <= sent) { // one at the least is in flight at the switch
         Thread.sleep(5);
@@ -718,14 +726,16 @@
       sent = sentOnce("/pay/slow", a, b);
       assertEquals(
           round == 0 ? "404" : "200",
-          status(ask(connect(), op("/read/ok", 2000))),
+          status(exchange(connect(), request("/read/ok", 2000))),
           "the category that went, or came back");
-      assertEquals("200", status(ask(connect(), op("/pay/ok", 2000))));
+      assertEquals("200", status(exchange(connect(), request("/pay/ok", 2000))));
     }
     hangUp("\"idempotent\"", "\"sometimes\"");
     awaitLine("effect: unknown word: sometimes");
     assertEquals(
-        "200", status(ask(connect(), op("/read/ok", 2000))), "a faulty file changes nothing");
+        "200",
+        status(exchange(connect(), request("/read/ok", 2000))),
+        "a faulty file changes nothing");
     Files.writeString(folder.resolve("config.json"), was);
     hangUp("\"sockets\":256", "\"sockets\":300");
     awaitLine(
@@ -735,7 +745,7 @@
   }
 
   @Test
-  void aFaultyKeyIsNamed() throws Exception {
+  void anInvalidKeyIsNamed() throws Exception {
     start(
         entry("a", "in_service", a.address()),
         "\"ask_within_ms\":600",
@@ -748,7 +758,8 @@
   /** One call at the admin endpoint. */
   private String call(String call) throws IOException {
     Socket socket = connect(admin);
-    String answer = ask(socket, call.contains(" ") ? call + " HTTP/1.1\r\nHost: a\r\n\r\n" : call);
+    String answer =
+        exchange(socket, call.contains(" ") ? call + " HTTP/1.1\r\nHost: a\r\n\r\n" : call);
     assertEquals(-1, socket.getInputStream().read(), "one call a connection");
     return answer;
   }
@@ -793,11 +804,12 @@
       assertEquals(row[1].equals("405"), answer.contains("allow: "), answer);
     }
     assertEquals(-1, halfCalls.get(0).getInputStream().read(), "the oldest made room");
-    assertEquals("404", status(ask(connect(), "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")));
+    assertEquals("404", status(exchange(connect(), "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")));
     assertEquals(
         "404",
-        status(ask(connect(), "POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")));
-    String kept = ask(connect(), op("/read/ok", 2000));
+        status(
+            exchange(connect(), "POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")));
+    String kept = exchange(connect(), request("/read/ok", 2000));
     assertTrue(
         status(kept).equals("200") && !kept.contains("connection: close"),
         "nothing of it drained: " + kept);
@@ -813,25 +825,25 @@
     servingWithAdminEndpoint();
     for (int round = 0; round < 2; round++) {
       Socket idle = connect();
-      assertEquals("200", status(ask(idle, op("/read/ok", 2000))));
+      assertEquals("200", status(exchange(idle, request("/read/ok", 2000))));
       Socket kept = connect();
-      assertEquals("200", status(ask(kept, op("/read/ok", 2000))));
+      assertEquals("200", status(exchange(kept, request("/read/ok", 2000))));
       Socket busy = connect();
-      begin(busy, op("/buy/slow", 2000), "/buy/slow");
+      begin(busy, request("/buy/slow", 2000), "/buy/slow");
       assertEquals("200", status(call("POST /-/drain")));
       assertEquals("200", status(call("POST /-/drain")), "twice is once");
-      assertEquals("503", status(ask(connect(), HEALTH)));
+      assertEquals("503", status(exchange(connect(), HEALTH)));
       assertEquals("200", status(call("GET /-/ready")), "it can serve, and does");
       for (Socket late : List.of(connect(), kept)) {
-        String answer = ask(late, op("/read/ok", 2000));
+        String answer = exchange(late, request("/read/ok", 2000));
         assertTrue(status(answer).equals("200") && answer.contains("connection: close"), answer);
         assertEquals(-1, late.getInputStream().read());
       }
       assertEquals("200", status(message(busy.getInputStream())), "what was open is answered");
       assertEquals(-1, idle.getInputStream().read(), "nothing idle is held");
       assertEquals("200", status(call("POST /-/resume")));
-      assertEquals("200", status(ask(connect(), HEALTH)));
-      String answer = ask(connect(), op("/read/ok", 2000));
+      assertEquals("200", status(exchange(connect(), HEALTH)));
+      String answer = exchange(connect(), request("/read/ok", 2000));
       assertTrue(status(answer).equals("200") && !answer.contains("connection: close"), answer);
     }
     assertTrue(process.isAlive());
@@ -875,8 +887,8 @@
             """;
 
   /**
-   * Under a steady stream of ops a second process takes over the socket: each op is answered once,
-   * none runs twice.
+   * Under a steady stream of requests a second process takes over the socket: each request is
+   * answered once, none runs twice.
    */
   @Test
   void aProcessIsReplacedOnItsInheritedSocket() throws Exception {
@@ -901,7 +913,7 @@
                 try {
                   Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                   while (!over.get()) {
-                    String answer = ask(socket, op("/buy/stream", 2000));
+                    String answer = exchange(socket, request("/buy/stream", 2000));
                     assertTrue(List.of("200", "503", "closed").contains(status(answer)), answer);
                     (answer.isEmpty() ? unheard : answered).incrementAndGet();
                     if (answer.isEmpty() || answer.contains("connection: close")) {
@@ -932,7 +944,7 @@
     assertTrue(unheard.get() <= 2, "turned back unheard: " + unheard);
     assertTrue(sentOnce("/buy/stream", a) <= answered.get());
     port = Integer.parseInt(first[3]);
-    assertEquals("200", status(ask(connect(), HEALTH)));
+    assertEquals("200", status(exchange(connect(), HEALTH)));
     assertEquals("200", status(call("GET /-/ready")));
   }
 
@@ -953,14 +965,14 @@
   void aPlannedStopAnswersAll() throws Exception {
     serving(entry("a", "in_service", a.address()));
     Socket idle = connect();
-    assertEquals("200", status(ask(idle, op("/read/ok", 2000))));
+    assertEquals("200", status(exchange(idle, request("/read/ok", 2000))));
     Socket busy = connect();
-    begin(busy, op("/buy/slow", 2000), "/buy/slow");
+    begin(busy, request("/buy/slow", 2000), "/buy/slow");
     signal("TERM");
-    while (status(ask(connect(), HEALTH)).equals("200")) {
+    while (status(exchange(connect(), HEALTH)).equals("200")) {
       Thread.sleep(2); // it has not heard yet
     }
-    String late = ask(connect(), op("/read/ok", 2000));
+    String late = exchange(connect(), request("/read/ok", 2000));
     assertEquals("200", status(late), "a new connection is still served");
     assertTrue(late.contains("connection: close"), late);
     assertEquals(
--- a/sidecar/src/test/java/dillcross/cli/Served.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
@@ -29,7 +29,7 @@
  * Starts the built program, with small stand-ins for endpoints and discovery, and speaks to it over
  * loopback.
  */
-abstract class Served {
+abstract class SidecarFixture {
   static final String BODY = "caf\u00e9 \u0001 body";
   static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
   final List<AutoCloseable> toClose = new java.util.concurrent.CopyOnWriteArrayList<>();
@@ -86,7 +86,7 @@
         java.util.Collections.synchronizedList(new ArrayList<>()); // answers to the next watches
     String list = ""; // what changed in the version below
     int version = 1;
-    int asked; // the version that the last watch had
+    int requested; // the version that the last watch had
 
     final boolean echoes; // large bodies, as they came
 
@@ -150,7 +150,9 @@
           out.write(got);
           out.write(chunks ? "\r\n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII) : new byte[0]);
         }
-        for (String m; !(m = message(socket.getInputStream())).isEmpty(); ) {
+        for (String m = message(socket.getInputStream());
+            !m.isEmpty();
+            m = message(socket.getInputStream())) {
           requests.add(m);
           String path = m.split(" ")[1];
           got.merge(path, 1, Integer::sum);
@@ -222,7 +224,7 @@
         return broken.remove(0);
       }
       int since = Integer.parseInt(path.replaceAll(".*since=([0-9]+).*", "$1"));
-      asked = since;
+      requested = since;
       notifyAll();
       while (since >= version) {
         wait();
@@ -240,7 +242,7 @@
     /** Tells it, and waits until the sidecar has asked for what comes after. */
     synchronized void tell(String entries) throws InterruptedException {
       news(entries);
-      while (asked < version) {
+      while (requested < version) {
         wait();
       }
     }
@@ -354,8 +356,8 @@
     return socket;
   }
 
-  /** A request as its category wants it, with an id of its own. */
-  String op(String path, int timeoutMs) {
+  /** A request as its request class wants it, with an id of its own. */
+  String request(String path, int timeoutMs) {
     String head =
         " HTTP/1.1\r\nHost: app\r\nRequest-Id: r"
             + ids.incrementAndGet()
@@ -367,7 +369,7 @@
         : "POST " + path + head + "Idempotency-Key: k9\r\nContent-Length: 3\r\n\r\nabc";
   }
 
-  static String ask(Socket socket, String request) throws IOException {
+  static String exchange(Socket socket, String request) throws IOException {
     OutputStream out = socket.getOutputStream();
     out.write(request.getBytes(StandardCharsets.ISO_8859_1));
     return message(socket.getInputStream());
--- a/sidecar/src/test/java/dillcross/membership/MembershipTest.java
+++ b/sidecar/src/test/java/dillcross/membership/MembershipTest.java
@@ -15,12 +15,17 @@
   private static final long S = 1_000_000;
   private long now = 5_000_000_000L;
   private final Membership one =
-      new Membership(1, now, new MemberRecord("a", "127.0.0.1:1", "east", now, 0, MemberState.ALIVE, ""), new MembershipSettings(List.of(), S, 300_000, 100, 1200, 20_000));
-
-  private static MemberRecord memberRecord(String name, long boot, long incarnation, MemberState state, String by) {
+      new Membership(
+          1,
+          now,
+          new MemberRecord("a", "127.0.0.1:1", "east", now, 0, MemberState.ALIVE, ""),
+          new MembershipSettings(List.of(), S, 300_000, 100, 1200, 20_000));
+
+  private static MemberRecord memberRecord(
+      String name, long boot, long incarnation, MemberState state, String by) {
     return new MemberRecord(
         name,
-        "127.0.0.1:" + (1000 + Math.abs(name.hashCode()) % 60_000),
+        "127.0.0.1:" + (1000 + Math.floorMod(name.hashCode(), 60_000)),
         "west",
         boot,
         incarnation,
@@ -29,8 +34,7 @@
   }
 
   private void receive(MemberRecord from, Packet.Kind kind, MemberRecord... claims) {
-    one.onPacket(now,
-        new Packet(kind, 0, from, null, new int[0], List.of(claims), List.of()));
+    one.onPacket(now, new Packet(kind, 0, from, null, new int[0], List.of(claims), List.of()));
   }
 
   private List<OutboundPacket> sent() {
@@ -68,10 +72,19 @@
 
   @Test
   void theDeadAreRememberedForABoundedTimeAndOnlyByWhoKnewThem() {
-    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.DEAD, ""));
+    receive(
+        memberRecord("b", 1, 0, MemberState.ALIVE, ""),
+        Packet.Kind.ACK,
+        memberRecord("c", 1, 0, MemberState.DEAD, ""));
     assertEquals(null, stateOf("c"));
-    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.ALIVE, ""));
-    receive(memberRecord("b", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.DEAD, ""));
+    receive(
+        memberRecord("b", 1, 0, MemberState.ALIVE, ""),
+        Packet.Kind.ACK,
+        memberRecord("c", 1, 0, MemberState.ALIVE, ""));
+    receive(
+        memberRecord("b", 1, 0, MemberState.ALIVE, ""),
+        Packet.Kind.ACK,
+        memberRecord("c", 1, 0, MemberState.DEAD, ""));
     assertEquals(MemberState.DEAD, stateOf("c"));
     pass(601 * S);
     assertEquals(null, stateOf("c"));
@@ -105,8 +118,12 @@
         memberRecord("b", 5, 9, MemberState.DEAD, ""),
         memberRecord("b", 6, 0, MemberState.ALIVE, ""));
     assertEquals(MemberState.ALIVE, stateOf("b"));
-    receive(memberRecord("c", 1, 0, MemberState.ALIVE, ""), Packet.Kind.ACK, memberRecord("b", 5, 99, MemberState.DEAD, ""));
-    assertEquals(MemberState.ALIVE, stateOf("b"), "word of the old process says nothing of the new one");
+    receive(
+        memberRecord("c", 1, 0, MemberState.ALIVE, ""),
+        Packet.Kind.ACK,
+        memberRecord("b", 5, 99, MemberState.DEAD, ""));
+    assertEquals(
+        MemberState.ALIVE, stateOf("b"), "word of the old process says nothing of the new one");
   }
 
   @Test
@@ -116,7 +133,8 @@
         b,
         Packet.Kind.ACK,
         IntStream.range(0, 90)
-            .mapToObj(i -> memberRecord("member-with-a-long-name-" + i, 1, 0, MemberState.ALIVE, ""))
+            .mapToObj(
+                i -> memberRecord("member-with-a-long-name-" + i, 1, 0, MemberState.ALIVE, ""))
             .toArray(MemberRecord[]::new));
     sent();
     long bytes = 0;
@@ -125,8 +143,8 @@
         i < 6000;
         i++, now += 10_000) { // asked a hundred times a second, and for all that it knows
       one.onTime(now);
-      one.onPacket(now,
-          new Packet(Packet.Kind.DIGEST, 0, b, null, new int[32], List.of(), List.of()));
+      one.onPacket(
+          now, new Packet(Packet.Kind.DIGEST, 0, b, null, new int[32], List.of(), List.of()));
       receive(b, Packet.Kind.PING);
       for (OutboundPacket sent : sent()) {
         assertTrue(sent.packet().size() <= 1200, () -> sent.packet().size() + " " + sent);
@@ -152,7 +170,11 @@
   @Test
   void whoeverAnswersAfterEveryTimeOutIsProbedByOthersToo() {
     MemberRecord b = memberRecord("b", 1, 0, MemberState.ALIVE, "");
-    receive(b, Packet.Kind.ACK, memberRecord("c", 1, 0, MemberState.ALIVE, ""), memberRecord("d", 1, 0, MemberState.ALIVE, ""));
+    receive(
+        b,
+        Packet.Kind.ACK,
+        memberRecord("c", 1, 0, MemberState.ALIVE, ""),
+        memberRecord("d", 1, 0, MemberState.ALIVE, ""));
     sent();
     for (int i = 0;
         i < 150 && sent().stream().noneMatch(s -> s.packet().kind() == Packet.Kind.PING_REQUEST);
@@ -166,7 +188,8 @@
 
   @Test
   void twoOfOneNameBothStay() {
-    MemberRecord other = new MemberRecord("a", "127.0.0.1:9", "east", now + S, 0, MemberState.ALIVE, "");
+    MemberRecord other =
+        new MemberRecord("a", "127.0.0.1:9", "east", now + S, 0, MemberState.ALIVE, "");
     receive(other, Packet.Kind.PING);
     assertNotEquals("a", one.self().name());
     assertTrue(one.self().name().startsWith("a~"));
@@ -177,8 +200,7 @@
   @Test
   void aWordOfAnotherPartIsBoundedInSize() {
     assertThrows(
-        IllegalArgumentException.class,
-        () -> one.publish(now, 0, new byte[Payload.MAX_BYTES + 1]));
+        IllegalArgumentException.class, () -> one.publish(now, 0, new byte[Payload.MAX_BYTES + 1]));
     assertThrows(
         IllegalArgumentException.class, () -> one.publish(now, Payload.TYPES, new byte[1]));
   }
--- a/sidecar/src/test/java/dillcross/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dillcross/net/DiscoveryClientTest.java
@@ -111,7 +111,7 @@
               channel,
               new Call(
                   number(request, "since="), now, now + 1000 * number(request, "timeout_ms=")));
-          if (current == Event.HANGS || lost > 0 && !isUnreachable()) {
+          if (current == Event.HANGS || (lost > 0 && !isUnreachable())) {
             silent.add(channel);
             lost -= current == Event.HANGS ? 0 : 1;
           }
@@ -133,7 +133,7 @@
               && now >= call.atUs + (current == Event.IS_SLOW ? slowUs : STEP_US);
       boolean fails = due && failed > 0 && !isUnreachable();
       failed -= fails ? 1 : 0;
-      if (due && current == Event.SAYS_NO || fails) {
+      if ((due && current == Event.SAYS_NO) || fails) {
         calls.remove(channel);
         channel.receive("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
       } else if (due && (call.since < version || now >= call.untilUs)) {
--- a/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
+++ b/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
@@ -9,9 +9,9 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import dillcross.membership.MemberRecord;
+import dillcross.membership.MemberState;
 import dillcross.membership.Packet;
 import dillcross.membership.Payload;
-import dillcross.membership.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
 import java.util.List;
@@ -20,7 +20,8 @@
 
 class PacketCodecTest {
   private static final MemberRecord ONE =
-      new MemberRecord("s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, MemberState.SUSPECT, "s2");
+      new MemberRecord(
+          "s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, MemberState.SUSPECT, "s2");
   private static final Packet FULL =
       new Packet(
           Packet.Kind.DELTA,
