--- a/sidecar/src/test/java/dillcross/PackagesTest.java
+++ b/sidecar/src/test/java/dillcross/PackagesTest.java
@@ -2,6 +2,7 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
@@ -120,4 +121,36 @@
         .resideInAnyPackage("dillcross.config..", "dillcross.cli..", "dillcross.simhost..")
         .check(CLASSES);
   }
+
+  @Test
+  void noDependencyRunsBothWays() {
+    slices().matching("dillcross.(**)").should().beFreeOfCycles().check(CLASSES);
+  }
+
+  @Test
+  void theNetworkHasLayers() {
+    noClasses()
+        .that()
+        .resideInAPackage("dillcross.net.transport")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("dillcross.net", "dillcross.net.buffer", "dillcross.net.http")
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAPackage("dillcross.net.http")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("dillcross.net", "dillcross.net.transport")
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAPackage("dillcross..")
+        .and()
+        .resideOutsideOfPackages("dillcross.net.grizzly", "dillcross.cli")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("dillcross.net.grizzly", "org.glassfish..")
+        .check(CLASSES);
+  }
 }
