--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -33,7 +33,7 @@
   }
 
   void configure(BalancerSettings settings) {
-    instances = Math.max(1, settings.instanceCount());
+    instances = settings.instanceCount();
   }
 
   /** How much may be in flight, in the mean. No floor of a request: over a fleet floors add up. */
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -4,7 +4,7 @@
 import java.util.Queue;
 
 /**
- * The one way out: every attempt, whether first, retry, hedge or probation, passes {@link #send},
+ * Sends every attempt, whether first, retry, hedge or probation: all of them pass {@link #send},
  * and with it every rule.
  */
 final class AttemptDispatcher {
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -116,9 +116,8 @@
     configureClasses(settings.requestClasses());
     demand.configure(settings.tenants());
     ranking.configure(settings.weightPerWork());
-    int instances = Math.max(1, settings.instanceCount());
     boolean hasEndpoints = !directory.all().isEmpty();
-    discovery.configure(now, settings.discovery(), instances, hasEndpoints);
+    discovery.configure(now, settings.discovery(), settings.instanceCount(), hasEndpoints);
     removal.configure(settings.discovery());
     slowStart.configure(settings);
     directory.configure(settings);
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -49,8 +49,7 @@
   }
 
   private void eject(EjectionState state, boolean bySilence, long nowUs) {
-    // It doubles soon after the last, too: who fails half of its requests passes probation at
-    // times.
+    // It doubles soon after the last, too: who fails half of its requests may pass probation.
     boolean isRepeated =
         state.penaltyUs > 0 && nowUs < state.untilUs + 2 * state.penaltyUs + FIRST_PENALTY_US;
     state.penaltyUs = isRepeated ? Math.min(MAX_PENALTY_US, 2 * state.penaltyUs) : FIRST_PENALTY_US;
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -4,7 +4,7 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Watches attempts in flight: one that is out far longer than its class takes counts as a failure
+ * Watches attempts in flight: one that takes far longer than its class does counts as a failure
  * before its deadline, and a hedge may help.
  */
 final class SilenceMonitor {
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -23,7 +23,7 @@
 
   void configure(BalancerSettings settings) {
     policy = settings.slowStart();
-    instances = Math.max(1, settings.instanceCount());
+    instances = settings.instanceCount();
   }
 
   /** Has the endpoint warm up from {@code startUs} on; 0, or long ago, counts as warm. */
--- a/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
@@ -48,7 +48,7 @@
       name = "serve",
       mixinStandardHelpOptions = true,
       versionProvider = Version.class,
-      description = "Run one sidecar: listen for clients, push to endpoints, follow the list.")
+      description = "Run one sidecar: listen for clients, send to endpoints, follow the list.")
   int serve(
       @Option(
               names = "--config",
@@ -73,7 +73,7 @@
       name = "members",
       mixinStandardHelpOptions = true,
       versionProvider = Version.class,
-      description = "Show whom a running sidecar holds for its fellows.",
+      description = "Show the other members that a running sidecar knows of.",
       exitCodeListHeading = "%nExit status:%n",
       exitCodeList = {"0:shown", "1:no answer, or it knows of no others", "2:faulty input"})
   int members(
--- a/sidecar/src/main/java/dillcross/cli/Main.java
+++ b/sidecar/src/main/java/dillcross/cli/Main.java
@@ -13,9 +13,8 @@
     if (System.getProperty(LOG_FORMAT) == null) {
       System.setProperty(LOG_FORMAT, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n"); // one line a message
     }
-    // As the platform starts it: the command line library takes a third of the start, and a killed
-    // sidecar's
-    // clients wait for that.
+    // As the platform starts it: the command line library takes a third of the start, and the
+    // clients of a killed sidecar wait for that.
     boolean plain = args.length == 1 && args[0].equals("serve");
     System.exit(plain ? ServeCommand.run(null, null, false, 0) : runWithLibrary(args));
   }
--- a/sidecar/src/main/java/dillcross/cli/MembersCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/MembersCommand.java
@@ -14,7 +14,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints what a sidecar's admin endpoint says of its fellows. */
+/** Prints what a sidecar's admin endpoint says of the other members. */
 final class MembersCommand {
   private MembersCommand() {}
 
--- a/sidecar/src/main/java/dillcross/cli/ServeCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/ServeCommand.java
@@ -9,7 +9,6 @@
 import dillcross.membership.MemberRecord;
 import dillcross.membership.MemberState;
 import dillcross.membership.Membership;
-import dillcross.membership.MembershipSettings;
 import dillcross.net.MembershipService;
 import dillcross.net.PacketCodec;
 import dillcross.net.SidecarServer;
@@ -50,7 +49,8 @@
 
   private Optional<MembershipConfig> readMembership(String operatorFile) {
     Optional<MembershipConfig> read =
-        OperatorConfig.read(operatorFile).membership(config.name(), config.zone());
+        OperatorConfig.read(operatorFile)
+            .membership(config.name(), config.settings().balancer().zone());
     read.ifPresent(member -> checkReachable(operatorFile, member));
     return read;
   }
@@ -151,20 +151,12 @@
     long seed = config.seed() ^ bootUs ^ member.name().hashCode();
     MemberRecord self =
         new MemberRecord(member.name(), address, member.zone(), bootUs, 0, MemberState.ALIVE, "");
-    MembershipSettings settings =
-        new MembershipSettings(
-            member.seeds(),
-            member.intervalUs(),
-            member.timeoutUs(),
-            member.maxMembers(),
-            member.datagramBytes(),
-            member.bytesPerSecond());
-    Membership protocol = new Membership(seed, bootUs, self, settings);
+    Membership protocol = new Membership(seed, bootUs, self, member.settings());
     return new MembershipService(
         protocol,
         new PacketCodec(member.fleet()),
         SidecarConfig.address("membership.bind", member.bind()),
-        member.datagramBytes());
+        member.settings().datagramBytes());
   }
 
   /** Reads the file again. What is open or learned stays; an invalid file changes nothing. */
--- a/sidecar/src/main/java/dillcross/config/ConfigReader.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigReader.java
@@ -51,7 +51,7 @@
    */
   public static BalancerSettings balancerSettings(ConfigValues settings, boolean pollRequired) {
     return new BalancerSettings(
-        zone(settings),
+        settings.find("locality").orElse(""),
         settings.integer("me", 0, 0),
         settings.integer("balancers", 1, 1),
         requestClasses(settings),
@@ -70,11 +70,6 @@
     return settings.word("discovery", "subscribe", "automatic").equals("subscribe");
   }
 
-  /** The sidecar's own zone; empty for none. */
-  static String zone(ConfigValues settings) {
-    return settings.find("locality").orElse("");
-  }
-
   private static List<RequestClass> requestClasses(ConfigValues settings) {
     List<RequestClass> classes = new ArrayList<>();
     Set<String> names = new HashSet<>();
--- a/sidecar/src/main/java/dillcross/config/MembershipConfig.java
+++ b/sidecar/src/main/java/dillcross/config/MembershipConfig.java
@@ -1,6 +1,6 @@
 package dillcross.config;
 
-import java.util.List;
+import dillcross.membership.MembershipSettings;
 
 /**
  * The operators' table {@code [membership]}.
@@ -10,12 +10,7 @@
  * @param zone of this member; empty for none
  * @param bind where datagrams are received; port 0 for any
  * @param advertise the address that others are told; empty for what was bound
- * @param seeds addresses of some others, contacted at the start
- * @param intervalUs between two probes, in microseconds
- * @param timeoutUs of a probe, in microseconds
- * @param maxMembers remembered, the dead among them
- * @param datagramBytes of the largest datagram
- * @param bytesPerSecond sent in the mean, at the most
+ * @param settings the bounds and times of the protocol
  */
 public record MembershipConfig(
     String fleet,
@@ -23,9 +18,4 @@
     String zone,
     String bind,
     String advertise,
-    List<String> seeds,
-    long intervalUs,
-    long timeoutUs,
-    int maxMembers,
-    int datagramBytes,
-    long bytesPerSecond) {}
+    MembershipSettings settings) {}
--- a/sidecar/src/main/java/dillcross/config/OperatorConfig.java
+++ b/sidecar/src/main/java/dillcross/config/OperatorConfig.java
@@ -1,6 +1,7 @@
 package dillcross.config;
 
 import dillcross.common.NumericAddress;
+import dillcross.membership.MembershipSettings;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -34,8 +35,7 @@
           "most_members",
           "datagram_bytes",
           "bytes_per_s");
-  private static final String NAME =
-      "[A-Za-z0-9._-]{1,48}"; // leaves space for what a collision adds
+  private static final String NAME = "[A-Za-z0-9._-]{1,48}"; // a collision adds some more
   private static final String NAME_OR_EMPTY = "|" + NAME;
   private static final int MICROS_PER_MILLI = 1000;
 
@@ -106,12 +106,13 @@
             text("zone", NAME_OR_EMPTY).orElse(sidecarZone),
             address("bind").orElseThrow(() -> invalid(path("bind"), "is missing")),
             address("advertise").orElse(""),
-            seeds,
-            MICROS_PER_MILLI * intervalMs,
-            MICROS_PER_MILLI * timeoutMs,
-            (int) number("most_members", 4096, 2, 65_536),
-            (int) number("datagram_bytes", 1200, 1000, 8192),
-            number("bytes_per_s", 20_000, 2000, 100_000_000)));
+            new MembershipSettings(
+                seeds,
+                MICROS_PER_MILLI * intervalMs,
+                MICROS_PER_MILLI * timeoutMs,
+                (int) number("most_members", 4096, 2, 65_536),
+                (int) number("datagram_bytes", 1200, 1000, 8192),
+                number("bytes_per_s", 20_000, 2000, 100_000_000))));
   }
 
   private List<String> seeds() {
--- a/sidecar/src/main/java/dillcross/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dillcross/config/SidecarConfig.java
@@ -19,7 +19,6 @@
  * @param discoveryAddress where the endpoint list is, as text
  * @param adminAddress of the admin endpoint; empty where there is none
  * @param knownEndpoints the endpoint list to start with; empty where there is none
- * @param zone the sidecar's own; empty for none
  * @param seed of all that is drawn by chance
  * @param pollsDiscovery whether the endpoint list has to be polled; else it is pushed
  * @param settings that a running sidecar can take on
@@ -33,7 +32,6 @@
     String discoveryAddress,
     Optional<InetSocketAddress> adminAddress,
     Optional<EndpointListUpdate> knownEndpoints,
-    String zone,
     long seed,
     boolean pollsDiscovery,
     SidecarSettings settings,
@@ -65,7 +63,6 @@
         values.require("discovery"),
         admin,
         known,
-        ConfigReader.zone(settings),
         seed,
         ConfigReader.pollsDiscovery(settings),
         sidecarSettings,
--- a/sidecar/src/main/java/dillcross/membership/FailureDetector.java
+++ b/sidecar/src/main/java/dillcross/membership/FailureDetector.java
@@ -214,7 +214,7 @@
     probes.values().removeIf(Probe::isOwn);
   }
 
-  /** When the next probe needs attention; empty while none is out. */
+  /** When the next probe needs attention; empty while there is none. */
   OptionalLong nextDueUs() {
     return probes.values().stream().mapToLong(Probe::nextDueUs).min();
   }
--- a/sidecar/src/main/java/dillcross/membership/Probe.java
+++ b/sidecar/src/main/java/dillcross/membership/Probe.java
@@ -1,6 +1,6 @@
 package dillcross.membership;
 
-/** A probe of our own that is out, or one that we make for another. Plain state. */
+/** A probe of our own, or one that we make for another. Plain state. */
 final class Probe {
   final MemberRecord target;
 
--- a/sidecar/src/main/java/dillcross/membership/RecordMerger.java
+++ b/sidecar/src/main/java/dillcross/membership/RecordMerger.java
@@ -1,5 +1,6 @@
 package dillcross.membership;
 
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /** Merges what is heard of members into the table, by SWIM's incarnations and suspicion. */
@@ -62,6 +63,7 @@
       table.add(entry);
       onJoined.accept(record.name());
       update(entry, record);
+      table.recountLive();
     }
   }
 
@@ -69,14 +71,9 @@
     if (!table.isFull()) {
       return true;
     }
-    return table
-        .oldestGone()
-        .map(
-            oldest -> {
-              forget(oldest);
-              return true;
-            })
-        .orElse(false);
+    Optional<MemberEntry> oldest = table.oldestGone();
+    oldest.ifPresent(this::forget);
+    return oldest.isPresent();
   }
 
   /** Whether another member suspects a suspect in the same incarnation. */
@@ -88,7 +85,6 @@
   }
 
   /** The entry holds that record from now on. */
-  @SuppressWarnings("ReferenceEquality") // the very object: the entry was made with it just now
   void update(MemberEntry entry, MemberRecord record) {
     MemberRecord before = entry.record;
     entry.record = record;
@@ -102,9 +98,8 @@
       entry.payloads.clear();
     }
     gossip.add(record);
-    boolean isNew = before == record;
     boolean changesLive = before.state().isLive() != record.state().isLive();
-    if (isNew || changesLive || !before.address().equals(record.address())) {
+    if (changesLive || !before.address().equals(record.address())) {
       table.recountLive();
     }
   }
--- a/sidecar/src/main/java/dillcross/model/BalancerSettings.java
+++ b/sidecar/src/main/java/dillcross/model/BalancerSettings.java
@@ -31,4 +31,9 @@
     DiscoveryPolicy discovery,
     long maxRetryAfterUs,
     double crossZonePrice,
-    ServiceObjective objective) {}
+    ServiceObjective objective) {
+  /** Counts at least this sidecar. */
+  public BalancerSettings {
+    instanceCount = Math.max(1, instanceCount);
+  }
+}
--- a/sidecar/src/main/java/dillcross/net/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/AdminEndpoint.java
@@ -74,7 +74,7 @@
 
   /** Also where the end of the call has arrived with it: it was made. */
   private static void respond(Connection connection, HttpResponse response) {
-    response.fields().put("connection", "close");
+    response.announceClose();
     connection.isClosing = true;
     connection.send(response);
   }
--- a/sidecar/src/main/java/dillcross/net/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/ClientListener.java
@@ -24,8 +24,7 @@
   private static final long LINGER_US = 500_000; // for the client to read a last response and close
   private static final long TRANSFER_US = 2_000_000; // for a first byte, or for a response's bytes
   private static final long HEAD_US = 2_500_000; // for a request's head
-  private static final long BODY_US =
-      4_000_000; // for 64 KiB at the rate of a slow client, and slack
+  private static final long BODY_US = 4_000_000; // for 64 KiB from a slow client, and slack
   private static final long IDLE_US = 20_000_000; // clients that come once and stay must not add up
   private static final int MICROS_PER_MILLI = 1000;
 
@@ -198,7 +197,7 @@
       connection.discardRest(maxBody); // its body still arrives
     }
     if (!connection.isClosing && request.isHttp10()) {
-      response.fields().put("connection", "keep-alive");
+      response.fields().put(HeaderNames.CONNECTION, "keep-alive");
     }
     send(connection, response);
     continueReading(connection);
@@ -233,7 +232,7 @@
     boolean untilClose = head.remainingBytes() == HttpMessage.UNTIL_CLOSE;
     connection.closesAfterResponse = untilClose || closesAfter(connection, caller.request());
     if (connection.closesAfterResponse) {
-      head.fields().put("connection", "close");
+      head.announceClose();
     }
     connection.send(head);
     return head.remainingBytes() == HttpMessage.UNKNOWN;
@@ -255,7 +254,7 @@
 
   private static void send(Connection connection, HttpResponse response) {
     if (connection.isClosing) {
-      response.fields().put("connection", "close");
+      response.announceClose();
     }
     connection.send(response);
   }
--- a/sidecar/src/main/java/dillcross/net/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/Connection.java
@@ -190,6 +190,15 @@
     return in.size() > before;
   }
 
+  /** Whether an idle connection may carry a message: what arrived meanwhile belongs to nobody. */
+  boolean isReusable() {
+    if (!isOpen() || hasInputEnded) {
+      return false;
+    }
+    fill();
+    return !hasInputEnded && in.size() == 0;
+  }
+
   /** Whether so much followed an open request that it was discarded. */
   boolean hasOverrun() {
     return hasOverrun;
--- a/sidecar/src/main/java/dillcross/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/DiscoveryClient.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
@@ -77,7 +78,7 @@
     idleConnection = null;
     WatchCall call = new WatchCall(command.version(), clock.getAsLong() + connectTimeoutUs);
     newest = call;
-    if (idle != null && isUsable(idle)) {
+    if (idle != null && idle.isReusable()) {
       call.connection = idle;
       send(call);
       return;
@@ -90,14 +91,6 @@
     }
   }
 
-  private static boolean isUsable(Connection idle) {
-    return idle.isOpen()
-        && !idle.hasInputEnded()
-        && !idle.hasUnreadInput()
-        && idle.in().size() == 0
-        && !idle.hasInputEnded();
-  }
-
   private static void close(Connection connection) {
     if (connection != null) {
       connection.close();
@@ -167,7 +160,7 @@
   private void sendRequest(WatchCall call, long waitUs) {
     String target =
         "/v1/servers?since=" + call.sinceVersion + "&timeout_ms=" + waitUs / MICROS_PER_MILLI;
-    call.connection.send(HttpRequest.get(target, Map.of("host", address)));
+    call.connection.send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
   }
 
   /** It brings nothing more; {@code rejected} where discovery was there and answered it so. */
--- a/sidecar/src/main/java/dillcross/net/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/EndpointConnectionPool.java
@@ -76,16 +76,12 @@
   }
 
   /**
-   * Checks the socket itself: what arrived since the last response belongs to nobody. The endpoint
-   * closes what is idle for long, and a request that crosses that is lost, so we close before.
+   * Checks the socket itself. The endpoint closes what is idle for long, and a request that crosses
+   * that is lost, so we close before.
    */
   private boolean isUsable(Connection connection) {
     boolean isFresh = clock.getAsLong() - connection.idleSinceUs < maxIdleUs;
-    if (!connection.isOpen() || connection.hasInputEnded() || !isFresh) {
-      return false;
-    }
-    connection.fill();
-    return !connection.hasInputEnded() && connection.in().size() == 0;
+    return isFresh && connection.isReusable();
   }
 
   /** Gives a connection back that the next attempt can use. */
--- a/sidecar/src/main/java/dillcross/net/WarmUp.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUp.java
@@ -60,7 +60,7 @@
   }
 
   private void playRequest(long nowUs, String className) {
-    Map<String, String> fields = Map.of("host", "a", HeaderNames.REQUEST_ID, "1");
+    Map<String, String> fields = Map.of(HeaderNames.HOST, "a", HeaderNames.REQUEST_ID, "1");
     Object request = readBack(HttpRequest.of("POST", "/a/b", fields, BODY), true);
     coordinator.onRequest(
         nowUs, new IncomingRequest(request, request, null, className, TIMEOUT_US, false, false));
--- a/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
@@ -1,5 +1,6 @@
 package dillcross.net;
 
+import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpRequest;
 import dillcross.sidecar.NetworkCommand;
 import java.util.Map;
@@ -68,7 +69,7 @@
   }
 
   private void send(long nowUs) {
-    HttpRequest request = HttpRequest.get(path, Map.of("host", address));
+    HttpRequest request = HttpRequest.get(path, Map.of(HeaderNames.HOST, address));
     InboundRequest content = new InboundRequest(request, null);
     sent++;
     attempts.start(
--- a/sidecar/src/main/java/dillcross/net/http/HeaderNames.java
+++ b/sidecar/src/main/java/dillcross/net/http/HeaderNames.java
@@ -29,8 +29,12 @@
   /** The media type of the body. */
   public static final String CONTENT_TYPE = "content-type";
 
-  static final String HOST = "host";
-  static final String CONNECTION = "connection";
+  /** The host that the sender means. */
+  public static final String HOST = "host";
+
+  /** What becomes of the connection, and the fields that are for this hop alone. */
+  public static final String CONNECTION = "connection";
+
   static final String CONTENT_LENGTH = "content-length";
   static final String TRANSFER_ENCODING = "transfer-encoding";
   static final String EXPECT = "expect";
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
@@ -114,20 +114,21 @@
 
   /** What goes ahead of so many bytes of a chunked body. */
   static byte[] chunkHead(int size) {
-    return (Integer.toHexString(size) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+    return (Integer.toHexString(size) + LINE_END).getBytes(StandardCharsets.US_ASCII);
   }
 
   /** All that goes before its body. */
   default byte[] encodeHead() {
     StringBuilder head = new StringBuilder(256);
-    head.append(startLine()).append("\r\n");
-    fields().forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
+    head.append(startLine()).append(LINE_END);
+    fields()
+        .forEach((name, value) -> head.append(name).append(": ").append(value).append(LINE_END));
     long remaining = remainingBytes();
     if (remaining == UNKNOWN) {
-      head.append("transfer-encoding: chunked\r\n");
+      head.append("transfer-encoding: chunked").append(LINE_END);
     } else if (remaining >= 0 && (body().length > 0 || namesEmptyLength())) {
-      head.append("content-length: ").append(body().length + remaining).append("\r\n");
+      head.append("content-length: ").append(body().length + remaining).append(LINE_END);
     }
-    return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+    return head.append(LINE_END).toString().getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -22,7 +22,6 @@
   private static final int MAX_REQUEST_HEAD_BYTES = 8 << 10; // an endpoint may take no more
   private static final int MAX_INTERIM_RESPONSES = 16; // some are usual, more are without end
   private static final String RESPONSE_START = "HTTP/1.";
-  private static final long UNTIL_CLOSE = -1;
   private static final int HEAD_END_BYTES = 4;
 
   private final boolean parsesRequests;
@@ -30,7 +29,7 @@
   private final int maxBufferedBody;
   private final long maxBody;
   private HttpMessage head; // of the message whose body is being read; null between messages
-  private long remaining; // of its body, or of the chunk; UNTIL_CLOSE where the end of input tells
+  private long remaining; // of its body or chunk, or HttpMessage.UNTIL_CLOSE
   private long received; // of its body
   private ChunkDecoder chunks; // null where the body is not chunked
   private ByteArrayOutputStream collected; // null where the length of the body is known
@@ -84,7 +83,7 @@
     return isStreaming
         && !isBodyComplete
         && chunks == null
-        && remaining != UNTIL_CLOSE
+        && remaining != HttpMessage.UNTIL_CLOSE
         && remaining <= in.size();
   }
 
@@ -201,14 +200,14 @@
         return 0;
       }
     }
-    isBodyComplete = remaining == UNTIL_CLOSE && ended && in.size() == 0;
-    return remaining == UNTIL_CLOSE ? in.size() : (int) Math.min(remaining, in.size());
+    isBodyComplete = remaining == HttpMessage.UNTIL_CLOSE && ended && in.size() == 0;
+    return remaining == HttpMessage.UNTIL_CLOSE ? in.size() : (int) Math.min(remaining, in.size());
   }
 
   /** So many bytes of the body were taken off the buffer. */
   public void onBodyTaken(int count) {
     received += count;
-    if (remaining != UNTIL_CLOSE) {
+    if (remaining != HttpMessage.UNTIL_CLOSE) {
       remaining -= count;
     }
     isBodyComplete = remaining == 0 && chunks == null;
@@ -226,7 +225,7 @@
     } else if (end < 0 && !startsLikeMessage(in)) {
       fault = MALFORMED;
     } else if (end >= 0) {
-      String[] lines = AsciiText.read(in, 0, end).split("\r\n", -1);
+      String[] lines = AsciiText.read(in, 0, end).split(HttpMessage.LINE_END, -1);
       in.skip(end + HEAD_END_BYTES);
       scanned = 0;
       startMessage(headParser.parse(lines));
@@ -294,7 +293,7 @@
       fault = BODY_TOO_LARGE;
       return;
     }
-    if (length == UNTIL_CLOSE && message.keepsAlive()) {
+    if (length == HttpMessage.UNTIL_CLOSE && message.keepsAlive()) {
       fault = MALFORMED; // its end could not be told from a reset, or would never come
       return;
     }
@@ -302,7 +301,7 @@
     received = 0;
     chunks = isChunked ? new ChunkDecoder() : null;
     isBodyComplete = !isChunked && remaining == 0;
-    collected = isChunked || length == UNTIL_CLOSE ? new ByteArrayOutputStream() : null;
+    collected = isChunked || length == HttpMessage.UNTIL_CLOSE ? new ByteArrayOutputStream() : null;
     boolean expected = "100-continue".equalsIgnoreCase(message.field(HeaderNames.EXPECT));
     expectsContinue = expected && (isChunked || remaining > 0);
     head = message;
@@ -320,6 +319,6 @@
     if (length != null) {
       return Long.parseLong(length);
     }
-    return parsesRequests || isChunked ? 0 : UNTIL_CLOSE;
+    return parsesRequests || isChunked ? 0 : HttpMessage.UNTIL_CLOSE;
   }
 }
--- a/sidecar/src/main/java/dillcross/net/http/HttpResponse.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpResponse.java
@@ -43,6 +43,11 @@
     return new HttpResponse("HTTP/1.1", 200, reasonOf(200), forwardedFields(), body, remaining);
   }
 
+  /** Tells its receiver that the connection closes behind it; of a response that we make. */
+  public void announceClose() {
+    fields.put(HeaderNames.CONNECTION, "close");
+  }
+
   @Override
   public String startLine() {
     return version + " " + status + " " + reason;
--- a/sidecar/src/test/java/dillcross/balancer/BalancerFixture.java
+++ b/sidecar/src/test/java/dillcross/balancer/BalancerFixture.java
@@ -239,6 +239,11 @@
     return answer instanceof Decision.Fail ? NextStep.FAIL : NextStep.NONE;
   }
 
+  /** How many of the requests were rejected. */
+  long countRejected(Collection<Long> requests) {
+    return requests.stream().filter(request -> nextStep(request) == NextStep.REJECT).count();
+  }
+
   SentAttempt lastAttemptOf(long request) {
     return inFlight.stream()
         .filter(p -> p.requestId() == request)
--- a/sidecar/src/test/java/dillcross/balancer/LoadBalancerTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/LoadBalancerTest.java
@@ -318,13 +318,7 @@
       read.put(other, false);
     }
     read.keySet().removeIf(read::get);
-    long rejected =
-        read.keySet().stream()
-            .filter(
-                request ->
-                    s.answers.containsKey(request)
-                        && s.answers.get(request) instanceof Decision.Reject)
-            .count();
+    long rejected = s.countRejected(read.keySet());
     assertEquals(othersToo, rejected > 100, "nacked " + rejected);
   }
 
@@ -1134,13 +1128,7 @@
           p -> nowMs - p.atMs() >= (hang.contains(p.requestId()) ? 390 : 30),
           AttemptOutcome.SUCCEEDED);
     }
-    long rejected =
-        requests.stream()
-            .filter(
-                request ->
-                    s.answers.containsKey(request)
-                        && s.answers.get(request) instanceof Decision.Reject)
-            .count();
+    long rejected = s.countRejected(requests);
     assertEquals(queue, rejected > 100, "nacked " + rejected);
   }
 
--- a/sidecar/src/test/java/dillcross/config/OperatorConfigTest.java
+++ b/sidecar/src/test/java/dillcross/config/OperatorConfigTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillcross.membership.MembershipSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -40,12 +41,8 @@
                 "east",
                 "127.0.0.1:7946",
                 "",
-                List.of("127.0.0.1:7947"),
-                1_000_000,
-                300_000,
-                4096,
-                1200,
-                20_000)),
+                new MembershipSettings(
+                    List.of("127.0.0.1:7947"), 1_000_000, 300_000, 4096, 1200, 20_000))),
         membership);
   }
 
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/model/TestSettings.java
@@ -0,0 +1,35 @@
+package dillcross.model;
+
+import java.util.List;
+
+/** Settings for tests: what they have no opinion on is filled in. */
+public final class TestSettings {
+  /** A class of idempotent requests. */
+  public static final RequestClass READ =
+      new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1);
+
+  private TestSettings() {}
+
+  /** Settings with three attempts a request, hedging and cancelling allowed, and no tenants. */
+  public static BalancerSettings of(
+      String zone,
+      int instanceIndex,
+      int instanceCount,
+      List<RequestClass> requestClasses,
+      DiscoveryPolicy discovery,
+      long maxRetryAfterUs) {
+    return new BalancerSettings(
+        zone,
+        instanceIndex,
+        instanceCount,
+        requestClasses,
+        List.of(),
+        new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
+        new RetryPolicy(3, true, true),
+        false,
+        discovery,
+        maxRetryAfterUs,
+        0,
+        new ServiceObjective(0, 0));
+  }
+}
--- a/sidecar/src/test/java/dillcross/net/AttemptExecutorTest.java
+++ b/sidecar/src/test/java/dillcross/net/AttemptExecutorTest.java
@@ -5,15 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.balancer.LoadBalancer;
-import dillcross.model.BalancerSettings;
 import dillcross.model.DeduplicationScope;
 import dillcross.model.DiscoveryPolicy;
 import dillcross.model.Endpoint;
 import dillcross.model.Idempotency;
 import dillcross.model.RequestClass;
-import dillcross.model.RetryPolicy;
-import dillcross.model.ServiceObjective;
-import dillcross.model.SlowStartPolicy;
+import dillcross.model.TestSettings;
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.http.HttpRequest;
 import dillcross.sidecar.EndpointEntry;
@@ -42,21 +39,15 @@
       new RequestCoordinator(
           new LoadBalancer(
               1,
-              new BalancerSettings(
+              TestSettings.of(
                   "east",
                   0,
                   1,
                   List.of(
                       requestClass("read", Idempotency.IDEMPOTENT),
                       requestClass("once", Idempotency.NON_IDEMPOTENT)),
-                  List.of(),
-                  new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
-                  new RetryPolicy(3, true, true),
-                  false,
                   new DiscoveryPolicy(false, 10_000_000, false, false),
-                  0,
-                  0,
-                  new ServiceObjective(0, 0))));
+                  0)));
   private final AttemptExecutor executor =
       new AttemptExecutor(
           network,
--- a/sidecar/src/test/java/dillcross/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dillcross/net/DiscoveryClientTest.java
@@ -5,15 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.balancer.LoadBalancer;
-import dillcross.model.BalancerSettings;
-import dillcross.model.DeduplicationScope;
 import dillcross.model.DiscoveryPolicy;
 import dillcross.model.Endpoint;
-import dillcross.model.Idempotency;
-import dillcross.model.RequestClass;
-import dillcross.model.RetryPolicy;
-import dillcross.model.ServiceObjective;
-import dillcross.model.SlowStartPolicy;
+import dillcross.model.TestSettings;
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.EndpointEntry;
@@ -187,21 +181,13 @@
     balancer =
         new LoadBalancer(
             seed,
-            new BalancerSettings(
+            TestSettings.of(
                 "",
                 0,
                 sidecars,
-                List.of(
-                    new RequestClass(
-                        "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1)),
-                List.of(),
-                new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
-                new RetryPolicy(3, true, true),
-                false,
+                List.of(TestSettings.READ),
                 new DiscoveryPolicy(true, 5_000_000, false, false),
-                0,
-                0,
-                new ServiceObjective(0, 0)));
+                0));
     coordinator = new RequestCoordinator(balancer);
     coordinator.onEndpointList(
         now,
--- a/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorTest.java
+++ b/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorTest.java
@@ -5,16 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.balancer.LoadBalancer;
-import dillcross.model.BalancerSettings;
 import dillcross.model.DeduplicationScope;
 import dillcross.model.DiscoveryPolicy;
 import dillcross.model.Endpoint;
 import dillcross.model.Endpoint.Health;
 import dillcross.model.Idempotency;
 import dillcross.model.RequestClass;
-import dillcross.model.RetryPolicy;
-import dillcross.model.ServiceObjective;
-import dillcross.model.SlowStartPolicy;
+import dillcross.model.TestSettings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -28,7 +25,7 @@
       new RequestCoordinator(
           new LoadBalancer(
               1,
-              new BalancerSettings(
+              TestSettings.of(
                   "east",
                   0,
                   1,
@@ -41,8 +38,7 @@
                           400_000,
                           1,
                           1),
-                      new RequestClass(
-                          "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1),
+                      TestSettings.READ,
                       new RequestClass(
                           "once",
                           Idempotency.NON_IDEMPOTENT,
@@ -51,14 +47,8 @@
                           400_000,
                           1,
                           1)),
-                  List.of(),
-                  new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
-                  new RetryPolicy(3, true, true),
-                  false,
                   new DiscoveryPolicy(true, 10_000_000, false, false),
-                  1_000_000,
-                  0,
-                  new ServiceObjective(0, 0))));
+                  1_000_000)));
   private long now = 1_000_000_000;
   private WriteProgress progressWhenAbandoned =
       WriteProgress.FULLY_WRITTEN; // of an attempt that the core gives up
@@ -453,21 +443,13 @@
   void endpointsThatAWrongListRemovesAreUsedOn(Health health) {
     coordinator.applySettings(
         now,
-        new BalancerSettings(
+        TestSettings.of(
             "east",
             0,
             1,
-            List.of(
-                new RequestClass(
-                    "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1)),
-            List.of(),
-            new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
-            new RetryPolicy(3, true, true),
-            false,
+            List.of(TestSettings.READ),
             new DiscoveryPolicy(true, 10_000_000, true, false),
-            1_000_000,
-            0,
-            new ServiceObjective(0, 0)));
+            1_000_000));
     coordinator.onEndpointList(now, 1, true, List.of(listed("a", Health.UP, "h:1")), false);
     coordinator.onEndpointList(now, 2, false, List.of(listed("a", health, "h:1")), false);
     coordinator.onEndpointList(now, 3, true, List.of(), false);
@@ -491,21 +473,13 @@
     sendFirstAttempt("read");
     coordinator.applySettings(
         now,
-        new BalancerSettings(
+        TestSettings.of(
             "east",
             3,
             100,
-            List.of(
-                new RequestClass(
-                    "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1)),
-            List.of(),
-            new SlowStartPolicy(0.3, 1_000_000, 3, 1_000_000),
-            new RetryPolicy(3, true, true),
-            false,
+            List.of(TestSettings.READ),
             new DiscoveryPolicy(true, 10_000_000, false, true),
-            1_000_000,
-            0,
-            new ServiceObjective(0, 0)));
+            1_000_000));
     coordinator.onEndpointList(now, 2, false, all.subList(1, 8), false);
     List<NetworkCommand> commands = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
