--- a/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
@@ -8,6 +8,7 @@
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
 import dillcross.emulator.scenario.Seeds;
+import dillcross.emulator.trace.Sha256;
 import dillcross.emulator.world.Simulation;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -15,9 +16,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
-import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
@@ -68,7 +67,7 @@
       first = named(known, words[0]);
       second = named(known, words[1]);
     }
-    MessageDigest digest = sha256();
+    MessageDigest digest = Sha256.newDigest();
     for (Path file : files) {
       Scenario scenario = ScenarioReader.read(file);
       if (!scenario.faults().isEmpty()) {
@@ -85,7 +84,7 @@
       }
       play(file, crossings, cases, digest, say, progress);
     }
-    say.println("sha256:" + HexFormat.of().formatHex(digest.digest()));
+    say.println(Sha256.format(digest));
     say.println("crossings " + played + " violations " + violations);
     return violations == 0;
   }
@@ -116,7 +115,7 @@
     try {
       List<Future<Simulation.Result>> days =
           cases.stream().map(one -> threads.submit(() -> crossings.play(one))).toList();
-      long notifiedNs = System.nanoTime();
+      long reportedNs = System.nanoTime();
       for (int i = 0; i < cases.size(); i++) {
         Simulation.Result day = days.get(i).get();
         digest.update(day.digest().getBytes(StandardCharsets.US_ASCII));
@@ -131,8 +130,8 @@
                   + day.violations().get(0).toString().strip());
           replay(file, cases.get(i), say);
         }
-        if (System.nanoTime() - notifiedNs > PROGRESS_NS) {
-          notifiedNs = System.nanoTime();
+        if (System.nanoTime() - reportedNs > PROGRESS_NS) {
+          reportedNs = System.nanoTime();
           progress.println((i + 1) + " of " + cases.size() + " crossings of " + file);
         }
       }
@@ -157,12 +156,4 @@
       say.println("    bin/dillcross emulate run " + to + " --seed " + one.seed());
     }
   }
-
-  private static MessageDigest sha256() {
-    try {
-      return MessageDigest.getInstance("SHA-256");
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e);
-    }
-  }
 }
--- a/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -111,15 +111,15 @@
         return FAULTY;
       }
       long[] state = {0, System.nanoTime()}; // days done, when last told
-      double[] worth = {0, 0};
+      double[] values = {0, 0}; // earned, possible
       Sweep.Result all =
           new Sweep(
                   scenario,
                   cores,
                   day -> {
                     state[0]++;
-                    worth[0] += day.priorityWeight();
-                    worth[1] += day.possible();
+                    values[0] += day.earnedValue();
+                    values[1] += day.possibleValue();
                     if (!day.clean()) {
                       System.out.println(
                           "seed "
@@ -151,7 +151,7 @@
           "steps %d  ops %d  benefit %.4f of what was asked for%n",
           all.steps(),
           all.requests(),
-          worth[0] / Math.max(1e-9, worth[1]));
+          values[0] / Math.max(1e-9, values[1]));
       System.out.println(all.digest());
       System.out.println("seeds " + all.seeds() + " violations " + all.broken());
       return all.broken() == 0 ? CLEAN : BROKEN;
@@ -355,7 +355,7 @@
     out.printf(
         Locale.ROOT,
         "benefit %.4f of what was asked for%n",
-        day.priorityWeight() / Math.max(1e-9, day.possible()));
+        day.earnedValue() / Math.max(1e-9, day.possibleValue()));
     day.violations().forEach(out::println);
     out.println(day.digest());
     out.println("violations " + day.broken());
--- a/emulator/src/main/java/dillcross/emulator/cli/InvalidInputException.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/InvalidInputHandler.java
@@ -3,8 +3,8 @@
 import dillcross.emulator.scenario.InvalidScenarioException;
 import picocli.CommandLine;
 
-/** Input that can't be used is said and no failure of ours, for each command alike. */
-public final class InvalidInputException implements CommandLine.IExecutionExceptionHandler {
+/** Reports an invalid scenario as the caller's fault, alike for every command. */
+public final class InvalidInputHandler implements CommandLine.IExecutionExceptionHandler {
   private static final int STATUS = 2;
 
   @Override
--- a/emulator/src/main/java/dillcross/emulator/cli/Main.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/Main.java
@@ -18,7 +18,7 @@
     LogManager.getLogManager().reset(); // thousands of sidecars say each that they are ready
     Logger.getLogger("dillcross").setLevel(Level.OFF);
     return new CommandLine(new EmulateCommand())
-        .setExecutionExceptionHandler(new InvalidInputException())
+        .setExecutionExceptionHandler(new InvalidInputHandler())
         .execute(args);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/members/MembershipCluster.java
+++ b/emulator/src/main/java/dillcross/emulator/members/MembershipCluster.java
@@ -26,7 +26,7 @@
 
   private static final class Node {
     final int number;
-    Membership is; // null where it does not run
+    Membership membership; // null where it does not run
     long boot;
     long pausedUntilUs; // the process stands still: what comes waits in its socket
     final List<Incoming> waiting = new ArrayList<>();
@@ -47,7 +47,7 @@
   private final PacketCodec codec = new PacketCodec("swarm");
   private final long seed;
   private final int zones;
-  private final int requested;
+  private final int seedCount;
   private final long intervalUs;
   private final long timeoutUs;
   private final long wayUs;
@@ -55,14 +55,14 @@
   private long bytes;
 
   /**
-   * @param requested how many of the first members are seeds
+   * @param seedCount how many of the first members are seeds
    * @param wayUs of a datagram, up to twice that between zones
    */
   public MembershipCluster(
-      int members, int zones, int requested, long intervalUs, long wayUs, long seed) {
+      int members, int zones, int seedCount, long intervalUs, long wayUs, long seed) {
     this.seed = seed;
     this.zones = zones;
-    this.requested = requested;
+    this.seedCount = seedCount;
     this.intervalUs = intervalUs;
     timeoutUs = 3 * intervalUs / 10;
     this.wayUs = wayUs;
@@ -111,10 +111,10 @@
     Node node = nodes.get(member);
     node.boot = Math.max(1, now() + shiftUs);
     List<String> seeds = new ArrayList<>();
-    for (int i = 0; i < requested; i++) {
+    for (int i = 0; i < seedCount; i++) {
       seeds.add(address(i));
     }
-    node.is =
+    node.membership =
         new Membership(
             seed * 31 + member * 7919L + node.boot,
             now(),
@@ -128,22 +128,22 @@
   }
 
   public void kill(int member) {
-    nodes.get(member).is = null;
+    nodes.get(member).membership = null;
   }
 
   public boolean runs(int member) {
-    return nodes.get(member).is != null;
+    return nodes.get(member).membership != null;
   }
 
   /** Its process stands still for so long: no timer runs, what comes waits. */
   public void pause(int member, long forUs) {
     Node node = nodes.get(member);
     node.pausedUntilUs = now() + forUs;
-    Membership of = node.is;
+    Membership of = node.membership;
     time.at(
         node.pausedUntilUs,
         () -> {
-          if (node.is == of && of != null) {
+          if (node.membership == of && of != null) {
             List<Incoming> came = List.copyOf(node.waiting);
             node.waiting.clear();
             came.forEach(c -> hear(node, c));
@@ -153,12 +153,12 @@
   }
 
   public Membership of(int member) {
-    return nodes.get(member).is;
+    return nodes.get(member).membership;
   }
 
   /** What one holds of another; null where it knows of none. */
   public MemberState holds(int observer, int subject) {
-    for (Member m : nodes.get(observer).is.members()) {
+    for (Member m : nodes.get(observer).membership.members()) {
       if (m.record().name().equals(name(subject))) {
         return m.record().state();
       }
@@ -180,23 +180,23 @@
   }
 
   private void turn(Node node) {
-    if (node.is == null || now() < node.pausedUntilUs) {
+    if (node.membership == null || now() < node.pausedUntilUs) {
       return;
     }
-    if (now() >= node.is.nextDueUs()) {
-      node.is.onTime(now());
+    if (now() >= node.membership.nextDueUs()) {
+      node.membership.onTime(now());
     }
-    for (OutboundPacket sent; (sent = node.is.next()) != null; ) {
+    for (OutboundPacket sent; (sent = node.membership.next()) != null; ) {
       send(node.number, member(sent.receiver()), codec.encode(sent.packet()));
     }
-    long due = Math.max(now() + 1, node.is.nextDueUs());
+    long due = Math.max(now() + 1, node.membership.nextDueUs());
     if (due < node.wakeUs || node.wakeUs <= now()) {
       node.wakeUs = due;
-      Membership of = node.is;
+      Membership of = node.membership;
       time.at(
           due,
           () -> {
-            if (node.is == of) {
+            if (node.membership == of) {
               if (node.wakeUs == due) {
                 node.wakeUs = Long.MAX_VALUE;
               }
@@ -210,24 +210,24 @@
     packets++;
     bytes += what.length;
     long us = (long) (wayUs * random.between(0.7, 1.3) * (from % zones == to % zones ? 1 : 2));
-    int hedges = 1;
+    int copies = 1;
     for (LinkFault fault : faults) {
       if (fault.from.test(from) && fault.to.test(to)) {
         if (random.happens(fault.loss)) {
           return;
         }
         us += random.between(0L, fault.jitterUs);
-        hedges += random.happens(fault.twice) ? 1 : 0;
+        copies += random.happens(fault.twice) ? 1 : 0;
       }
     }
-    for (int i = 0; i < hedges && to < nodes.size(); i++) {
+    for (int i = 0; i < copies && to < nodes.size(); i++) {
       time.at(
           now() + us + i * 100L, () -> arrive(nodes.get(to), new Incoming(address(from), what)));
     }
   }
 
   private void arrive(Node node, Incoming incoming) {
-    if (node.is == null) {
+    if (node.membership == null) {
       return;
     }
     if (now() < node.pausedUntilUs) {
@@ -242,6 +242,6 @@
 
   private void hear(Node node, Incoming incoming) {
     Packet packet = codec.decode(incoming.bytes, 0, incoming.bytes.length).orElseThrow();
-    node.is.onPacket(now(), packet);
+    node.membership.onPacket(now(), packet);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/members/MembershipTrial.java
+++ b/emulator/src/main/java/dillcross/emulator/members/MembershipTrial.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * One fault, or all at once, on a swarm that knows itself; what is found of it, how soon, and what
- * is found wrongly.
+ * One fault, or all at once, on a cluster that knows itself; what is found of it, how soon, and
+ * what is found wrongly.
  */
 public final class MembershipTrial {
   /** What is wrong during the trial, besides one in twenty killed. */
@@ -55,41 +55,41 @@
   private MembershipTrial() {}
 
   public static Result play(int members, Fault fault, long seed) {
-    MembershipCluster swarm = new MembershipCluster(members, 3, 3, S, 400, seed);
+    MembershipCluster cluster = new MembershipCluster(members, 3, 3, S, 400, seed);
     RandomStream random = RandomStream.of(seed).named("trial");
     for (int i = 0; i < members; i++) {
       int member = i;
-      swarm.after(random.between(0, 2 * S), () -> swarm.start(member, 0));
+      cluster.after(random.between(0, 2 * S), () -> cluster.start(member, 0));
     }
-    long joined = converged(swarm, members, 120);
+    long joined = converged(cluster, members, 120);
     if (joined < 0) {
       return new Result(fault, members, seed, List.of(), -1, -1, 0, 0);
     }
-    swarm.pass(30 * S); // news are told to the end
-    long before = swarm.bytes();
-    swarm.pass(20 * S);
-    double rate = (swarm.bytes() - before) / 20.0 / members;
-    faults(swarm, members, fault, random);
-    swarm.pass(5 * S);
+    cluster.pass(30 * S); // news are told to the end
+    long before = cluster.bytes();
+    cluster.pass(20 * S);
+    double rate = (cluster.bytes() - before) / 20.0 / members;
+    faults(cluster, members, fault, random);
+    cluster.pass(5 * S);
     List<Integer> killed = new ArrayList<>();
     for (int i = 0; i < Math.max(1, members / 20); i++) {
       killed.add(3 + (int) random.between(0, members - 4L));
     }
-    killed.stream().distinct().forEach(swarm::kill);
+    killed.stream().distinct().forEach(cluster::kill);
     Map<Long, Long> found = new TreeMap<>(); // by observer and subject
     Map<Long, Boolean> wrong = new TreeMap<>();
-    long from = swarm.now();
+    long from = cluster.now();
     boolean halves = fault == Fault.HALVES;
     for (long t = 0; t < 60 * S; t += members > 200 ? 10 * LOOK : LOOK) {
-      swarm.pass(members > 200 ? 10 * LOOK : LOOK);
+      cluster.pass(members > 200 ? 10 * LOOK : LOOK);
       for (int i = 0; i < members; i++) {
-        if (swarm.runs(i)) {
-          for (Member m : swarm.of(i).members()) {
+        if (cluster.runs(i)) {
+          for (Member m : cluster.of(i).members()) {
             if (!m.record().state().isLive()) {
               int subject = Integer.parseInt(m.record().name().substring(1));
               long pair = (long) i * members + subject;
-              if (!swarm.runs(subject)) {
-                found.putIfAbsent(pair, (swarm.now() - from) / 1000);
+              if (!cluster.runs(subject)) {
+                found.putIfAbsent(pair, (cluster.now() - from) / 1000);
               } else if (!halves || (i < members / 2) == (subject < members / 2)) {
                 wrong.put(pair, true);
               }
@@ -98,8 +98,8 @@
         }
       }
     }
-    swarm.faults().clear();
-    long converged = converged(swarm, members, 180);
+    cluster.faults().clear();
+    long converged = converged(cluster, members, 180);
     return new Result(
         fault,
         members,
@@ -112,15 +112,15 @@
   }
 
   private static void faults(
-      MembershipCluster swarm, int members, Fault fault, RandomStream random) {
+      MembershipCluster cluster, int members, Fault fault, RandomStream random) {
     boolean all = fault == Fault.ALL;
     if (fault == Fault.LOSS30 || all) {
-      swarm.faults().add(new MembershipCluster.LinkFault(i -> true, i -> true, 0.3, 20_000, 0.1));
+      cluster.faults().add(new MembershipCluster.LinkFault(i -> true, i -> true, 0.3, 20_000, 0.1));
     }
     if (fault == Fault.ONE_WAY || all) {
       for (int i = 0; i < members; i += 2) { // half of the members hear nothing from one other each
         int deaf = i;
-        swarm
+        cluster
             .faults()
             .add(
                 new MembershipCluster.LinkFault(
@@ -134,32 +134,32 @@
       MembershipCluster.LinkFault back =
           new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0);
       for (int k = 0; k < 15; k++) {
-        swarm.after(k * 4L * S, () -> swarm.faults().addAll(List.of(cut, back)));
-        swarm.after(k * 4L * S + 2 * S, () -> swarm.faults().removeAll(List.of(cut, back)));
+        cluster.after(k * 4L * S, () -> cluster.faults().addAll(List.of(cut, back)));
+        cluster.after(k * 4L * S + 2 * S, () -> cluster.faults().removeAll(List.of(cut, back)));
       }
     }
     if (fault == Fault.HALVES) {
       int from = members / 2;
-      swarm.faults().add(new MembershipCluster.LinkFault(i -> i < from, i -> i >= from, 1, 0, 0));
-      swarm.faults().add(new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0));
+      cluster.faults().add(new MembershipCluster.LinkFault(i -> i < from, i -> i >= from, 1, 0, 0));
+      cluster.faults().add(new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0));
     }
     if (fault == Fault.PAUSES
         || all) { // a tenth stand still now and then, for longer than a probe waits
       for (int i = 0; i < members; i += 10) {
         int member = i;
         for (int k = 0; k < 6; k++) {
-          swarm.after(
+          cluster.after(
               k * 10L * S + random.between(0, 5 * S),
               () -> {
-                if (swarm.runs(member)) {
-                  swarm.pause(member, random.between(S / 2, 3 * S));
+                if (cluster.runs(member)) {
+                  cluster.pause(member, random.between(S / 2, 3 * S));
                 }
               });
         }
       }
     }
     if (fault == Fault.SLOW) { // answers of a tenth come after every time-out of a probe
-      swarm
+      cluster
           .faults()
           .add(new MembershipCluster.LinkFault(i -> i % 10 == 0, i -> true, 0, 600_000, 0));
     }
@@ -169,28 +169,28 @@
    * Milliseconds until all that run hold just these for alive; -1 where it does not come within so
    * many seconds.
    */
-  private static long converged(MembershipCluster swarm, int members, long seconds) {
-    long from = swarm.now();
-    while (swarm.now() - from <= seconds * S) {
-      swarm.pass(members > 200 ? S / 2 : S / 10);
+  private static long converged(MembershipCluster cluster, int members, long seconds) {
+    long from = cluster.now();
+    while (cluster.now() - from <= seconds * S) {
+      cluster.pass(members > 200 ? S / 2 : S / 10);
       long running = 0;
       for (int i = 0; i < members; i++) {
-        running += swarm.runs(i) ? 1 : 0;
+        running += cluster.runs(i) ? 1 : 0;
       }
       boolean agree = running > 0;
       for (int i = 0; i < members && agree; i++) {
         agree =
-            !swarm.runs(i)
-                || (swarm.of(i).liveCount() == running - 1
-                    && swarm.of(i).members().stream()
+            !cluster.runs(i)
+                || (cluster.of(i).liveCount() == running - 1
+                    && cluster.of(i).members().stream()
                         .allMatch(
                             m ->
                                 !m.record().state().isLive()
-                                    || swarm.runs(
+                                    || cluster.runs(
                                         Integer.parseInt(m.record().name().substring(1)))));
       }
       if (agree) {
-        return (swarm.now() - from) / 1000;
+        return (cluster.now() - from) / 1000;
       }
     }
     return -1;
--- a/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -29,7 +29,7 @@
 
   public final String id;
   public final String key; // of the work behind it, the same for a client's retry
-  public final Scenario.Kind kind;
+  public final Scenario.RequestClass requestClass;
   public final int sidecar;
   public final int attempt;
   public final long bornUs;
@@ -46,21 +46,26 @@
   public final List<Attempt> attempts = new ArrayList<>(2);
 
   public ObservedRequest(
-      String id, String key, Scenario.Kind kind, int sidecar, int attempt, long bornUs) {
+      String id,
+      String key,
+      Scenario.RequestClass requestClass,
+      int sidecar,
+      int attempt,
+      long bornUs) {
     this.id = id;
     this.key = key;
-    this.kind = kind;
+    this.requestClass = requestClass;
     this.sidecar = sidecar;
     this.attempt = attempt;
     this.bornUs = bornUs;
   }
 
   public long timeoutUs() {
-    return Math.round(kind.timeoutMs() * 1000);
+    return Math.round(requestClass.timeoutMs() * 1000);
   }
 
   public long targetUs() {
-    return Math.round(kind.targetMs() * 1000);
+    return Math.round(requestClass.targetMs() * 1000);
   }
 
   /**
--- a/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
@@ -14,7 +14,7 @@
  * and when it was sent, what the list told whom. It never looks into the sidecars' books.
  */
 public final class Oracle {
-  private static final long TOLD_US =
+  private static final long NOTIFIED_WITHIN_US =
       6_000_000; // after which news counts as told, whether or not it was had
   private static final long GONE_US =
       100_000; // after its client's close, by when nothing more of a request begins
@@ -47,7 +47,7 @@
     this.now = now;
     this.startUs = startUs;
     this.scenario = scenario;
-    maxAttempts = Integer.parseInt(scenario.notified().get("limits.max_pushes"));
+    maxAttempts = Integer.parseInt(scenario.sidecarSettings().get("limits.max_pushes"));
   }
 
   public List<Violation> violations() {
@@ -213,13 +213,13 @@
     for (boolean moved = true; moved; ) {
       moved = false;
       for (long[] span : deaf) {
-        if (span[0] < fromUs + TOLD_US && span[1] > fromUs) {
+        if (span[0] < fromUs + NOTIFIED_WITHIN_US && span[1] > fromUs) {
           fromUs = span[1];
           moved = true;
         }
       }
     }
-    return fromUs + TOLD_US;
+    return fromUs + NOTIFIED_WITHIN_US;
   }
 
   /** A sidecar's process has read what the list says of an endpoint. */
@@ -243,8 +243,8 @@
 
   /** Whether a sidecar's process knows that an endpoint began anew then. */
   public boolean knowsStart(String process, String endpoint, long startedMs) {
-    Notified is = notified.getOrDefault(process, Map.of()).get(endpoint);
-    return is != null && is.startedMs == startedMs;
+    Notified last = notified.getOrDefault(process, Map.of()).get(endpoint);
+    return last != null && last.startedMs == startedMs;
   }
 
   // ---- Endpoints
@@ -289,15 +289,17 @@
               + (sentUs - request.leftUs) / 1000
               + " ms after its client had gone");
     }
-    Notified is = notified.getOrDefault(process, Map.of()).get(endpoint);
-    if (is != null && !is.inService && sentUs > is.atUs + scenario.rules().drainSlackMs() * 1000) {
+    Notified last = notified.getOrDefault(process, Map.of()).get(endpoint);
+    if (last != null
+        && !last.inService
+        && sentUs > last.atUs + scenario.rules().drainSlackMs() * 1000) {
       broke(
           Rule.DRAIN_KEPT,
           request,
           "a push to "
               + endpoint
               + " left "
-              + (sentUs - is.atUs) / 1000
+              + (sentUs - last.atUs) / 1000
               + " ms after it was told to drain");
     } else if (left.containsKey(endpoint)
         && sentUs > dueUs(process, endpoint) + scenario.rules().drainSlackMs() * 1000) {
@@ -316,18 +318,18 @@
   /** An attempt has come whole and may run from now on. */
   public void taken(ObservedRequest request, ObservedRequest.Attempt attempt) {
     attempt.taken = true;
-    if (request.kind.effect().equals("idempotent")) {
+    if (request.requestClass.effect().equals("idempotent")) {
       return;
     }
     for (ObservedRequest.Attempt before : request.attempts) {
       if (before != attempt && before.taken) {
         boolean same =
-            switch (request.kind.scope()) {
+            switch (request.requestClass.scope()) {
               case "all" -> true;
               case "zone" -> before.zone.equals(attempt.zone);
               default -> before.cell == attempt.cell;
             };
-        if (request.kind.effect().equals("at_most_once")) {
+        if (request.requestClass.effect().equals("at_most_once")) {
           broke(
               Rule.NO_EFFECT_TWICE,
               request,
@@ -341,7 +343,7 @@
                   + ", which may run it, and to "
                   + attempt.endpoint
                   + " of another group");
-        } else if (attempt.sentUs - before.sentUs > request.kind.windowMs() * 1000) {
+        } else if (attempt.sentUs - before.sentUs > request.requestClass.windowMs() * 1000) {
           broke(
               Rule.NO_EFFECT_TWICE,
               request,
@@ -353,7 +355,7 @@
 
   /** A request is being carried out. */
   public void effect(ObservedRequest request, String endpoint) {
-    if (!request.kind.effect().equals("idempotent")) {
+    if (!request.requestClass.effect().equals("idempotent")) {
       String before = effects.putIfAbsent(request.key, endpoint);
       if (before != null && !request.orphan) {
         broke(
--- a/emulator/src/main/java/dillcross/emulator/run/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Shrink.java
@@ -58,7 +58,7 @@
         s.name(),
         seconds,
         s.sidecars(),
-        s.notified(),
+        s.sidecarSettings(),
         s.requestClasses(),
         s.clients(),
         s.endpoints(),
@@ -157,19 +157,19 @@
   public static String write(String text, List<Drawn> faults) {
     StringBuilder out = new StringBuilder(ScenarioReader.withoutFaults(text).stripTrailing());
     for (Drawn drawn : faults) {
-      Fault is = drawn.from();
+      Fault fault = drawn.from();
       out.append(
           String.format(
               Locale.ROOT,
               "%n%n[[trouble]]%nid = \"%s\"%nkind = \"%s\"%nat_ms = %s%nfor_ms = %s%ntarget = \"%s\"%nfactor = %s%nshare = %s%nmode = \"%s\"",
-              is.id(),
-              is.kind().word(),
+              fault.id(),
+              fault.kind().word(),
               drawn.atUs() / 1000.0,
               drawn.forUs() / 1000.0,
               drawn.target(),
               drawn.factor(),
-              is.share(),
-              is.mode()));
+              fault.share(),
+              fault.mode()));
     }
     return out.append(System.lineSeparator()).toString();
   }
--- a/emulator/src/main/java/dillcross/emulator/run/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/run/Sweep.java
@@ -1,11 +1,10 @@
 package dillcross.emulator.run;
 
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.trace.Sha256;
 import dillcross.emulator.world.Simulation;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.HexFormat;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.ExecutionException;
@@ -48,11 +47,7 @@
     this.scenario = scenario;
     this.jobs = jobs;
     this.each = each;
-    try {
-      digest = MessageDigest.getInstance("SHA-256");
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e);
-    }
+    digest = Sha256.newDigest();
   }
 
   /** Plays the seeds from one to the other. */
@@ -95,14 +90,14 @@
         turns,
         simulatedUs,
         System.nanoTime() - startNs,
-        "sha256:" + HexFormat.of().formatHex(digest.digest()));
+        Sha256.format(digest));
   }
 
-  /** How many days were told of. */
+  /** Reports what has become complete in the order of the seeds; how many days that were. */
   private synchronized int done(Simulation.Result day) {
     early.put(day.seed(), day);
-    int notified = 0;
-    for (Simulation.Result one; (one = early.remove(next)) != null; next++, notified++) {
+    int reported = 0;
+    for (Simulation.Result one; (one = early.remove(next)) != null; next++, reported++) {
       digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
       seeds++;
       broken += one.broken();
@@ -112,6 +107,6 @@
       simulatedUs += one.simulatedUs();
       each.accept(one);
     }
-    return notified;
+    return reported;
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -7,18 +7,18 @@
 public record Scenario(
     String name,
     double seconds,
-    Fleet sidecars,
-    Map<String, String> notified,
-    List<Kind> requestClasses,
-    EmulatedClients clients,
-    Endpoints endpoints,
-    DiscoveryService list,
-    Net network,
+    SidecarGroup sidecars,
+    Map<String, String> sidecarSettings,
+    List<RequestClass> requestClasses,
+    ClientSettings clients,
+    EndpointSettings endpoints,
+    DiscoverySettings list,
+    NetworkSettings network,
     Rules rules,
     List<Fault> faults) {
 
   /** The sidecars; those with the same index modulo the zones share a zone. */
-  public record Fleet(
+  public record SidecarGroup(
       int count,
       List<String> zones,
       long turnUs,
@@ -28,7 +28,7 @@
       int calls) {}
 
   /** One request class, as the sidecars are told it and as endpoints carry it out. */
-  public record Kind(
+  public record RequestClass(
       String name,
       String effect,
       String scope,
@@ -43,7 +43,7 @@
       int answerBytes) {}
 
   /** The clients of each sidecar. */
-  public record EmulatedClients(
+  public record ClientSettings(
       double perS,
       String retry,
       int retries,
@@ -54,7 +54,7 @@
       int resting,
       double patienceMs) {}
 
-  public record Endpoints(
+  public record EndpointSettings(
       int count,
       List<String> zones,
       int cells,
@@ -69,9 +69,9 @@
       double reportShare,
       boolean chunks) {}
 
-  public record DiscoveryService(Range delayMs, double tellMs) {}
+  public record DiscoverySettings(Range delayMs, double tellMs) {}
 
-  public record Net(double nearUs, double farUs, double jitterUs) {}
+  public record NetworkSettings(double nearUs, double farUs, double jitterUs) {}
 
   /** What the oracle allows beside the rules themselves. */
   public record Rules(double answerSlackMs, double drainSlackMs, double slowStartSlack) {}
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
@@ -84,21 +84,21 @@
     top.word(LIKE, "");
     List<String> zones = List.of("a", "b", "c");
     Section s = top.section("sidecars");
-    Scenario.Fleet fleet =
-        new Scenario.Fleet(
-            s.complete("count", 3, 1, 10_000),
+    Scenario.SidecarGroup fleet =
+        new Scenario.SidecarGroup(
+            s.integer("count", 3, 1, 10_000),
             s.words("zones", zones),
-            s.complete("turn_us", 20, 0, 100_000),
+            s.integer("turn_us", 20, 0, 100_000),
             s.range("start_ms", 100, 100),
-            s.complete("descriptors", 256, 128, 65_536),
-            s.complete("memory_mb", 128, 64, 65_536),
-            s.complete("calls", 4, 0, 1000));
+            s.integer("descriptors", 256, 128, 65_536),
+            s.integer("memory_mb", 128, 64, 65_536),
+            s.integer("calls", 4, 0, 1000));
     s.done();
-    Map<String, String> notified = notified(top.section("settings"));
-    List<Scenario.Kind> kinds = new ArrayList<>();
+    Map<String, String> sidecarSettings = sidecarSettings(top.section("settings"));
+    List<Scenario.RequestClass> requestClasses = new ArrayList<>();
     for (Section c : top.sections("category")) {
-      kinds.add(
-          new Scenario.Kind(
+      requestClasses.add(
+          new Scenario.RequestClass(
               c.word("name", null),
               c.oneOf("effect", "idempotent", "idempotent", "deduplicated", "at_most_once"),
               c.oneOf("key_scope", "zone", "all", "zone", "cell"),
@@ -109,35 +109,35 @@
               c.number("share", 1, 0, 1e6),
               c.number("work_ms", 20, 0.001, 1e5),
               c.number("spread", 0.5, 0, 3),
-              c.complete("body_bytes", 100, 0, 32 << 20),
-              c.complete("answer_bytes", 200, 0, 32 << 20)));
+              c.integer("body_bytes", 100, 0, 32 << 20),
+              c.integer("answer_bytes", 200, 0, 32 << 20)));
       c.done();
     }
-    if (kinds.isEmpty()) {
+    if (requestClasses.isEmpty()) {
       errors.add(file + ": category: at least one is needed");
     }
     s = top.section("clients");
-    Scenario.EmulatedClients clients =
-        new Scenario.EmulatedClients(
+    Scenario.ClientSettings clients =
+        new Scenario.ClientSettings(
             s.number("per_s", 20, 0, 1e5),
             s.oneOf("retry", "none", "none", "at_once", "after"),
-            s.complete("retries", 2, 0, 100),
+            s.integer("retries", 2, 0, 100),
             s.number("leave_share", 0, 0, 1),
             s.range("leave_ms", 20, 200),
             s.number("pieces_share", 0, 0, 1),
             s.number("close_share", 0, 0, 1),
-            s.complete("resting", 0, 0, 100_000),
+            s.integer("resting", 0, 0, 100_000),
             s.number("patience_ms", 700, 0, 1e6));
     s.done();
     s = top.section("endpoints");
-    Scenario.Endpoints endpoints =
-        new Scenario.Endpoints(
-            s.complete("count", 8, 1, 10_000),
+    Scenario.EndpointSettings endpoints =
+        new Scenario.EndpointSettings(
+            s.integer("count", 8, 1, 10_000),
             s.words("zones", zones),
-            s.complete("cells", 3, 1, 1000),
+            s.integer("cells", 3, 1, 1000),
             s.number("cores", 2, 0.1, 1000),
-            s.complete("queue", 30, 0, 100_000),
-            s.complete("connections", 200, 1, 100_000),
+            s.integer("queue", 30, 0, 100_000),
+            s.integer("connections", 200, 1, 100_000),
             s.number("idle_close_ms", 5000, 1, 1e7),
             s.number("choke_above", 1e6, 0, 1e6),
             s.number("choke", 0, 0, 100),
@@ -147,12 +147,12 @@
             s.flag("chunks", false));
     s.done();
     s = top.section("list");
-    Scenario.DiscoveryService list =
-        new Scenario.DiscoveryService(s.range("delay_ms", 1, 1), s.number("tell_ms", 5, 0, 1e6));
+    Scenario.DiscoverySettings list =
+        new Scenario.DiscoverySettings(s.range("delay_ms", 1, 1), s.number("tell_ms", 5, 0, 1e6));
     s.done();
     s = top.section("network");
-    Scenario.Net net =
-        new Scenario.Net(
+    Scenario.NetworkSettings net =
+        new Scenario.NetworkSettings(
             s.number("near_us", 200, 0, 1e7),
             s.number("far_us", 2000, 0, 1e7),
             s.number("jitter_us", 50, 0, 1e7));
@@ -175,8 +175,8 @@
             top.word("name", "day"),
             top.number("seconds", 10, 0.01, 86_400),
             fleet,
-            notified,
-            kinds,
+            sidecarSettings,
+            requestClasses,
             clients,
             endpoints,
             list,
@@ -188,27 +188,32 @@
   }
 
   /** What the sidecars are told beside the request classes, by the paths of their configuration. */
-  private Map<String, String> notified(Section s) {
-    Map<String, String> notified = new LinkedHashMap<>();
-    notified.put("limits.max_pushes", "" + s.complete("max_pushes", 3, 1, 100));
-    notified.put("limits.may_duplicate", "" + s.flag("may_duplicate", true));
-    notified.put("limits.cancel", "" + s.flag("cancel", true));
-    notified.put("limits.retry_after", "" + s.flag("retry_after", true));
-    notified.put("limits.max_retry_after_ms", "" + s.number("max_retry_after_ms", 1000, 0, 1e6));
-    notified.put("limits.connect_timeout_ms", "" + s.number("connect_timeout_ms", 200, 1, 1e6));
-    notified.put("limits.keepalive_ms", "" + s.number("keepalive_ms", 5000, 1, 1e7));
-    notified.put("rules.ask_within_ms", "" + s.number("ask_within_ms", 5000, 1, 1e7));
-    notified.put("rules.start_capacity", "" + s.number("start_capacity", 0.3, 0.01, 1));
-    notified.put("rules.warm_up_ms", "" + s.number("warm_up_ms", 4000, 0, 1e7));
-    notified.put("rules.fall_multiple", "" + s.number("fall_multiple", 3, 0.1, 100));
-    notified.put("rules.fall_ms", "" + s.number("fall_ms", 1000, 1, 1e7));
-    notified.put("prices.cross_zone", "" + s.number("cross_zone", 0.03, 0, 100));
+  private Map<String, String> sidecarSettings(Section s) {
+    Map<String, String> sidecarSettings = new LinkedHashMap<>();
+    sidecarSettings.put("limits.max_pushes", "" + s.integer("max_pushes", 3, 1, 100));
+    sidecarSettings.put("limits.may_duplicate", "" + s.flag("may_duplicate", true));
+    sidecarSettings.put("limits.cancel", "" + s.flag("cancel", true));
+    sidecarSettings.put("limits.retry_after", "" + s.flag("retry_after", true));
+    sidecarSettings.put(
+        "limits.max_retry_after_ms", "" + s.number("max_retry_after_ms", 1000, 0, 1e6));
+    sidecarSettings.put(
+        "limits.connect_timeout_ms", "" + s.number("connect_timeout_ms", 200, 1, 1e6));
+    sidecarSettings.put("limits.keepalive_ms", "" + s.number("keepalive_ms", 5000, 1, 1e7));
+    sidecarSettings.put("rules.ask_within_ms", "" + s.number("ask_within_ms", 5000, 1, 1e7));
+    sidecarSettings.put("rules.start_capacity", "" + s.number("start_capacity", 0.3, 0.01, 1));
+    sidecarSettings.put("rules.warm_up_ms", "" + s.number("warm_up_ms", 4000, 0, 1e7));
+    sidecarSettings.put("rules.fall_multiple", "" + s.number("fall_multiple", 3, 0.1, 100));
+    sidecarSettings.put("rules.fall_ms", "" + s.number("fall_ms", 1000, 1, 1e7));
+    sidecarSettings.put("prices.cross_zone", "" + s.number("cross_zone", 0.03, 0, 100));
     s.done();
-    return notified;
+    return sidecarSettings;
   }
 
   private Fault fault(
-      Section t, Set<String> ids, Scenario.Fleet fleet, Scenario.Endpoints endpoints) {
+      Section t,
+      Set<String> ids,
+      Scenario.SidecarGroup fleet,
+      Scenario.EndpointSettings endpoints) {
     String word = t.word("kind", null);
     Fault.Kind kind =
         Arrays.stream(Fault.Kind.values())
@@ -261,7 +266,7 @@
         t.range("factor", 4, 4),
         t.number("share", 0.5, 0, 1),
         t.oneOf("mode", "after", "before", "after", "answer", "refuse", "silent", "error"),
-        t.complete("count", 1, 1, 1000));
+        t.integer("count", 1, 1, 1000));
   }
 
   /**
@@ -358,7 +363,7 @@
       return value;
     }
 
-    int complete(String key, int ifAbsent, int min, int max) {
+    int integer(String key, int ifAbsent, int min, int max) {
       double value = number(key, ifAbsent, min, max);
       if (value != Math.rint(value)) {
         error(key, "has to be a whole number");
--- a/emulator/src/main/java/dillcross/emulator/trace/Trace.java
+++ b/emulator/src/main/java/dillcross/emulator/trace/Trace.java
@@ -8,8 +8,6 @@
 import java.io.UncheckedIOException;
 import java.security.DigestOutputStream;
 import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.HexFormat;
 import java.util.function.LongSupplier;
 
 /**
@@ -36,14 +34,12 @@
     this.nowUs = nowUs;
     this.sum = sum;
     this.reader = reader;
+    digest = Sha256.newDigest();
     try {
-      digest = MessageDigest.getInstance("SHA-256");
       lines = JSON.createGenerator(new DigestOutputStream(to, digest));
       lines.setRootValueSeparator(new SerializedString("\n"));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e);
     }
   }
 
@@ -87,6 +83,6 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return "sha256:" + HexFormat.of().formatHex(digest.digest());
+    return Sha256.format(digest);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/wire/SocketEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/SocketEndpoint.java
@@ -153,7 +153,7 @@
           peer.host,
           () -> {
             if (open && waits != null && !reset) {
-              attempt();
+              sendWaiting();
               if (waits == null) {
                 owner.taken(this);
               }
@@ -165,7 +165,7 @@
   /** Hands bytes over; false where all of them are taken, true where its owner is told later. */
   public boolean send(ByteBuffer run) {
     waits = run;
-    attempt();
+    sendWaiting();
     return waits != null;
   }
 
@@ -180,7 +180,7 @@
     }
   }
 
-  private void attempt() {
+  private void sendWaiting() {
     int count = (int) Math.min(waits.remaining(), Math.max(0, WINDOW - lent));
     if (count > 0) {
       byte[] bytes = new byte[count];
--- a/emulator/src/main/java/dillcross/emulator/wire/VirtualMachine.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/VirtualMachine.java
@@ -10,7 +10,7 @@
   final String name;
   final String zone;
   final Set<SocketEndpoint> ends = new LinkedHashSet<>(); // of the process that runs on it
-  boolean removed; // the machine is off or cut off for good: it says nothing
+  boolean isSilent; // the machine is off or cut off for good: it says nothing
 
   private final VirtualMachine machine;
 
--- a/emulator/src/main/java/dillcross/emulator/wire/VirtualNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/wire/VirtualNetwork.java
@@ -59,7 +59,7 @@
   /** A machine that is not there: what is sent to it nobody answers. */
   public static VirtualMachine nowhere() {
     VirtualMachine nowhere = new VirtualMachine("nowhere", "nowhere");
-    nowhere.removed = true;
+    nowhere.isSilent = true;
     return nowhere;
   }
 
@@ -116,14 +116,14 @@
 
   /** The machine says nothing from now on. */
   public void vanish(VirtualMachine host) {
-    host.removed = true;
+    host.isSilent = true;
   }
 
   /** It is back, with a new process that knows nothing of what was open. */
   public void back(VirtualMachine host) {
     host.ends.forEach(SocketEndpoint::vanish);
     host.ends.clear();
-    host.removed = false;
+    host.isSilent = false;
   }
 
   private static String pair(String a, String b) {
@@ -160,7 +160,7 @@
 
   /** Has something done when word of it gets from one host to the other. */
   void after(SocketEndpoint end, VirtualMachine from, VirtualMachine to, Runnable what) {
-    if (from.removed || to.removed) {
+    if (from.isSilent || to.isSilent) {
       return; // nobody ever hears of it
     }
     if (!from.beside(to) && !cuts.isEmpty() && cuts.containsKey(pair(from.zone, to.zone))) {
@@ -171,7 +171,7 @@
     time.after(
         delayUs(end, from, to),
         () -> {
-          if (!to.removed) {
+          if (!to.isSilent) {
             what.run();
           }
         });
@@ -183,7 +183,7 @@
    */
   private void inOrder(SocketEndpoint from, boolean data, Runnable what) {
     SocketEndpoint to = from.peer;
-    if (from.host.removed || to.host.removed) {
+    if (from.host.isSilent || to.host.isSilent) {
       return;
     }
     if (!from.host.beside(to.host)
@@ -203,7 +203,7 @@
     time.at(
         from.lastArrivalUs,
         () -> {
-          if (!to.host.removed) {
+          if (!to.host.isSilent) {
             what.run();
           }
         });
--- a/emulator/src/main/java/dillcross/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/world/DiscoveryService.java
@@ -269,20 +269,20 @@
       Map<String, Entry> known = stale == null ? entries : stale;
       long at = stale == null ? version : staleVersion;
       boolean full = since == 0 || since > at;
-      List<Entry> notified =
+      List<Entry> listed =
           known.values().stream()
               .filter(e -> full ? !e.state.equals("terminated") : e.version > since)
               .toList();
       Map<String, Object> words = new LinkedHashMap<>();
       words.put("version", at);
       words.put("full", full);
-      words.put("servers", notified.stream().map(Entry::words).toList());
+      words.put("servers", listed.stream().map(Entry::words).toList());
       send(
           200,
           json(words),
           () -> {
             String process = sidecars.process(end.other());
-            notified.forEach(
+            listed.forEach(
                 e ->
                     world
                         .oracle()
@@ -291,9 +291,9 @@
               world
                   .oracle()
                   .notifiedOnly(
-                      process, new LinkedHashSet<>(notified.stream().map(Entry::id).toList()));
+                      process, new LinkedHashSet<>(listed.stream().map(Entry::id).toList()));
             }
-            if (!notified.isEmpty()) {
+            if (!listed.isEmpty()) {
               world
                   .trace()
                   .note(
@@ -305,7 +305,7 @@
                       "full",
                       full,
                       "entries",
-                      notified.size());
+                      listed.size());
             }
           });
     }
--- a/emulator/src/main/java/dillcross/emulator/world/EmulatedClients.java
+++ b/emulator/src/main/java/dillcross/emulator/world/EmulatedClients.java
@@ -20,9 +20,9 @@
       64 << 10; // bytes of a body beyond which its time counts from when its last byte was taken
   private final SimulationContext world;
   private final SidecarProcess sidecar;
-  private final Scenario.EmulatedClients is;
+  private final Scenario.ClientSettings settings;
   private final RandomStream random;
-  private final List<Scenario.Kind> kinds;
+  private final List<Scenario.RequestClass> requestClasses;
   private final double shares;
   private final ArrayDeque<Caller> idle = new ArrayDeque<>(); // the one used last is last
   private final List<Caller> resting = new ArrayList<>();
@@ -36,11 +36,11 @@
   EmulatedClients(SimulationContext world, SidecarProcess sidecar) {
     this.world = world;
     this.sidecar = sidecar;
-    is = world.scenario().clients();
+    settings = world.scenario().clients();
     random = world.random().named("clients of " + sidecar.name);
-    kinds = world.scenario().requestClasses();
-    shares = kinds.stream().mapToDouble(Scenario.Kind::share).sum();
-    leaveShare = is.leaveShare();
+    requestClasses = world.scenario().requestClasses();
+    shares = requestClasses.stream().mapToDouble(Scenario.RequestClass::share).sum();
+    leaveShare = settings.leaveShare();
   }
 
   /** Requests that wait for what becomes of them. */
@@ -61,7 +61,7 @@
 
   /** Requests come from now on until then. */
   void come(long untilUs) {
-    for (int i = 0; i < is.resting(); i++) {
+    for (int i = 0; i < settings.resting(); i++) {
       Caller caller = new Caller(true);
       resting.add(caller);
       caller.request(made(null, 0));
@@ -70,7 +70,7 @@
   }
 
   private void next(long untilUs) {
-    double perS = is.perS() * times;
+    double perS = settings.perS() * times;
     long waitUs = perS <= 0 ? 50_000 : Math.min(50_000, Math.round(random.exponential(1e6 / perS)));
     world
         .time()
@@ -92,7 +92,7 @@
   }
 
   void leaves(double share, boolean now) {
-    leaveShare = now ? share : is.leaveShare();
+    leaveShare = now ? share : settings.leaveShare();
   }
 
   /** Connections that rested ask, all within that time. */
@@ -113,15 +113,15 @@
     }
   }
 
-  private Scenario.Kind kind() {
+  private Scenario.RequestClass requestClass() {
     double at = random.between(0.0, shares);
-    for (Scenario.Kind kind : kinds) {
-      at -= kind.share();
+    for (Scenario.RequestClass requestClass : requestClasses) {
+      at -= requestClass.share();
       if (at < 0) {
-        return kind;
+        return requestClass;
       }
     }
-    return kinds.get(kinds.size() - 1);
+    return requestClasses.get(requestClasses.size() - 1);
   }
 
   private ObservedRequest made(ObservedRequest before, int attempt) {
@@ -130,7 +130,7 @@
         new ObservedRequest(
             id,
             before == null ? "k" + id : before.key,
-            before == null ? kind() : before.kind,
+            before == null ? requestClass() : before.requestClass,
             sidecar.index,
             attempt,
             world.now());
@@ -208,15 +208,15 @@
     private void send() {
       ObservedRequest of = request;
       process = sidecar.process();
-      Scenario.Kind kind = of.kind;
+      Scenario.RequestClass requestClass = of.requestClass;
       RandomStream own =
           random.named(of.id); // how it is asked does not depend on when a connection was free
-      boolean get = kind.effect().equals("idempotent");
-      byte[] body = get ? null : HttpStreamReader.body(of.id + " ", kind.bodyBytes());
-      boolean last = own.happens(is.closeShare());
+      boolean get = requestClass.effect().equals("idempotent");
+      byte[] body = get ? null : HttpStreamReader.body(of.id + " ", requestClass.bodyBytes());
+      boolean last = own.happens(settings.closeShare());
       requestBytes =
           HttpStreamReader.message(
-              (get ? "GET /" : "POST /") + kind.name() + "/of HTTP/1.1",
+              (get ? "GET /" : "POST /") + requestClass.name() + "/of HTTP/1.1",
               body,
               false,
               "Host",
@@ -224,7 +224,7 @@
               "Request-Id",
               of.id,
               "Request-Timeout-Ms",
-              String.valueOf((long) kind.timeoutMs()),
+              String.valueOf((long) requestClass.timeoutMs()),
               "Idempotency-Key",
               get ? null : of.key,
               "Client-Retry",
@@ -232,7 +232,9 @@
               "Connection",
               last ? "close" : null);
       int pieces =
-          own.happens(is.pieceShare()) && requestBytes.length > 8 ? (int) own.between(2, 5) : 1;
+          own.happens(settings.pieceShare()) && requestBytes.length > 8
+              ? (int) own.between(2, 5)
+              : 1;
       long atUs = 0;
       for (int i = 0; i < pieces; i++) {
         int from = (int) ((long) requestBytes.length * i / pieces);
@@ -246,7 +248,7 @@
                 () -> {
                   if (on == this.end && request == of && on.isOpen()) {
                     boolean flows =
-                        kind.bodyBytes() > FLOWS; // taken as fast as an endpoint takes it
+                        requestClass.bodyBytes() > FLOWS; // taken as fast as an endpoint takes it
                     on.send(
                         java.util.Arrays.copyOfRange(requestBytes, from, to),
                         end && flows ? () -> sent(of) : null);
@@ -261,7 +263,7 @@
         world
             .time()
             .after(
-                is.leaveMs().drawUs(own),
+                settings.leaveMs().drawUs(own),
                 () -> {
                   if (request == of) {
                     world.trace().note("leave", "op", of.id);
@@ -281,11 +283,20 @@
       of.sentUs = world.now();
       world
           .trace()
-          .note("ask", "op", of.id, "at", sidecar.name, "kind", of.kind.name(), "try", of.attempt);
+          .note(
+              "ask",
+              "op",
+              of.id,
+              "at",
+              sidecar.name,
+              "kind",
+              of.requestClass.name(),
+              "try",
+              of.attempt);
       world
           .time()
           .after(
-              of.timeoutUs() + Math.round(is.patienceMs() * 1000),
+              of.timeoutUs() + Math.round(settings.patienceMs() * 1000),
               () -> {
                 if (request == of && !incoming.headCame()) {
                   world.oracle().silent(of);
@@ -333,7 +344,7 @@
       boolean content =
           status != 200
               || (incoming.start().startsWith(of.id + " ")
-                  && incoming.length() >= of.kind.answerBytes());
+                  && incoming.length() >= of.requestClass.answerBytes());
       world
           .trace()
           .note(
@@ -361,10 +372,10 @@
         idle.addLast(this);
       }
       if ((status == 503 || status == 429)
-          && of.attempt < is.retries()
-          && !is.retry().equals("none")) {
+          && of.attempt < settings.retries()
+          && !settings.retry().equals("none")) {
         double waitMs =
-            is.retry().equals("at_once") || retryAfter == null
+            settings.retry().equals("at_once") || retryAfter == null
                 ? 1
                 : Double.parseDouble(retryAfter) * 1000;
         open++;
--- a/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoint.java
@@ -35,7 +35,7 @@
     final ObservedRequest request;
     final ObservedRequest.Attempt attempt;
     final long untilUs; // when nobody waits for it any more
-    boolean removed; // whoever sent it has closed
+    boolean isAbandoned; // whoever sent it has closed
 
     Work(Visit visit, ObservedRequest request, ObservedRequest.Attempt attempt, long untilUs) {
       this.visit = visit;
@@ -48,7 +48,7 @@
   private static final int DRIP = 32 << 10;
   private static final long DRIP_US = 1500;
 
-  private record Bit(long atUs, double workUs) {}
+  private record SentWork(long atUs, double workUs) {}
 
   final String id;
   final String zone;
@@ -59,17 +59,17 @@
   private final VirtualMachine host;
   private final RandomStream random;
   private final EmulatedEndpoints fleet;
-  private final Scenario.Endpoints is;
+  private final Scenario.EndpointSettings settings;
   private final double speed;
   private final int cores;
   private final double ofCore; // how fast one is
   private final Set<Visit> visits = new LinkedHashSet<>();
   private final ArrayDeque<Work> queue = new ArrayDeque<>();
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>(); // what a pause holds up
-  private final ArrayDeque<Bit> slowStart =
+  private final ArrayDeque<SentWork> recentWork =
       new ArrayDeque<>(); // what was sent while it was warming up
-  private double slowStartUs;
-  private int lifecycle; // of the process: what an earlier one began is nothing to this one
+  private double recentWorkUs;
+  private int incarnation; // of the process: what an earlier one began is nothing to this one
   private int running;
   long startedMs;
   boolean draining;
@@ -89,12 +89,12 @@
     this.zone = zone;
     this.cell = cell;
     this.address = address;
-    is = world.scenario().endpoints();
+    settings = world.scenario().endpoints();
     host = new VirtualMachine(id, zone);
     random = world.random().named("endpoint " + id);
-    speed = is.speed().draw(random);
-    cores = (int) Math.max(1, Math.round(is.cores()));
-    ofCore = is.cores() * speed / cores;
+    speed = settings.speed().draw(random);
+    cores = (int) Math.max(1, Math.round(settings.cores()));
+    ofCore = settings.cores() * speed / cores;
   }
 
   @Override
@@ -115,7 +115,7 @@
   /** Starts; {@code atMs} is 0 where it has run for long and is warm. */
   void start(long atMs) {
     startedMs = atMs;
-    lifecycle++;
+    incarnation++;
     up = true;
     draining = false;
     world.fabric().listen(address, this);
@@ -142,13 +142,13 @@
 
   private void stop() {
     up = false;
-    lifecycle++;
+    incarnation++;
     running = 0;
     queue.forEach(work -> work.attempt.endedUs = world.now());
     queue.clear();
     deferred.clear();
-    slowStart.clear();
-    slowStartUs = 0;
+    recentWork.clear();
+    recentWorkUs = 0;
     world.fabric().unlisten(address);
   }
 
@@ -189,8 +189,10 @@
     if (startedMs == 0) {
       return 1;
     }
-    double start = Double.parseDouble(world.scenario().notified().get("rules.start_capacity"));
-    double warmUs = Double.parseDouble(world.scenario().notified().get("rules.warm_up_ms")) * 1000;
+    double start =
+        Double.parseDouble(world.scenario().sidecarSettings().get("rules.start_capacity"));
+    double warmUs =
+        Double.parseDouble(world.scenario().sidecarSettings().get("rules.warm_up_ms")) * 1000;
     double age = world.now() - startedMs * 1000.0;
     return age >= warmUs ? 1 : start + (1 - start) * age / warmUs;
   }
@@ -208,7 +210,7 @@
   /** One connection to it. */
   private final class Visit implements SocketEndpoint.Owner {
     private final SocketEndpoint end;
-    private final int of = lifecycle;
+    private final int of = incarnation;
     private final HttpStreamReader incoming = new HttpStreamReader();
     private ObservedRequest request; // of the request that comes or is carried out
     private ObservedRequest.Attempt attempt;
@@ -227,13 +229,13 @@
       world
           .time()
           .after(
-              Math.round(is.idleMs() * 1000),
+              Math.round(settings.idleMs() * 1000),
               () -> {
                 if (!isOver
                     && work == null
                     && !incoming.headCame()
                     && restsUs == since
-                    && of == lifecycle) {
+                    && of == incarnation) {
                   over(false);
                 }
               });
@@ -241,7 +243,7 @@
 
     @Override
     public void readable(SocketEndpoint same) {
-      if (isOver || of != lifecycle) {
+      if (isOver || of != incarnation) {
         return;
       }
       byte[] bytes = end.readAll();
@@ -256,17 +258,17 @@
         complete();
       }
       if (!isOver && end.over()) {
-        removed();
+        abandon();
       }
     }
 
     /** Whoever sent it gave it up. */
-    private void removed() {
+    private void abandon() {
       if (attempt != null && attempt.endedUs == 0) {
         attempt.endedUs = world.now();
       }
       if (work != null) {
-        work.removed = true;
+        work.isAbandoned = true;
         queue.remove(work);
       }
       over(false);
@@ -331,8 +333,8 @@
       if (request == null) {
         return;
       }
-      Scenario.Kind kind = request.kind;
-      int bodyBytes = kind.effect().equals("idempotent") ? 0 : kind.bodyBytes();
+      Scenario.RequestClass requestClass = request.requestClass;
+      int bodyBytes = requestClass.effect().equals("idempotent") ? 0 : requestClass.bodyBytes();
       if (bodyBytes > 0
           && (incoming.length() != Math.max(bodyBytes, request.id.length() + 1)
               || !incoming.start().startsWith(request.id + " "))) {
@@ -345,10 +347,10 @@
       }
       String timeout = incoming.field("request-timeout-ms");
       long untilUs = world.now() + 1000 * Long.parseLong(timeout == null ? "1000" : timeout);
-      sent(kind.workMs() * 1000);
+      sent(requestClass.workMs() * 1000);
       if (draining
-          || queue.size() >= is.queue()
-          || visits.size() > Math.min(is.connections(), faults.connections)) {
+          || queue.size() >= settings.queue()
+          || visits.size() > Math.min(settings.connections(), faults.connections)) {
         world
             .trace()
             .note(
@@ -358,7 +360,7 @@
                 "at",
                 id,
                 "why",
-                draining ? "drain" : queue.size() >= is.queue() ? "queue" : "connections");
+                draining ? "drain" : queue.size() >= settings.queue() ? "queue" : "connections");
         answer(503, "turned away", "1");
         return;
       }
@@ -369,16 +371,16 @@
     }
 
     void answer(int status, String text, String notStarted) {
-      attempt(
+      respond(
           status, text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), notStarted, false);
     }
 
-    void attempt(int status, byte[] body, String notStarted, boolean chunks) {
+    void respond(int status, byte[] body, String notStarted, boolean chunks) {
       String load =
-          !is.chunks()
-                  && is.reportShare() > 0
+          !settings.chunks()
+                  && settings.reportShare() > 0
                   && request != null
-                  && random.named("report " + request.id).happens(is.reportShare())
+                  && random.named("report " + request.id).happens(settings.reportShare())
               ? "TEXT inflight=" + running + ", queue=" + queue.size()
               : null;
       boolean last = draining;
@@ -401,7 +403,7 @@
 
     /** What is large comes as a disk gives it, not at once. */
     private void drip(byte[] bytes, int from, boolean last) {
-      if (isOver || (this.of != lifecycle && from > 0)) {
+      if (isOver || (this.of != incarnation && from > 0)) {
         return;
       }
       int to = Math.min(bytes.length, from + DRIP);
@@ -440,25 +442,27 @@
    * much.
    */
   private void sent(double workUs) {
-    double windowUs = Double.parseDouble(world.scenario().notified().get("rules.fall_ms")) * 1000;
-    double multiple = Double.parseDouble(world.scenario().notified().get("rules.fall_multiple"));
+    double windowUs =
+        Double.parseDouble(world.scenario().sidecarSettings().get("rules.fall_ms")) * 1000;
+    double multiple =
+        Double.parseDouble(world.scenario().sidecarSettings().get("rules.fall_multiple"));
     double share = share();
     if (share >= 1) {
       return;
     }
-    slowStart.add(new Bit(world.now(), workUs));
-    slowStartUs += workUs;
-    while (!slowStart.isEmpty() && world.now() - slowStart.peek().atUs > windowUs) {
-      slowStartUs -= slowStart.poll().workUs;
+    recentWork.add(new SentWork(world.now(), workUs));
+    recentWorkUs += workUs;
+    while (!recentWork.isEmpty() && world.now() - recentWork.peek().atUs > windowUs) {
+      recentWorkUs -= recentWork.poll().workUs;
     }
     double max =
         multiple
             * share
-            * is.cores()
+            * settings.cores()
             * speed
             * windowUs
             * world.scenario().rules().slowStartSlack();
-    if (slowStartUs > max && fleet.allKnow(id, startedMs)) {
+    if (recentWorkUs > max && fleet.allKnow(id, startedMs)) {
       world
           .oracle()
           .broke(
@@ -468,11 +472,11 @@
                   Locale.ROOT,
                   "%s got %.0f ms of work within %.0f ms and bears %.0f",
                   id,
-                  slowStartUs / 1000,
+                  recentWorkUs / 1000,
                   windowUs / 1000,
                   max / 1000));
-      slowStart.clear();
-      slowStartUs = 0;
+      recentWork.clear();
+      recentWorkUs = 0;
     }
   }
 
@@ -492,35 +496,35 @@
       return;
     }
     running++;
-    Scenario.Kind kind = work.request.kind;
+    Scenario.RequestClass requestClass = work.request.requestClass;
     boolean first =
-        kind.effect().equals("idempotent")
-            || kind.effect().equals("at_most_once")
+        requestClass.effect().equals("idempotent")
+            || requestClass.effect().equals("at_most_once")
             || fleet
-                .group(kind, this)
-                .first(work.request.key, world.now(), Math.round(kind.windowMs() * 1000));
+                .group(requestClass, this)
+                .first(work.request.key, world.now(), Math.round(requestClass.windowMs() * 1000));
     if (first) {
       world.oracle().effect(work.request, id);
     }
     world.trace().note("begin", "op", work.request.id, "at", id, "first", first);
-    double crowd = Math.max(0, running + queue.size() - is.chokeAbove()) * is.choke();
+    double crowd = Math.max(0, running + queue.size() - settings.chokeAbove()) * settings.choke();
     // How much work it is belongs to the request, wherever and in whatever order it comes.
     double us =
         world
                 .random()
                 .named("work " + work.request.id)
-                .logNormal(kind.workMs() * 1000, kind.spread())
+                .logNormal(requestClass.workMs() * 1000, requestClass.spread())
             * faults.slow
             / share()
             / ofCore
-            * (1 + crowd / is.cores());
-    int of = lifecycle;
+            * (1 + crowd / settings.cores());
+    int of = incarnation;
     world
         .time()
         .after(
             Math.round(first ? us : us / 10),
             () -> {
-              if (of == lifecycle) {
+              if (of == incarnation) {
                 finish(work);
               }
             });
@@ -528,17 +532,17 @@
 
   private void finish(Work work) {
     if (faults.pauses > 0) {
-      int of = lifecycle;
+      int of = incarnation;
       deferred.add(
           () -> {
-            if (of == lifecycle) {
+            if (of == incarnation) {
               finish(work);
             }
           });
       return;
     }
     running--;
-    if (!work.removed && !work.visit.isOver && faults.silent == 0) {
+    if (!work.isAbandoned && !work.visit.isOver && faults.silent == 0) {
       reply(work);
     }
     serve();
@@ -550,7 +554,8 @@
     RandomStream own = random.named(request.id);
     boolean error = own.happens(faults.errors);
     boolean reset = !faults.resetsWhen.equals("before") && own.happens(faults.resets);
-    byte[] body = HttpStreamReader.body(request.id + " " + id + " ", request.kind.answerBytes());
+    byte[] body =
+        HttpStreamReader.body(request.id + " " + id + " ", request.requestClass.answerBytes());
     world
         .trace()
         .note("reply", "op", request.id, "at", id, "status", error ? 500 : reset ? 0 : 200);
@@ -570,7 +575,7 @@
       visit.end.send(HttpStreamReader.body("\u0001\u0002 no answer\r\n\r\n", 40), null);
       visit.over(false);
     } else {
-      visit.attempt(200, body, null, is.chunks());
+      visit.respond(200, body, null, settings.chunks());
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoints.java
+++ b/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoints.java
@@ -35,13 +35,18 @@
   }
 
   private EmulatedEndpoint make(int place) {
-    Scenario.Endpoints is = world.scenario().endpoints();
+    Scenario.EndpointSettings settings = world.scenario().endpoints();
     int generation = generations.get(place);
     String id = "e" + place + (generation == 0 ? "" : "." + generation);
     String address =
         "127." + (20 + generation % 200) + "." + place / 250 + "." + (1 + place % 250) + ":9000";
     return new EmulatedEndpoint(
-        world, this, id, is.zones().get(place % is.zones().size()), place % is.cells(), address);
+        world,
+        this,
+        id,
+        settings.zones().get(place % settings.zones().size()),
+        place % settings.cells(),
+        address);
   }
 
   int count() {
@@ -74,10 +79,10 @@
     return sidecars.processes().stream().allMatch(p -> world.oracle().knowsStart(p, id, startedMs));
   }
 
-  DeduplicationMemory group(Scenario.Kind kind, EmulatedEndpoint server) {
+  DeduplicationMemory group(Scenario.RequestClass requestClass, EmulatedEndpoint server) {
     String name =
-        kind.name()
-            + switch (kind.scope()) {
+        requestClass.name()
+            + switch (requestClass.scope()) {
               case "all" -> "";
               case "zone" -> "/zone " + server.zone;
               default -> "/cell " + server.cell;
--- a/emulator/src/main/java/dillcross/emulator/world/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/world/FaultInjector.java
@@ -77,22 +77,22 @@
   }
 
   private void begin(Drawn drawn) {
-    Fault is = drawn.from();
+    Fault fault = drawn.from();
     world
         .trace()
         .note(
             "trouble",
             "id",
-            is.id(),
+            fault.id(),
             "kind",
-            is.kind().word(),
+            fault.kind().word(),
             "target",
             drawn.target(),
             "for",
             drawn.forUs());
-    RandomStream own = world.random().named("strikes " + is.id());
+    RandomStream own = world.random().named("strikes " + fault.id());
     long endUs = world.now() + drawn.forUs();
-    switch (is.kind()) {
+    switch (fault.kind()) {
       case VANISH,
           CUT,
           BLACKHOLE,
@@ -113,11 +113,11 @@
           world.oracle().unseen(world.now(), endUs + 2_000_000);
       default -> {}
     }
-    switch (is.kind()) {
+    switch (fault.kind()) {
       case CUT, LAG, STALL, LIST_OUT, LIST_STALE -> world.oracle().deaf(world.now(), endUs);
       default -> {}
     }
-    switch (is.kind().on) {
+    switch (fault.kind().on) {
       case ENDPOINT -> endpoints(drawn, endUs);
       case ENDPOINTS -> deploy(drawn);
       case LIST -> list(drawn, endUs);
@@ -134,11 +134,11 @@
   }
 
   private void endpoints(Drawn drawn, long endUs) {
-    Fault is = drawn.from();
+    Fault fault = drawn.from();
     double factor = drawn.factor();
     for (EmulatedEndpoint s : servers.named(drawn.target())) {
       EmulatedEndpoint.Faults faults = s.faults;
-      switch (is.kind()) {
+      switch (fault.kind()) {
         case DIE ->
             span(
                 endUs,
@@ -161,21 +161,21 @@
                 });
         case SILENCE -> span(endUs, now -> faults.silent += now ? 1 : -1);
         case SLOW -> span(endUs, now -> faults.slow *= now ? factor : 1 / factor);
-        case ERRORS -> span(endUs, now -> faults.errors = now ? is.share() : 0);
-        case GARBLE -> span(endUs, now -> faults.garbled = now ? is.share() : 0);
+        case ERRORS -> span(endUs, now -> faults.errors = now ? fault.share() : 0);
+        case GARBLE -> span(endUs, now -> faults.garbled = now ? fault.share() : 0);
         case RESETS ->
             span(
                 endUs,
                 now -> {
-                  faults.resetsWhen = is.mode();
-                  faults.resets = now ? is.share() : 0;
+                  faults.resetsWhen = fault.mode();
+                  faults.resets = now ? fault.share() : 0;
                 });
         case PAUSE -> span(endUs, s::pause);
         case NARROW ->
             span(endUs, now -> faults.connections = now ? (int) factor : Integer.MAX_VALUE);
         case BLACKHOLE -> span(endUs, now -> s.listens(!now));
         case DRAIN -> servers.replace(s);
-        default -> throw new IllegalStateException(is.kind().word());
+        default -> throw new IllegalStateException(fault.kind().word());
       }
     }
   }
@@ -190,21 +190,21 @@
   }
 
   private void list(Drawn drawn, long endUs) {
-    Fault is = drawn.from();
-    switch (is.kind()) {
+    Fault fault = drawn.from();
+    switch (fault.kind()) {
       case LIST_OUT ->
           span(
               endUs,
               now ->
                   list.out(
-                      is.mode().equals("silent") || is.mode().equals("error")
-                          ? is.mode()
+                      fault.mode().equals("silent") || fault.mode().equals("error")
+                          ? fault.mode()
                           : "refuse",
                       now));
       case LIST_SLOW -> span(endUs, now -> list.slow(now ? drawn.factor() : -drawn.factor()));
       case LIST_STALE -> span(endUs, list::stale);
       case LIST_RENUMBER -> list.renumber();
-      default -> throw new IllegalStateException(is.kind().word());
+      default -> throw new IllegalStateException(fault.kind().word());
     }
   }
 
--- a/emulator/src/main/java/dillcross/emulator/world/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/world/SidecarProcess.java
@@ -46,10 +46,10 @@
     this.world = world;
     this.list = list;
     this.index = index;
-    Scenario.Fleet is = world.scenario().sidecars();
+    Scenario.SidecarGroup group = world.scenario().sidecars();
     name = "s" + index;
     address = "127.1." + index / 250 + "." + (1 + index % 250) + ":9000";
-    host = new VirtualMachine(name, is.zones().get(index % is.zones().size()));
+    host = new VirtualMachine(name, group.zones().get(index % group.zones().size()));
     app = new VirtualMachine("app of " + name, host);
     random = world.random().named("sidecar " + name);
   }
@@ -102,28 +102,28 @@
   }
 
   private ConfigValues settingValues() {
-    Map<String, String> notified = new HashMap<>(world.scenario().notified());
+    Map<String, String> values = new HashMap<>(world.scenario().sidecarSettings());
     Scenario scenario = world.scenario();
-    notified.put("locality", host.zone());
-    notified.put("me", String.valueOf(index));
-    notified.put("balancers", String.valueOf(scenario.sidecars().count()));
-    notified.put("categories.count", String.valueOf(scenario.requestClasses().size()));
+    values.put("locality", host.zone());
+    values.put("me", String.valueOf(index));
+    values.put("balancers", String.valueOf(scenario.sidecars().count()));
+    values.put("categories.count", String.valueOf(scenario.requestClasses().size()));
     for (int i = 0; i < scenario.requestClasses().size(); i++) {
-      Scenario.Kind kind = scenario.requestClasses().get(i);
+      Scenario.RequestClass requestClass = scenario.requestClasses().get(i);
       String at = "categories." + i + ".";
-      notified.put(at + "name", kind.name());
-      notified.put(at + "effect", kind.effect());
-      notified.put(at + "key_scope", kind.scope());
-      notified.put(at + "window_ms", String.valueOf(kind.windowMs()));
-      notified.put(at + "target_latency_ms", String.valueOf(kind.targetMs()));
-      notified.put(at + "ttl_ms", String.valueOf(kind.timeoutMs()));
-      notified.put(at + "benefit", String.valueOf(kind.priorityWeight()));
+      values.put(at + "name", requestClass.name());
+      values.put(at + "effect", requestClass.effect());
+      values.put(at + "key_scope", requestClass.scope());
+      values.put(at + "window_ms", String.valueOf(requestClass.windowMs()));
+      values.put(at + "target_latency_ms", String.valueOf(requestClass.targetMs()));
+      values.put(at + "ttl_ms", String.valueOf(requestClass.timeoutMs()));
+      values.put(at + "benefit", String.valueOf(requestClass.priorityWeight()));
     }
-    return ConfigValues.ofPairs(notified);
+    return ConfigValues.ofPairs(values);
   }
 
   private void start() {
-    Scenario.Fleet is = world.scenario().sidecars();
+    Scenario.SidecarGroup group = world.scenario().sidecars();
     SidecarSettings settings = ConfigReader.sidecarSettings(settingValues());
     long seed = random.named("start " + starts).any();
     RequestCoordinator coordinator =
@@ -138,11 +138,11 @@
             world.fabric(),
             host,
             address.substring(0, address.indexOf(':')),
-            is.turnUs(),
+            group.turnUs(),
             this::turned);
     server =
         new SidecarServer(
-            network, is.calls(), coordinator, world::now, settings, listAt, limits(is));
+            network, group.calls(), coordinator, world::now, settings, listAt, limits(group));
     ready = false;
     stopping = false;
     try {
@@ -156,11 +156,11 @@
     world.trace().note("start", "sidecar", name, "process", process());
   }
 
-  private static SidecarLimits limits(Scenario.Fleet is) {
+  private static SidecarLimits limits(Scenario.SidecarGroup group) {
     ConfigValues memory =
-        ConfigValues.ofPairs(Map.of("limits.memory_mb", String.valueOf(is.memoryMb())));
+        ConfigValues.ofPairs(Map.of("limits.memory_mb", String.valueOf(group.memoryMb())));
     SidecarLimits limits = ConfigReader.limits(memory);
-    return new SidecarLimits(is.descriptors(), limits.maxBodyBytes(), limits.bufferBytes());
+    return new SidecarLimits(group.descriptors(), limits.maxBodyBytes(), limits.bufferBytes());
   }
 
   private void turned() {
@@ -195,7 +195,7 @@
       server.requestStop();
       double maxTimeoutMs =
           world.scenario().requestClasses().stream()
-              .mapToDouble(Scenario.Kind::timeoutMs)
+              .mapToDouble(Scenario.RequestClass::timeoutMs)
               .max()
               .orElse(0);
       world
--- a/emulator/src/main/java/dillcross/emulator/world/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/world/Simulation.java
@@ -46,8 +46,8 @@
       long notTaken,
       long retries,
       long attempts,
-      double priorityWeight,
-      double possible,
+      double earnedValue,
+      double possibleValue,
       int restarts) {
     public boolean clean() {
       return broken == 0;
@@ -70,7 +70,7 @@
     this.seed = seed;
     this.drawn = drawn;
     RandomStream random = RandomStream.of(seed);
-    Scenario.Net net = scenario.network();
+    Scenario.NetworkSettings net = scenario.network();
     VirtualNetwork fabric =
         new VirtualNetwork(
             time,
@@ -132,7 +132,7 @@
         time.now()
             + REST_US
             + Math.round(
-                Double.parseDouble(scenario.notified().get("limits.keepalive_ms")) * 1000));
+                Double.parseDouble(scenario.sidecarSettings().get("limits.keepalive_ms")) * 1000));
     rest();
     return result();
   }
@@ -187,8 +187,8 @@
     long failed = 0;
     long left = 0;
     long attempts = 0;
-    double priorityWeight = 0;
-    double possible = 0;
+    double earnedValue = 0;
+    double possibleValue = 0;
     for (ObservedRequest request : oracle.requests().values()) {
       boolean soon =
           request.status == 200 && request.answerUs - request.sentUs <= request.targetUs();
@@ -205,8 +205,9 @@
               : 0;
       left += request.excused ? 1 : 0;
       attempts += request.attempts.size();
-      priorityWeight += soon ? request.kind.priorityWeight() : 0;
-      possible += request.attempt == 0 && !request.excused ? request.kind.priorityWeight() : 0;
+      earnedValue += soon ? request.requestClass.priorityWeight() : 0;
+      possibleValue +=
+          request.attempt == 0 && !request.excused ? request.requestClass.priorityWeight() : 0;
     }
     Trace trace = world.trace();
     trace.note(
@@ -239,8 +240,8 @@
         clients.stream().mapToLong(EmulatedClients::notTaken).sum(),
         clients.stream().mapToLong(EmulatedClients::retries).sum(),
         attempts,
-        priorityWeight,
-        possible,
+        earnedValue,
+        possibleValue,
         sidecars.all().stream().mapToInt(s -> Math.max(0, s.starts() - 1)).sum());
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -201,7 +201,7 @@
             mixed.name(),
             mixed.seconds(),
             mixed.sidecars(),
-            mixed.notified(),
+            mixed.sidecarSettings(),
             mixed.requestClasses(),
             mixed.clients(),
             mixed.endpoints(),
--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -88,24 +88,24 @@
 
   @Test
   void aWordOfAnotherPartComesToAllAndTheNewestHolds() {
-    MembershipCluster swarm = new MembershipCluster(40, 3, 1, 1_000_000, 400, 9);
+    MembershipCluster cluster = new MembershipCluster(40, 3, 1, 1_000_000, 400, 9);
     for (int i = 0; i < 40; i++) {
-      swarm.start(i, 0);
+      cluster.start(i, 0);
     }
-    swarm.pass(30_000_000);
-    swarm.of(7).publish(swarm.now(), 2, new byte[] {1});
-    swarm.of(7).publish(swarm.now(), 2, new byte[] {2});
-    swarm.pass(30_000_000);
+    cluster.pass(30_000_000);
+    cluster.of(7).publish(cluster.now(), 2, new byte[] {1});
+    cluster.of(7).publish(cluster.now(), 2, new byte[] {2});
+    cluster.pass(30_000_000);
     for (int i = 0; i < 40; i++) {
-      assertEquals(MemberState.ALIVE, i == 7 ? MemberState.ALIVE : swarm.holds(i, 7));
+      assertEquals(MemberState.ALIVE, i == 7 ? MemberState.ALIVE : cluster.holds(i, 7));
       assertTrue(
           i == 7
-              || (swarm.of(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
-                  && swarm.of(i).payload("s7", 2).orElseThrow().version() == 2));
+              || (cluster.of(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
+                  && cluster.of(i).payload("s7", 2).orElseThrow().version() == 2));
     }
-    swarm.kill(9);
-    swarm.start(9, 0); // who comes later hears of it as well
-    swarm.pass(30_000_000);
-    assertEquals(2, swarm.of(9).payload("s7", 2).orElseThrow().bytes()[0]);
+    cluster.kill(9);
+    cluster.start(9, 0); // who comes later hears of it as well
+    cluster.pass(30_000_000);
+    assertEquals(2, cluster.of(9).payload("s7", 2).orElseThrow().bytes()[0]);
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
+++ b/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
@@ -43,12 +43,12 @@
         "sidecars = 3|[[category]]|name = 'a'!f:1: sidecars: has to be a table",
         "[[category]]|name = 'a'|[settings]|cancel = 1!f:4: settings.cancel: neither true nor false"
       })
-  void aFaultNamesFileLineAndKey(String text, String notified) {
+  void aFaultNamesFileLineAndKey(String text, String expected) {
     InvalidScenarioException invalid =
         assertThrows(
             InvalidScenarioException.class,
             () -> ScenarioReader.parse("f", text.replace('|', '\n').replace('\'', '"')));
-    assertTrue(invalid.getMessage().contains(notified), invalid.getMessage());
+    assertTrue(invalid.getMessage().contains(expected), invalid.getMessage());
   }
 
   @Test
--- a/fleet/src/main/java/dillcross/fleet/ChildProcess.java
+++ b/fleet/src/main/java/dillcross/fleet/ChildProcess.java
@@ -76,17 +76,17 @@
     reader.start();
   }
 
-  private static void found(Pattern pattern, String line, CompletableFuture<String> notified) {
+  private static void found(Pattern pattern, String line, CompletableFuture<String> announced) {
     Matcher m = pattern.matcher(line);
     if (m.matches()) {
-      notified.complete(m.group(1));
+      announced.complete(m.group(1));
     }
   }
 
-  private static String wait(CompletableFuture<String> notified)
+  private static String wait(CompletableFuture<String> announced)
       throws IOException, InterruptedException {
     try {
-      return notified.get(30, TimeUnit.SECONDS);
+      return announced.get(30, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("no word from the process: " + e.getMessage(), e);
     }
--- a/fleet/src/main/java/dillcross/fleet/Demo.java
+++ b/fleet/src/main/java/dillcross/fleet/Demo.java
@@ -81,7 +81,7 @@
       long sent = sum(loads, 0);
       long succeeded = sum(loads, 1);
       long unheard = sum(loads, 4);
-      String notified =
+      String summary =
           String.format(
               Locale.ROOT,
               "ops %d: acked %d, nacked %d, failed %d, with no sidecar there %d; latency p50 %.1f ms, p99 %.1f ms%n",
@@ -92,11 +92,11 @@
               unheard,
               all.getValueAtPercentile(50) / 1000.0,
               all.getValueAtPercentile(99) / 1000.0);
-      out.print(notified);
+      out.print(summary);
       Report.demo(
           folder,
           news,
-          notified,
+          summary,
           standIns.endpoints.stream().map(e -> e.id).toList(),
           attempts,
           requests,
--- a/fleet/src/main/java/dillcross/fleet/Experiment.java
+++ b/fleet/src/main/java/dillcross/fleet/Experiment.java
@@ -97,12 +97,12 @@
       zones.add(String.valueOf(given.get(i)));
     }
     List<Integer> seeds = new ArrayList<>();
-    TomlArray requested = all.isArray("seeds") ? all.getArray("seeds") : null;
-    for (int i = 0; requested != null && i < requested.size(); i++) {
-      if (!(requested.get(i) instanceof Long seed) || seed < 0 || seed >= sidecars) {
-        throw at.fault("seeds", "names no sidecar: " + requested.get(i));
+    TomlArray configuredSeeds = all.isArray("seeds") ? all.getArray("seeds") : null;
+    for (int i = 0; configuredSeeds != null && i < configuredSeeds.size(); i++) {
+      if (!(configuredSeeds.get(i) instanceof Long seed) || seed < 0 || seed >= sidecars) {
+        throw at.fault("seeds", "names no sidecar: " + configuredSeeds.get(i));
       }
-      seeds.add((int) (long) (Long) requested.get(i));
+      seeds.add((int) (long) (Long) configuredSeeds.get(i));
     }
     List<Fault> faults = new ArrayList<>();
     TomlArray tables = all.isArray("fault") ? all.getArray("fault") : null;
--- a/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
+++ b/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
@@ -108,7 +108,7 @@
         long ms = (System.nanoTime() - fromNs) / 1_000_000;
         while (!waiting.isEmpty() && waiting.get(0).atMs() <= ms) {
           Schedule.Drawn drawn = waiting.remove(0);
-          timeline.println(ms + ",rig," + drawn.notified());
+          timeline.println(ms + ",rig," + drawn.describe());
           begin(fleet, drawn, ms, ends, timeline);
         }
         while (!ends.isEmpty() && ends.firstKey() <= ms) {
--- a/fleet/src/main/java/dillcross/fleet/Fleet.java
+++ b/fleet/src/main/java/dillcross/fleet/Fleet.java
@@ -131,7 +131,7 @@
                 zone(member),
                 member,
                 children.length));
-    String requested =
+    String seedAddresses =
         seeds.stream().map(s -> "\"" + plane.address(s) + "\"").collect(Collectors.joining(", "));
     Files.writeString(
         operator,
@@ -143,7 +143,7 @@
                 interval_ms = %d
                 """
             .formatted(
-                DatagramFaultProxy.home(member), plane.address(member), requested, intervalMs));
+                DatagramFaultProxy.home(member), plane.address(member), seedAddresses, intervalMs));
     List<String> command =
         new ArrayList<>(
             List.of(
--- a/fleet/src/main/java/dillcross/fleet/Main.java
+++ b/fleet/src/main/java/dillcross/fleet/Main.java
@@ -1,6 +1,6 @@
 package dillcross.fleet;
 
-import dillcross.emulator.cli.InvalidInputException;
+import dillcross.emulator.cli.InvalidInputHandler;
 import picocli.CommandLine;
 
 /** Where the rig starts. */
@@ -18,7 +18,7 @@
   /** The exit status: 0 clean, 1 violations, 2 faulty input. */
   static int run(String... args) {
     return new CommandLine(new FleetCommand())
-        .setExecutionExceptionHandler(new InvalidInputException())
+        .setExecutionExceptionHandler(new InvalidInputHandler())
         .execute(args);
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -30,7 +30,7 @@
             result.joinedMs() / 1000.0));
     for (Schedule.Drawn drawn : result.faults()) {
       all.append(
-          String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.notified()));
+          String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.describe()));
     }
     all.append(
         String.format(
@@ -105,7 +105,7 @@
   static void demo(
       Path out,
       List<String> news,
-      String notified,
+      String summary,
       List<String> endpoints,
       List<double[]> attempts,
       List<double[]> requests,
@@ -125,7 +125,7 @@
         out.resolve("report.html"),
         page(
             "dillcross demo",
-            String.join("\n", news) + "\n" + notified,
+            String.join("\n", news) + "\n" + summary,
             inline(first) + inline(second)));
   }
 
--- a/fleet/src/main/java/dillcross/fleet/Schedule.java
+++ b/fleet/src/main/java/dillcross/fleet/Schedule.java
@@ -17,7 +17,7 @@
 record Schedule(List<Drawn> faults) {
   /** One fault with its time; milliseconds from when all have found each other. */
   record Drawn(long atMs, long forMs, Experiment.Fault fault, Set<Integer> of, Set<Integer> to) {
-    String notified() {
+    String describe() {
       return fault.kind().word()
           + " of "
           + names(of)
--- a/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
@@ -84,28 +84,28 @@
   private void accept() {
     while (!over) {
       try {
-        Socket requester = entrance.accept();
+        Socket client = entrance.accept();
         connections.incrementAndGet();
-        start(() -> join(requester));
+        start(() -> join(client));
       } catch (IOException closed) {
         return;
       }
     }
   }
 
-  private void join(Socket requester) {
-    Socket requested = new Socket();
+  private void join(Socket client) {
+    Socket server = new Socket();
     try {
-      open.add(requester);
-      open.add(requested);
-      requester.setTcpNoDelay(true);
-      requested.setTcpNoDelay(true);
-      requested.connect(target, 2000);
-      start(() -> pump(requester, requested, true));
-      pump(requested, requester, false);
+      open.add(client);
+      open.add(server);
+      client.setTcpNoDelay(true);
+      server.setTcpNoDelay(true);
+      server.connect(target, 2000);
+      start(() -> pump(client, server, true));
+      pump(server, client, false);
     } catch (IOException nobodyThere) {
-      close(requester);
-      close(requested);
+      close(client);
+      close(server);
     }
   }
 
--- a/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
+++ b/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
@@ -20,13 +20,13 @@
 
   @Test
   void theScheduleIsTheSameForTheSameSeedAndAnotherForAnother() throws Exception {
-    assertEquals(notified(3), notified(3));
-    assertNotEquals(notified(3), notified(4));
+    assertEquals(descriptions(3), descriptions(3));
+    assertNotEquals(descriptions(3), descriptions(4));
   }
 
-  private static java.util.List<String> notified(long seed) throws Exception {
+  private static java.util.List<String> descriptions(long seed) throws Exception {
     return Schedule.draw(Experiment.read(SHIPPED.resolve("short.toml")), seed).faults().stream()
-        .map(d -> d.atMs() + " " + d.notified())
+        .map(d -> d.atMs() + " " + d.describe())
         .toList();
   }
 
--- a/fleet/src/test/java/dillcross/fleet/MembersIT.java
+++ b/fleet/src/test/java/dillcross/fleet/MembersIT.java
@@ -190,20 +190,20 @@
     agreed(fleet.all(), "all find each other");
     for (int i = 0; i < 4; i++) {
       fleet.signal(i, "TERM");
-      int removed = i;
-      assertNotEquals(-1, Fleet.until(LONG_MS, () -> !fleet.child(removed).alive()), "it ends");
+      int leaving = i;
+      assertNotEquals(-1, Fleet.until(LONG_MS, () -> !fleet.child(leaving).alive()), "it ends");
       assertNotEquals(
           -1,
           Fleet.until(
               LONG_MS,
               () ->
-                  fleet.those(m -> m != removed).stream()
+                  fleet.those(m -> m != leaving).stream()
                       .map(fleet::view)
                       .allMatch(
                           v ->
                               v != null
                                   && !v.states()
-                                      .getOrDefault("s" + removed, "left")
+                                      .getOrDefault("s" + leaving, "left")
                                       .equals("alive"))),
           "the others know");
       fleet.kill(i); // its guard
