--- a/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
@@ -1,15 +1,15 @@
 package dillcross.emulator.cli;
 
-import dillcross.emulator.run.Crossings;
-import dillcross.emulator.run.Crossings.Case;
-import dillcross.emulator.run.Crossings.Event;
-import dillcross.emulator.run.Shrink;
 import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
 import dillcross.emulator.scenario.Seeds;
+import dillcross.emulator.search.Crossings;
+import dillcross.emulator.search.Crossings.Case;
+import dillcross.emulator.search.Crossings.Event;
+import dillcross.emulator.search.Shrink;
+import dillcross.emulator.simulation.Simulation;
 import dillcross.emulator.trace.Sha256;
-import dillcross.emulator.world.Simulation;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -1,17 +1,17 @@
 package dillcross.emulator.cli;
 
-import dillcross.emulator.members.MembershipTrial;
+import dillcross.emulator.membership.MembershipTrial;
 import dillcross.emulator.random.RandomStream;
-import dillcross.emulator.run.Explain;
-import dillcross.emulator.run.Shrink;
-import dillcross.emulator.run.Sweep;
 import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
 import dillcross.emulator.scenario.Seeds;
-import dillcross.emulator.world.FaultInjector;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.search.Explain;
+import dillcross.emulator.search.Shrink;
+import dillcross.emulator.search.Sweep;
+import dillcross.emulator.simulation.FaultInjector;
+import dillcross.emulator.simulation.Simulation;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
--- a/emulator/src/main/java/dillcross/emulator/members/Explorer.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.members;
+package dillcross.emulator.membership;
 
 import dillcross.membership.Member;
 import dillcross.membership.MemberRecord;
--- a/emulator/src/main/java/dillcross/emulator/members/MembershipCluster.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.members;
+package dillcross.emulator.membership;
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.time.VirtualClock;
@@ -9,7 +9,7 @@
 import dillcross.membership.MembershipSettings;
 import dillcross.membership.OutboundPacket;
 import dillcross.membership.Packet;
-import dillcross.net.PacketCodec;
+import dillcross.net.membership.PacketCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntPredicate;
--- a/emulator/src/main/java/dillcross/emulator/members/MembershipTrial.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.members;
+package dillcross.emulator.membership;
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.membership.Member;
--- a/emulator/src/main/java/dillcross/emulator/wire/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.wire;
+package dillcross.emulator.network;
 
 import dillcross.emulator.time.VirtualClock;
 import dillcross.net.transport.Network;
@@ -142,7 +142,7 @@
   }
 
   /**
-   * Days of requests play no talk among sidecars; {@code dillcross.emulator.members} carries
+   * Days of requests play no talk among sidecars; {@code dillcross.emulator.membership} carries
    * datagrams between memberships.
    */
   @Override
--- a/emulator/src/main/java/dillcross/emulator/wire/SocketEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.wire;
+package dillcross.emulator.network;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
--- a/emulator/src/main/java/dillcross/emulator/wire/VirtualNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.wire;
+package dillcross.emulator.network;
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.time.VirtualClock;
--- a/emulator/src/main/java/dillcross/emulator/run/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Crossings.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.run;
+package dillcross.emulator.search;
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Fault;
@@ -6,7 +6,7 @@
 import dillcross.emulator.scenario.Fault.Kind;
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.simulation.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/emulator/src/main/java/dillcross/emulator/run/Explain.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Explain.java
@@ -1,9 +1,9 @@
-package dillcross.emulator.run;
+package dillcross.emulator.search;
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.world.FaultInjector;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.simulation.FaultInjector;
+import dillcross.emulator.simulation.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.List;
--- a/emulator/src/main/java/dillcross/emulator/run/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Shrink.java
@@ -1,11 +1,11 @@
-package dillcross.emulator.run;
+package dillcross.emulator.search;
 
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.scenario.Fault;
 import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.simulation.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
 import java.util.List;
--- a/emulator/src/main/java/dillcross/emulator/run/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Sweep.java
@@ -1,8 +1,8 @@
-package dillcross.emulator.run;
+package dillcross.emulator.search;
 
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.simulation.Simulation;
 import dillcross.emulator.trace.Sha256;
-import dillcross.emulator.world.Simulation;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.Map;
--- a/emulator/src/main/java/dillcross/emulator/world/DeduplicationMemory.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DeduplicationMemory.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/emulator/src/main/java/dillcross/emulator/world/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -1,10 +1,10 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import dillcross.emulator.network.SocketEndpoint;
+import dillcross.emulator.network.VirtualMachine;
+import dillcross.emulator.network.VirtualNetwork;
 import dillcross.emulator.random.RandomStream;
-import dillcross.emulator.wire.SocketEndpoint;
-import dillcross.emulator.wire.VirtualMachine;
-import dillcross.emulator.wire.VirtualNetwork;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
--- a/emulator/src/main/java/dillcross/emulator/world/EmulatedClients.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
@@ -1,10 +1,10 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
+import dillcross.emulator.network.SocketEndpoint;
 import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.SocketEndpoint;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
@@ -1,12 +1,12 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
+import dillcross.emulator.network.SocketEndpoint;
+import dillcross.emulator.network.VirtualMachine;
+import dillcross.emulator.network.VirtualNetwork;
 import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.SocketEndpoint;
-import dillcross.emulator.wire.VirtualMachine;
-import dillcross.emulator.wire.VirtualNetwork;
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Locale;
--- a/emulator/src/main/java/dillcross/emulator/world/EmulatedEndpoints.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
@@ -1,7 +1,7 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
+import dillcross.emulator.network.VirtualMachine;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.VirtualMachine;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/emulator/src/main/java/dillcross/emulator/world/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -1,4 +1,4 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Fault;
--- a/emulator/src/main/java/dillcross/emulator/world/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -1,14 +1,14 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
 import dillcross.balancer.LoadBalancer;
 import dillcross.config.ConfigReader;
 import dillcross.config.ConfigValues;
+import dillcross.emulator.network.EmulatedNetwork;
+import dillcross.emulator.network.SocketEndpoint;
+import dillcross.emulator.network.VirtualMachine;
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
-import dillcross.emulator.wire.EmulatedNetwork;
-import dillcross.emulator.wire.SocketEndpoint;
-import dillcross.emulator.wire.VirtualMachine;
 import dillcross.net.SidecarServer;
 import dillcross.sidecar.EndpointListUpdate;
 import dillcross.sidecar.RequestCoordinator;
--- a/emulator/src/main/java/dillcross/emulator/world/SidecarProcesses.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
@@ -1,6 +1,6 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
-import dillcross.emulator.wire.VirtualMachine;
+import dillcross.emulator.network.VirtualMachine;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/emulator/src/main/java/dillcross/emulator/world/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -1,5 +1,6 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
+import dillcross.emulator.network.VirtualNetwork;
 import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Oracle;
 import dillcross.emulator.oracle.Violation;
@@ -9,7 +10,6 @@
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.trace.Trace;
-import dillcross.emulator.wire.VirtualNetwork;
 import dillcross.net.SidecarServer;
 import java.io.OutputStream;
 import java.util.ArrayList;
--- a/emulator/src/main/java/dillcross/emulator/world/SimulationContext.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
@@ -1,11 +1,11 @@
-package dillcross.emulator.world;
+package dillcross.emulator.simulation;
 
+import dillcross.emulator.network.VirtualNetwork;
 import dillcross.emulator.oracle.Oracle;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.trace.Trace;
-import dillcross.emulator.wire.VirtualNetwork;
 
 /** What the parts of a day share. */
 record SimulationContext(
--- a/emulator/src/test/java/dillcross/emulator/EmulateIT.java
+++ b/emulator/src/test/java/dillcross/emulator/EmulateIT.java
@@ -104,7 +104,7 @@
   void eventsThatCrossBreakNoRule() throws IOException, InterruptedException {
     String[] files = {"../scenarios/crossings.toml", "../scenarios/crossings-strict.toml"};
     List<String> pairs = dillcross("crossings", files[0], files[1], "--brief");
-    int kinds = dillcross.emulator.run.Crossings.events().size();
+    int kinds = dillcross.emulator.search.Crossings.events().size();
     assertEquals("status 0", last(pairs), pairs.toString());
     assertEquals("crossings " + 2 * kinds * kinds + " violations 0", pairs.get(pairs.size() - 2));
     List<String> triples =
--- a/emulator/src/test/java/dillcross/emulator/FaultSearch.java
+++ b/emulator/src/test/java/dillcross/emulator/FaultSearch.java
@@ -3,7 +3,7 @@
 import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.simulation.Simulation;
 import java.nio.file.Path;
 import java.util.function.BiFunction;
 import java.util.stream.LongStream;
--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -11,7 +11,7 @@
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.simulation.Simulation;
 import java.io.OutputStream;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -194,7 +194,7 @@
   void aFaultShiftsNothingThatOthersDraw() throws InvalidScenarioException {
     Scenario mixed = ScenarioReader.read(Path.of("../scenarios/mixed.toml"));
     List<Drawn> all =
-        dillcross.emulator.world.FaultInjector.draw(
+        dillcross.emulator.simulation.FaultInjector.draw(
             mixed, dillcross.emulator.random.RandomStream.of(9));
     Scenario fewer =
         new Scenario(
@@ -210,12 +210,12 @@
             mixed.rules(),
             mixed.faults().subList(5, mixed.faults().size()));
     List<Drawn> left =
-        dillcross.emulator.world.FaultInjector.draw(
+        dillcross.emulator.simulation.FaultInjector.draw(
             fewer, dillcross.emulator.random.RandomStream.of(9));
     assertEquals(all.subList(all.size() - left.size(), all.size()), left);
     assertNotEquals(
         all,
-        dillcross.emulator.world.FaultInjector.draw(
+        dillcross.emulator.simulation.FaultInjector.draw(
             mixed, dillcross.emulator.random.RandomStream.of(10)));
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/MembershipSearch.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipSearch.java
@@ -1,6 +1,6 @@
 package dillcross.emulator;
 
-import dillcross.emulator.members.Explorer;
+import dillcross.emulator.membership.Explorer;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.IntFunction;
 
--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.emulator.members.Explorer;
-import dillcross.emulator.members.MembershipCluster;
-import dillcross.emulator.members.MembershipTrial;
+import dillcross.emulator.membership.Explorer;
+import dillcross.emulator.membership.MembershipCluster;
+import dillcross.emulator.membership.MembershipTrial;
 import dillcross.membership.MemberState;
 import java.net.URLClassLoader;
 import java.nio.file.Path;
--- a/emulator/src/test/java/dillcross/emulator/PackagesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PackagesTest.java
@@ -38,7 +38,7 @@
         .resideInAnyPackage("dillcross.emulator.oracle..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("dillcross.emulator.world..", "dillcross.emulator.wire..")
+        .resideInAnyPackage("dillcross.emulator.simulation..", "dillcross.emulator.network..")
         .check(CLASSES);
   }
 
@@ -63,7 +63,7 @@
   void onlyWhatCountsRealTimeReadsAClock() {
     noClasses()
         .that()
-        .resideOutsideOfPackages("dillcross.emulator.run..", "dillcross.emulator.cli..")
+        .resideOutsideOfPackages("dillcross.emulator.search..", "dillcross.emulator.cli..")
         .should()
         .callMethod(System.class, "nanoTime")
         .orShould()
--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -45,7 +45,7 @@
             "NO_EFFECT_TWICE"),
         fault(
             "an attempt after the answer",
-            "net/AttemptExecutor.java",
+            "net/endpoint/AttemptExecutor.java",
             "if (coordinator.maySend(clock.getAsLong(), command.requestId(), command.attempt())) {",
             "if (command != null) {",
             "NOTHING_AFTER DRAIN_KEPT",
@@ -58,7 +58,7 @@
             "DRAIN_KEPT"),
         fault(
             "a watch that falls silent unnoticed",
-            "net/DiscoveryClient.java",
+            "net/discovery/DiscoveryClient.java",
             "nowUs + WatchTimings.WATCH_US + WatchTimings.GRACE_US;",
             "nowUs + WatchTimings.WATCH_US + 20 * WatchTimings.GRACE_US;",
             "DRAIN_KEPT",
@@ -86,13 +86,13 @@
             "cold.toml"),
         fault(
             "a leaked connection",
-            "net/EndpointConnectionPool.java",
+            "net/endpoint/EndpointConnectionPool.java",
             "connection.close();",
             "connection.isOpen();",
             "BACK_TO_REST WITHIN_LIMITS"),
         fault(
             "a lost wake-up",
-            "net/Connection.java",
+            "net/connection/Connection.java",
             "isPaused = false; setReadInterest(true);",
             "setReadInterest(false);",
             "ONE_ANSWER BACK_TO_REST",
@@ -105,7 +105,7 @@
             "NO_EFFECT_TWICE"),
         fault(
             "an answer for another request",
-            "net/AttemptExecutor.java",
+            "net/endpoint/AttemptExecutor.java",
             "return (isUnused || isExchangeOver) && !connection.hasInputEnded();",
             "return (isUnused || isExchangeOver || kind == AttemptResult.Kind.ABANDONED) && !connection.hasInputEnded();",
             "TRUE_CONTENT"),
@@ -123,26 +123,26 @@
             "NO_EFFECT_TWICE"),
         fault(
             "a request that is never over",
-            "net/ClientListener.java",
+            "net/client/ClientListener.java",
             "caller.connection().attachment = null; openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));",
             "caller.connection().attachment = null;",
             "BACK_TO_REST"),
         fault(
             "a body that loses a byte",
-            "net/BodyRelay.java",
+            "net/connection/BodyRelay.java",
             "out.moveFrom(source.in(), count);",
             "out.moveFrom(source.in(), count); out.skip(target.requestCount > 0 && out.size() > 20_000 ? 1 : 0);",
             "TRUE_CONTENT ONE_ANSWER"),
         fault(
             "an abandoned attempt whose bytes are still sent",
-            "net/AttemptExecutor.java",
+            "net/endpoint/AttemptExecutor.java",
             "connection.reset();",
             "connection.close();",
             "NO_EFFECT_TWICE NOTHING_AFTER",
             "heals.toml"),
         fault(
             "a time that begins when an endpoint takes the last byte",
-            "net/HttpConnectionCodec.java",
+            "net/connection/HttpConnectionCodec.java",
             "if (connection.isServerSide() && connection.parser().hasRestArrived(connection.in())) {",
             "if (connection.isServerSide() && connection.parser().fault() < 0) {",
             "IN_TIME"),
--- a/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
+++ b/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.emulator.run.Shrink;
 import dillcross.emulator.scenario.Fault;
 import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
+import dillcross.emulator.search.Shrink;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -94,7 +94,7 @@
         GOOD + "[[trouble]]\nkind = \"slow\"\nat_ms = [10, 900]\nfactor = [2, 9]\ncount = 3\n";
     Scenario scenario = ScenarioReader.parse("f", text);
     var drawn =
-        dillcross.emulator.world.FaultInjector.draw(
+        dillcross.emulator.simulation.FaultInjector.draw(
             scenario, dillcross.emulator.random.RandomStream.of(4));
     assertEquals(3, drawn.size());
     var few =
--- a/emulator/src/test/java/dillcross/emulator/SweepTest.java
+++ b/emulator/src/test/java/dillcross/emulator/SweepTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.emulator.run.Explain;
-import dillcross.emulator.run.Shrink;
-import dillcross.emulator.run.Sweep;
 import dillcross.emulator.scenario.InvalidScenarioException;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
-import dillcross.emulator.world.Simulation;
+import dillcross.emulator.search.Explain;
+import dillcross.emulator.search.Shrink;
+import dillcross.emulator.search.Sweep;
+import dillcross.emulator.simulation.Simulation;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -103,7 +103,7 @@
   void theSameSeedIsTheSameDayToTheByte() throws InvalidScenarioException {
     Scenario mixed = ScenarioReader.read(SCENARIOS.resolve("mixed.toml"));
     var drawn =
-        dillcross.emulator.world.FaultInjector.draw(
+        dillcross.emulator.simulation.FaultInjector.draw(
             mixed, dillcross.emulator.random.RandomStream.of(3));
     ByteArrayOutputStream one = new ByteArrayOutputStream();
     ByteArrayOutputStream two = new ByteArrayOutputStream();
--- a/emulator/src/test/java/dillcross/emulator/WireContractTest.java
+++ b/emulator/src/test/java/dillcross/emulator/WireContractTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillcross.common.NumericAddress;
+import dillcross.emulator.network.EmulatedNetwork;
+import dillcross.emulator.network.VirtualMachine;
+import dillcross.emulator.network.VirtualNetwork;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.time.VirtualClock;
-import dillcross.emulator.wire.EmulatedNetwork;
-import dillcross.emulator.wire.VirtualMachine;
-import dillcross.emulator.wire.VirtualNetwork;
 import dillcross.net.grizzly.GrizzlyNetwork;
 import dillcross.net.transport.Network;
 import dillcross.net.transport.TransportChannel;
--- a/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
@@ -1,7 +1,7 @@
 package dillcross.cli;
 
-import dillcross.simhost.MalformedInputException;
-import dillcross.simhost.SimulatorSession;
+import dillcross.simulator.MalformedInputException;
+import dillcross.simulator.SimulatorSession;
 import java.io.BufferedOutputStream;
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
--- a/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
+++ b/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
@@ -1,5 +1,9 @@
 package dillcross.net;
 
+import dillcross.net.client.ClientListener;
+import dillcross.net.connection.InboundResponse;
+import dillcross.net.discovery.DiscoveryClient;
+import dillcross.net.endpoint.AttemptExecutor;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpResponse;
 import dillcross.sidecar.NetworkCommand;
--- a/sidecar/src/main/java/dillcross/net/ShutdownSequence.java
+++ b/sidecar/src/main/java/dillcross/net/ShutdownSequence.java
@@ -1,5 +1,7 @@
 package dillcross.net;
 
+import dillcross.net.admin.Lifecycle;
+import dillcross.net.client.ClientConnections;
 import dillcross.sidecar.RequestCoordinator;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/sidecar/src/main/java/dillcross/net/SidecarServer.java
+++ b/sidecar/src/main/java/dillcross/net/SidecarServer.java
@@ -1,6 +1,15 @@
 package dillcross.net;
 
+import dillcross.net.admin.AdminEndpoint;
+import dillcross.net.admin.AdminPaths;
+import dillcross.net.admin.Lifecycle;
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.client.ClientConnections;
+import dillcross.net.client.ClientListener;
+import dillcross.net.discovery.DiscoveryClient;
+import dillcross.net.endpoint.AttemptExecutor;
+import dillcross.net.endpoint.EndpointConnectionPool;
+import dillcross.net.membership.MembershipService;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.NetworkCommand;
 import dillcross.sidecar.RequestCoordinator;
--- a/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
@@ -1,5 +1,7 @@
 package dillcross.net;
 
+import dillcross.net.connection.InboundRequest;
+import dillcross.net.endpoint.AttemptExecutor;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpRequest;
 import dillcross.sidecar.NetworkCommand;
--- a/sidecar/src/main/java/dillcross/net/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
@@ -1,11 +1,14 @@
-package dillcross.net;
+package dillcross.net.admin;
 
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.connection.Connection;
+import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.membership.MembershipService;
 import dillcross.net.transport.Network;
 import dillcross.net.transport.TransportChannel;
 import java.util.LinkedHashMap;
@@ -21,7 +24,7 @@
  * so a crowd of clients can't shut it, and callers that finish no call give way to the next. On the
  * selector thread.
  */
-final class AdminEndpoint implements MessageHandler, Network.ConnectionAcceptor {
+public final class AdminEndpoint implements MessageHandler, Network.ConnectionAcceptor {
   private static final int MAX_CONNECTIONS = 8; // descriptors set aside for them
   private static final long MAX_CALL_US = 5_000_000;
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
@@ -33,13 +36,17 @@
   private final Set<Connection> connections = new LinkedHashSet<>(); // the oldest first
   private Optional<MembershipService> membership = Optional.empty();
 
-  AdminEndpoint(Lifecycle lifecycle, LongSupplier clock) {
+  /**
+   * An admin endpoint that reports and controls {@code lifecycle}; {@code clock} gives
+   * microseconds.
+   */
+  public AdminEndpoint(Lifecycle lifecycle, LongSupplier clock) {
     this.lifecycle = lifecycle;
     this.clock = clock;
   }
 
   /** Serves the view of a membership too. */
-  void show(MembershipService service) {
+  public void show(MembershipService service) {
     membership = Optional.of(service);
   }
 
@@ -130,7 +137,7 @@
   }
 
   /** Closes who has stayed for too long. */
-  void expire(long nowUs) {
+  public void expire(long nowUs) {
     while (!connections.isEmpty()) {
       Connection oldest = connections.iterator().next();
       if (nowUs - oldest.idleSinceUs <= MAX_CALL_US) {
--- a/sidecar/src/main/java/dillcross/net/AdminPaths.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminPaths.java
@@ -1,11 +1,11 @@
-package dillcross.net;
+package dillcross.net.admin;
 
 /** Paths that the sidecar itself serves. */
-final class AdminPaths {
+public final class AdminPaths {
   /** Health check, on the clients' address. */
-  static final String HEALTH = "/healthz";
+  public static final String HEALTH = "/healthz";
 
-  static final String READY = "/-/ready";
+  public static final String READY = "/-/ready";
   static final String DRAIN = "/-/drain";
   static final String RESUME = "/-/resume";
   static final String MEMBERS = "/-/members";
--- a/sidecar/src/main/java/dillcross/net/Lifecycle.java
+++ b/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
@@ -1,10 +1,10 @@
-package dillcross.net;
+package dillcross.net.admin;
 
 /**
  * Where this process stands, in one place: health, admin endpoint, listener and SIGTERM read it
  * here and keep no flags of their own. Belongs to the selector thread.
  */
-final class Lifecycle {
+public final class Lifecycle {
   // After a drain began: the front has seen the health check fail, busy clients have come back.
   private static final long DRAIN_NOTICE_US = 1_500_000;
   // After SIGTERM: it must leave the longest deadline for what arrives until then.
@@ -25,7 +25,7 @@
   private long stopUs;
 
   /** It is warm, and the listening socket is ours to serve. */
-  void markReady(long nowUs) {
+  public void markReady(long nowUs) {
     if (stage == Stage.STARTING) {
       stage = Stage.SERVING;
       if (isDrainRequested) {
@@ -53,7 +53,7 @@
   }
 
   /** Begins the graceful shutdown; nothing leads back from here. */
-  void stop(long nowUs) {
+  public void stop(long nowUs) {
     if (stage != Stage.STOPPING) {
       stage = Stage.STOPPING;
       stopUs = nowUs;
@@ -62,26 +62,27 @@
   }
 
   /** Whether new clients are wanted: what the health check says. */
-  boolean isHealthy() {
+  public boolean isHealthy() {
     return stage == Stage.SERVING;
   }
 
   /** Whether this process can serve: what operators are told. */
-  boolean isReady() {
+  public boolean isReady() {
     return stage == Stage.SERVING || stage == Stage.DRAINING;
   }
 
   /** Whether each response closes its connection. */
-  boolean closesConnections() {
+  public boolean closesConnections() {
     return stage == Stage.DRAINING || stage == Stage.STOPPING;
   }
 
-  boolean isStopping() {
+  /** Whether the process stops and takes no new requests. */
+  public boolean isStopping() {
     return stage == Stage.STOPPING;
   }
 
   /** Whether idle connections are closed at once. */
-  boolean closesIdleConnections(long nowUs) {
+  public boolean closesIdleConnections(long nowUs) {
     return nowUs >= closeIdleFromUs;
   }
 
@@ -89,7 +90,7 @@
    * Of a client's timeout, as much as the shutdown leaves: who brings a request late on a
    * connection that stayed open gets its answer too.
    */
-  long limitTimeout(long timeoutUs, long maxTimeoutUs, long nowUs) {
+  public long limitTimeout(long timeoutUs, long maxTimeoutUs, long nowUs) {
     if (!isStopping()) {
       return timeoutUs;
     }
@@ -98,7 +99,7 @@
   }
 
   /** Time since the shutdown began, in microseconds. */
-  long stoppingForUs(long nowUs) {
+  public long stoppingForUs(long nowUs) {
     return nowUs - stopUs;
   }
 }
--- a/sidecar/src/main/java/dillcross/net/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -1,5 +1,6 @@
-package dillcross.net;
+package dillcross.net.client;
 
+import dillcross.net.connection.Connection;
 import dillcross.net.transport.Network;
 import java.io.IOException;
 import java.util.LinkedHashSet;
@@ -12,7 +13,7 @@
  * The connections of clients and their limit: whom to close for a new one, and when to stop
  * accepting. Belongs to the selector thread.
  */
-final class ClientConnections {
+public final class ClientConnections {
   /** At the limit: that a client has to come back with the next request. */
   static final long RECENT_US = 2_000_000;
 
@@ -30,12 +31,14 @@
   private boolean isAcceptPaused;
   private long loggedUs;
 
-  ClientConnections(LongSupplier clock, int maxConnections) {
+  /** No connections yet, at most {@code maxConnections}; {@code clock} gives microseconds. */
+  public ClientConnections(LongSupplier clock, int maxConnections) {
     this.clock = clock;
     this.maxConnections = maxConnections;
   }
 
-  void setListeningSocket(Network.ListeningSocket socket) {
+  /** The socket that stops accepting while the limit of connections is reached. */
+  public void setListeningSocket(Network.ListeningSocket socket) {
     listeningSocket = socket;
   }
 
@@ -151,7 +154,7 @@
   /**
    * Where another process accepts from the socket too, what is in its queue is left to that one.
    */
-  void stopAccepting(boolean isShared) {
+  public void stopAccepting(boolean isShared) {
     if (listeningSocket == null) {
       return;
     }
@@ -168,7 +171,7 @@
   }
 
   /** Whether nothing more can arrive on any connection, and all responses are written. */
-  boolean areDrained() {
+  public boolean areDrained() {
     return connections.stream()
         .allMatch(connection -> connection.isClosing && connection.out().size() == 0);
   }
--- a/sidecar/src/main/java/dillcross/net/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -1,7 +1,12 @@
-package dillcross.net;
+package dillcross.net.client;
 
 import dillcross.model.RequestClass;
+import dillcross.net.admin.AdminPaths;
+import dillcross.net.admin.Lifecycle;
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.connection.Connection;
+import dillcross.net.connection.InboundRequest;
+import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
@@ -20,7 +25,7 @@
 import java.util.function.LongSupplier;
 
 /** The clients' side: takes their requests and sends them responses. On the selector thread. */
-final class ClientListener implements MessageHandler, Network.ConnectionAcceptor {
+public final class ClientListener implements MessageHandler, Network.ConnectionAcceptor {
   private static final long LINGER_US = 500_000; // for the client to read a last response and close
   private static final long TRANSFER_US = 2_000_000; // for a first byte, or for a response's bytes
   private static final long HEAD_US = 2_500_000; // for a request's head
@@ -39,7 +44,7 @@
   private long maxTimeoutUs;
 
   /** Who waits for the response to a request: the connection that brought it. */
-  record Caller(Connection connection, HttpRequest request) {}
+  public record Caller(Connection connection, HttpRequest request) {}
 
   /** What a connection waits for: our id of the request, and the client's. */
   private record PendingRequest(long requestId, String clientId) {}
@@ -49,7 +54,7 @@
    *
    * @param maxBody bytes of the largest request body
    */
-  ClientListener(
+  public ClientListener(
       RequestCoordinator coordinator,
       Lifecycle lifecycle,
       LongSupplier clock,
@@ -65,7 +70,7 @@
   }
 
   /** What is served from now on; requests that are open go on. */
-  void configure(List<RequestClass> served, long newMaxTimeoutUs) {
+  public void configure(List<RequestClass> served, long newMaxTimeoutUs) {
     Map<String, RequestClass> byName = new LinkedHashMap<>();
     served.forEach(requestClass -> byName.put(requestClass.name(), requestClass));
     requestClasses = byName;
@@ -73,7 +78,7 @@
   }
 
   /** Reads what has arrived from a client that waits for its response, which may be its end. */
-  void readPending(Caller caller) {
+  public void readPending(Caller caller) {
     Connection connection = caller.connection();
     // Of a body that is relayed the end is seen as it is forwarded.
     if (connection.isOpen() && connection.inboundRelay == null) {
@@ -184,7 +189,7 @@
   }
 
   /** Sends a client its complete response. */
-  void respond(Caller caller, HttpResponse response) {
+  public void respond(Caller caller, HttpResponse response) {
     caller.connection().attachment = null;
     openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));
     respond(caller.connection(), caller.request(), response);
@@ -226,7 +231,7 @@
   }
 
   /** Begins a response whose rest is relayed; whether that has to be written in chunks. */
-  boolean startStreaming(Caller caller, HttpResponse response) {
+  public boolean startStreaming(Caller caller, HttpResponse response) {
     HttpResponse head = response.forwardedTo(caller.request());
     Connection connection = caller.connection();
     boolean untilClose = head.remainingBytes() == HttpMessage.UNTIL_CLOSE;
@@ -239,7 +244,7 @@
   }
 
   /** A streamed response has come to its end, or broke off, which the client is to see. */
-  void finishStreaming(Caller caller, boolean complete) {
+  public void finishStreaming(Caller caller, boolean complete) {
     Connection connection = caller.connection();
     connection.attachment = null;
     openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));
@@ -262,7 +267,7 @@
   // Shutdown and expiry
 
   /** Requests that wait for their response. */
-  int openRequests() {
+  public int openRequests() {
     return openIds.size();
   }
 
@@ -271,7 +276,7 @@
    * nothing or do not read their response: a slow client would use up the limit. What makes
    * progress, if only slowly, may go on.
    */
-  void expire(long nowUs) {
+  public void expire(long nowUs) {
     for (Connection connection : connections.snapshot()) {
       connection.noteProgress(nowUs);
       long stillUs = nowUs - Math.max(connection.lastProgressUs(), connection.idleSinceUs);
--- a/sidecar/src/main/java/dillcross/net/RequestValidator.java
+++ b/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.client;
 
 import dillcross.model.Idempotency;
 import dillcross.model.RequestClass;
--- a/sidecar/src/main/java/dillcross/net/BodyRelay.java
+++ b/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.net.buffer.RingBuffer;
 import dillcross.net.http.HttpMessage;
@@ -9,9 +9,9 @@
  * arrives and no faster than the other side takes it. What arrives meanwhile waits in the first
  * connection's buffer, which then stops reading.
  */
-final class BodyRelay {
+public final class BodyRelay {
   /** Waits for what becomes of the body. */
-  interface Listener {
+  public interface Listener {
     /** Bytes were released, so the body can't be sent a second time. */
     void onBytesReleased();
 
@@ -37,14 +37,15 @@
    *
    * @param chunked whether the body is written in chunks
    */
-  BodyRelay(Connection source, Connection target, boolean chunked, Listener listener) {
+  public BodyRelay(Connection source, Connection target, boolean chunked, Listener listener) {
     this.source = source;
     this.target = target;
     this.chunked = chunked;
     this.listener = listener;
   }
 
-  void start() {
+  /** Attaches the relay to both connections. */
+  public void start() {
     source.inboundRelay = this;
     target.outboundRelay = this;
     source.in().setKeepsCapacity(true);
@@ -53,7 +54,7 @@
   }
 
   /** What is left goes nowhere. */
-  void detach() {
+  public void detach() {
     isOver = true;
     if (source.inboundRelay == this) {
       source.inboundRelay = null;
--- a/sidecar/src/main/java/dillcross/net/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.buffer.RingBuffer;
@@ -15,7 +15,7 @@
  * The fields that its owner (listener, pool, discovery or admin endpoint) keeps here are package
  * private. Belongs to the selector thread.
  */
-final class Connection implements Network.ConnectionHandler, TransportChannel.WriteCallback {
+public final class Connection implements Network.ConnectionHandler, TransportChannel.WriteCallback {
   private static final int MAX_DISCARDED_BYTES = 1 << 20; // that follow a last response
   private static final int MAX_PIPELINED_BYTES = 512 << 10; // held behind an open request
   private static final ByteBuffer DISCARDED = ByteBuffer.allocate(32 << 10); // nobody reads it
@@ -30,31 +30,31 @@
   private final HttpMessageParser parser;
 
   /** What it carries: a request in progress, or an attempt; null while it is idle. */
-  Object attachment;
+  public Object attachment;
 
   /** Where it waits while it is idle; null where it is not pooled. */
-  Collection<Connection> pool;
+  public Collection<Connection> pool;
 
   /** Takes what arrives here; null while complete messages are read. */
-  BodyRelay inboundRelay;
+  public BodyRelay inboundRelay;
 
   /** Brings what is sent here; null while complete messages are written. */
-  BodyRelay outboundRelay;
+  public BodyRelay outboundRelay;
 
   /** To be closed once the response that is streamed is over. */
-  boolean closesAfterResponse;
+  public boolean closesAfterResponse;
 
   /** To be closed once all output is written. */
-  boolean isClosing;
+  public boolean isClosing;
 
   /** Complete requests that it brought. */
-  int requestCount;
+  public int requestCount;
 
   /** Since when it carries nothing. */
-  long idleSinceUs;
+  public long idleSinceUs;
 
   /** Since when a part of a message is there; 0 while none is. */
-  long partialSinceUs;
+  public long partialSinceUs;
 
   private long maxDiscardedBytes = MAX_DISCARDED_BYTES;
   private long discardedBytes;
@@ -77,7 +77,7 @@
    * @param maxBufferedBody bytes of a body that is handed on completely; larger ones are streamed
    * @param maxBody bytes of any body
    */
-  Connection(
+  public Connection(
       TransportChannel channel,
       MessageHandler handler,
       boolean isServerSide,
@@ -109,15 +109,18 @@
     return handler;
   }
 
-  RingBuffer in() {
+  /** Bytes that arrived and are not yet read. */
+  public RingBuffer in() {
     return in;
   }
 
-  RingBuffer out() {
+  /** Bytes to be sent. */
+  public RingBuffer out() {
     return out;
   }
 
-  HttpMessageParser parser() {
+  /** The parser of what arrives. */
+  public HttpMessageParser parser() {
     return parser;
   }
 
@@ -125,20 +128,23 @@
     return isServerSide;
   }
 
-  boolean isOpen() {
+  /** Whether the channel is open. */
+  public boolean isOpen() {
     return channel.isOpen();
   }
 
-  void markConnected() {
+  /** Notes that the connect has succeeded. */
+  public void markConnected() {
     isConnected = true;
   }
 
-  boolean isConnected() {
+  /** Whether the connect has succeeded. */
+  public boolean isConnected() {
     return isConnected;
   }
 
   /** Whether nothing more arrives. */
-  boolean hasInputEnded() {
+  public boolean hasInputEnded() {
     return hasInputEnded;
   }
 
@@ -184,14 +190,14 @@
   }
 
   /** Whether something has arrived that nobody has read: an idle connection must not close then. */
-  boolean hasUnreadInput() {
+  public boolean hasUnreadInput() {
     int before = in.size();
     fill();
     return in.size() > before;
   }
 
   /** Whether an idle connection may carry a message: what arrived meanwhile belongs to nobody. */
-  boolean isReusable() {
+  public boolean isReusable() {
     if (!isOpen() || hasInputEnded) {
       return false;
     }
@@ -200,7 +206,7 @@
   }
 
   /** Whether so much followed an open request that it was discarded. */
-  boolean hasOverrun() {
+  public boolean hasOverrun() {
     return hasOverrun;
   }
 
@@ -219,7 +225,7 @@
   }
 
   /** Stops reading while what has arrived can't go on, or each select would report it again. */
-  void pauseIfFull() {
+  public void pauseIfFull() {
     boolean isBehindRequest = isServerSide && attachment != null && !parser.isStreaming();
     if (isBehindRequest && in.size() >= MAX_PIPELINED_BYTES) {
       // No more is taken: only the end is still looked for, or the request of a client that sends
@@ -234,7 +240,7 @@
   }
 
   /** Reads on, now that there is space again. */
-  void resumeReading() {
+  public void resumeReading() {
     boolean isRelayBehind = parser.isStreaming() && in.size() > BodyRelay.WINDOW_BYTES / 2;
     if (isPaused && !hasInputEnded && !isInputFull() && !isRelayBehind) {
       isPaused = false;
@@ -250,12 +256,13 @@
     }
   }
 
-  boolean isPaused() {
+  /** Whether reading is paused until the buffer has space. */
+  public boolean isPaused() {
     return isPaused;
   }
 
   /** Has what was left in the buffer read, within the next events. */
-  void scheduleRead() {
+  public void scheduleRead() {
     try {
       channel.scheduleRead();
     } catch (IOException gone) {
@@ -264,12 +271,12 @@
   }
 
   /** Whether a part of a message has arrived. */
-  boolean hasPartialMessage() {
+  public boolean hasPartialMessage() {
     return in.size() > 0 || parser.isInMessage();
   }
 
   /** Its message was answered before it was complete: what still arrives is discarded. */
-  void discardRest(long maxBytes) {
+  public void discardRest(long maxBytes) {
     maxDiscardedBytes = maxBytes;
     isClosing = true;
     in.clear();
@@ -277,12 +284,12 @@
   }
 
   /** As {@link #discardRest(long)}, with the present limit. */
-  void discardRest() {
+  public void discardRest() {
     discardRest(maxDiscardedBytes);
   }
 
   /** Notes whether bytes were read or written since the last call. */
-  void noteProgress(long nowUs) {
+  public void noteProgress(long nowUs) {
     if (progressBytes != seenProgressBytes) {
       seenProgressBytes = progressBytes;
       lastProgressUs = nowUs;
@@ -290,14 +297,14 @@
   }
 
   /** When bytes were last seen to be read or written; 0 before. */
-  long lastProgressUs() {
+  public long lastProgressUs() {
     return lastProgressUs;
   }
 
   // Output
 
   /** Sends a message; where there is no space for it nothing of it is sent, and it closes. */
-  void send(HttpMessage message) {
+  public void send(HttpMessage message) {
     wasLastMessageDropped = !out.add(message.encode());
     if (wasLastMessageDropped) {
       close();
@@ -307,7 +314,7 @@
   }
 
   /** Whether all of its last message was handed to the network. */
-  boolean isFullyWritten() {
+  public boolean isFullyWritten() {
     return isConnected && !wasLastMessageDropped && outboundRelay == null && out.size() == 0;
   }
 
@@ -343,7 +350,7 @@
   // Closing
 
   /** Sends no more than what is in the buffer; then it closes. */
-  void closeAfterOutput() {
+  public void closeAfterOutput() {
     isClosing = true;
     if (out.size() == 0 && !isWriting) {
       shutdownOutput();
@@ -360,7 +367,7 @@
   }
 
   /** Closes it so that the other side can't take what arrived for the complete message. */
-  void reset() {
+  public void reset() {
     try {
       channel.resetOnClose();
     } catch (IOException gone) {
@@ -369,12 +376,13 @@
     close();
   }
 
-  void close() {
+  /** Closes the channel; output not yet written may be lost. */
+  public void close() {
     channel.close();
   }
 
   /** After its close was reported to all: its memory goes to others. */
-  void releaseBuffers() {
+  public void releaseBuffers() {
     in.release();
     out.release();
   }
--- a/sidecar/src/main/java/dillcross/net/ConnectionFactory.java
+++ b/sidecar/src/main/java/dillcross/net/connection/ConnectionFactory.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.common.NumericAddress;
 import dillcross.net.buffer.MemoryBudget;
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /** Opens connections for a message handler. Each exists before it is up, so it can be given up. */
-final class ConnectionFactory {
+public final class ConnectionFactory {
   private final Network network;
   private final MessageHandler handler;
   private final MemoryBudget budget;
@@ -17,7 +17,7 @@
   private final long maxBody;
 
   /** A factory of connections with these limits, in bytes, of response bodies. */
-  ConnectionFactory(
+  public ConnectionFactory(
       Network network,
       MessageHandler handler,
       int maxBufferedBody,
@@ -36,7 +36,7 @@
    * @param callback called once, with the connection when it is up, or empty where it failed
    * @return the connection that is opening; empty where it has failed already
    */
-  Optional<Connection> open(String address, Consumer<Optional<Connection>> callback) {
+  public Optional<Connection> open(String address, Consumer<Optional<Connection>> callback) {
     Optional<InetSocketAddress> target = NumericAddress.parse(address);
     if (target.isEmpty()) {
       callback.accept(Optional.empty());
--- a/sidecar/src/main/java/dillcross/net/HttpConnectionCodec.java
+++ b/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
--- a/sidecar/src/main/java/dillcross/net/InboundRequest.java
+++ b/sidecar/src/main/java/dillcross/net/connection/InboundRequest.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.net.http.HttpRequest;
 
@@ -7,4 +7,4 @@
  *
  * @param source brings the rest of its body; null where the body is complete
  */
-record InboundRequest(HttpRequest request, Connection source) {}
+public record InboundRequest(HttpRequest request, Connection source) {}
--- a/sidecar/src/main/java/dillcross/net/InboundResponse.java
+++ b/sidecar/src/main/java/dillcross/net/connection/InboundResponse.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.net.http.HttpResponse;
 
@@ -7,4 +7,4 @@
  *
  * @param source brings the rest of its body
  */
-record InboundResponse(HttpResponse response, Connection source) {}
+public record InboundResponse(HttpResponse response, Connection source) {}
--- a/sidecar/src/main/java/dillcross/net/MessageHandler.java
+++ b/sidecar/src/main/java/dillcross/net/connection/MessageHandler.java
@@ -1,9 +1,9 @@
-package dillcross.net;
+package dillcross.net.connection;
 
 import dillcross.net.http.HttpMessage;
 
 /** Handles the messages of connections, and learns when a connection is gone. */
-interface MessageHandler {
+public interface MessageHandler {
   /** A message has arrived, complete or with the first bytes of a body that is streamed. */
   void onMessage(Connection connection, HttpMessage message);
 
--- a/sidecar/src/main/java/dillcross/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -1,7 +1,10 @@
-package dillcross.net;
+package dillcross.net.discovery;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.connection.Connection;
+import dillcross.net.connection.ConnectionFactory;
+import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
@@ -34,7 +37,7 @@
  * a fleet that moves at once has to wait there. Costs where the old address is wrong: it is
  * believed for as long.
  */
-final class DiscoveryClient implements MessageHandler {
+public final class DiscoveryClient implements MessageHandler {
   private static final int MAX_LIST_BYTES = 1 << 20;
   private static final int MICROS_PER_MILLI = 1000;
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
@@ -51,7 +54,8 @@
   private boolean isFailing;
   private boolean isBehind = true; // no call was answered since the start, a failure, or a move
 
-  DiscoveryClient(
+  /** A client of the discovery service at {@code address}; {@code clock} gives microseconds. */
+  public DiscoveryClient(
       Network network,
       RequestCoordinator coordinator,
       LongSupplier clock,
@@ -65,12 +69,12 @@
   }
 
   /** The time-out of connecting, from now on. */
-  void configure(long newConnectTimeoutUs) {
+  public void configure(long newConnectTimeoutUs) {
     connectTimeoutUs = Math.min(newConnectTimeoutUs, WatchTimings.OVERLAP_US / 2);
   }
 
   /** Begins a call, unless one is out that brings the update. */
-  void watch(NetworkCommand.WatchEndpoints command) {
+  public void watch(NetworkCommand.WatchEndpoints command) {
     if (newest != null) {
       return;
     }
@@ -115,7 +119,7 @@
    * From now on discovery is at another address; a watch of the old one goes on until that has
    * answered, all other calls end.
    */
-  void moveTo(String newAddress) {
+  public void moveTo(String newAddress) {
     boolean isWatching = !isBehind && newest != null && newest.isConnected();
     WatchCall watch = isWatching ? newest : former;
     if (watch == newest) {
@@ -268,7 +272,7 @@
   }
 
   /** Reads what has arrived meanwhile: what is about to be sent must not miss an update. */
-  void readPending() {
+  public void readPending() {
     for (WatchCall call : calls()) { // reading one may end the others
       if (call.isConnected() && call.connection.isOpen()) {
         call.connection.onReadable();
@@ -277,12 +281,12 @@
   }
 
   /** When the next call is due beside the one that is out. */
-  long nextDueUs() {
+  public long nextDueUs() {
     return newest == null ? Long.MAX_VALUE : newest.nextCallUs;
   }
 
   /** A call that hangs has failed; but its response is taken as long as no later call hangs too. */
-  void expire(long nowUs) {
+  public void expire(long nowUs) {
     if (newest != null && nowUs >= newest.nextCallUs) {
       Connection oldest = overdue == null ? null : overdue.connection;
       overdue = newest;
--- a/sidecar/src/main/java/dillcross/net/WatchCall.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchCall.java
@@ -1,4 +1,6 @@
-package dillcross.net;
+package dillcross.net.discovery;
+
+import dillcross.net.connection.Connection;
 
 /** One call to discovery. Plain state. */
 final class WatchCall {
--- a/sidecar/src/main/java/dillcross/net/WatchTimings.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchTimings.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.discovery;
 
 /**
  * Times of discovery calls, all parts of one deadline: whatever became of earlier calls, an update
--- a/sidecar/src/main/java/dillcross/net/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -1,6 +1,12 @@
-package dillcross.net;
+package dillcross.net.endpoint;
 
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.connection.BodyRelay;
+import dillcross.net.connection.Connection;
+import dillcross.net.connection.ConnectionFactory;
+import dillcross.net.connection.InboundRequest;
+import dillcross.net.connection.InboundResponse;
+import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
@@ -22,7 +28,7 @@
  * Carries out attempts on connections to endpoints. Nothing here is sent twice: each attempt is
  * written once, and reported once. Belongs to the selector thread.
  */
-final class AttemptExecutor implements MessageHandler {
+public final class AttemptExecutor implements MessageHandler {
   private static final long EXPIRY_INTERVAL_US = 1_000_000;
   private static final int MICROS_PER_MILLI = 1000;
 
@@ -49,7 +55,7 @@
    * @param maxBody bytes of the largest response
    * @param readPending has what arrived of the endpoint list and of a client read
    */
-  AttemptExecutor(
+  public AttemptExecutor(
       Network network,
       RequestCoordinator coordinator,
       LongSupplier clock,
@@ -67,13 +73,13 @@
   }
 
   /** For what connects and is idle from now on; what is connecting keeps its own. */
-  void configure(long newConnectTimeoutUs, long maxIdleUs) {
+  public void configure(long newConnectTimeoutUs, long maxIdleUs) {
     connectTimeoutUs = newConnectTimeoutUs;
     pool.setMaxIdle(maxIdleUs);
   }
 
   /** Begins an attempt; it is sent by {@link #sendConnected} once it has a connection. */
-  void start(NetworkCommand.SendAttempt command) {
+  public void start(NetworkCommand.SendAttempt command) {
     EndpointConnectionPool.Endpoint endpoint = pool.endpoint(command.endpoint(), command.address());
     InFlightAttempt attempt =
         new InFlightAttempt(command, endpoint, clock.getAsLong(), connectTimeoutUs);
@@ -121,7 +127,7 @@
    *
    * @return whether there was anything to send
    */
-  boolean sendConnected() {
+  public boolean sendConnected() {
     boolean any = !connected.isEmpty();
     while (!connected.isEmpty()) {
       InFlightAttempt attempt = connected.poll();
@@ -193,7 +199,7 @@
   }
 
   /** Ends an attempt that the coordinator does not wait for any more. */
-  void abandon(NetworkCommand.AbandonAttempt command) {
+  public void abandon(NetworkCommand.AbandonAttempt command) {
     InFlightAttempt attempt = attempts.get(new AttemptId(command.requestId(), command.attempt()));
     if (attempt != null) {
       end(attempt, AttemptResult.Kind.ABANDONED, null);
@@ -291,7 +297,7 @@
 
   /** Streams the rest of a response to a client. */
   @SuppressWarnings("ReferenceEquality") // the very response, and not one that equals it
-  void relayResponse(InboundResponse response, Connection client, boolean chunked) {
+  public void relayResponse(InboundResponse response, Connection client, boolean chunked) {
     InFlightAttempt attempt = (InFlightAttempt) response.source().attachment;
     if (attempt == null || attempt.streaming != response) {
       return; // it broke meanwhile, and was reported
@@ -350,22 +356,22 @@
   }
 
   /** Attempts that are in flight. */
-  int inFlight() {
+  public int inFlight() {
     return attempts.size();
   }
 
   /** Closes what is idle to an endpoint; what is in use serves no other attempt. */
-  void closeConnections(String endpoint) {
+  public void closeConnections(String endpoint) {
     pool.closeIdle(endpoint);
   }
 
   /** When the next connect time-out is due. */
-  long nextDueUs() {
+  public long nextDueUs() {
     return connecting.isEmpty() ? Long.MAX_VALUE : connecting.peekFirst().connectDeadlineUs;
   }
 
   /** Ends what does not connect in time, and closes what has been idle for too long. */
-  void expire(long nowUs) {
+  public void expire(long nowUs) {
     while (!connecting.isEmpty() && connecting.peekFirst().connectDeadlineUs <= nowUs) {
       end(connecting.peekFirst(), AttemptResult.Kind.CONNECTION_BROKEN, null);
     }
--- a/sidecar/src/main/java/dillcross/net/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
@@ -1,5 +1,6 @@
-package dillcross.net;
+package dillcross.net.endpoint;
 
+import dillcross.net.connection.Connection;
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -11,7 +12,7 @@
 import java.util.function.LongSupplier;
 
 /** All connections to endpoints, and which of them are idle. Belongs to the selector thread. */
-final class EndpointConnectionPool {
+public final class EndpointConnectionPool {
   // After a response, for what may follow it: a second one would answer the next request, which is
   // another client's. Seen up to 3.7 ms late. Costs where requests come at shorter intervals: an
   // endpoint then holds a connection or two more.
@@ -30,7 +31,8 @@
    */
   record Endpoint(String address, ArrayDeque<Connection> idle) {}
 
-  EndpointConnectionPool(LongSupplier clock, int maxConnections) {
+  /** A pool of at most {@code maxConnections}; {@code clock} gives microseconds. */
+  public EndpointConnectionPool(LongSupplier clock, int maxConnections) {
     this.clock = clock;
     this.maxConnections = maxConnections;
   }
--- a/sidecar/src/main/java/dillcross/net/InFlightAttempt.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/InFlightAttempt.java
@@ -1,5 +1,7 @@
-package dillcross.net;
+package dillcross.net.endpoint;
 
+import dillcross.net.connection.Connection;
+import dillcross.net.connection.InboundResponse;
 import dillcross.sidecar.NetworkCommand;
 import dillcross.sidecar.WriteProgress;
 
--- a/sidecar/src/main/java/dillcross/net/DatagramLimiter.java
+++ b/sidecar/src/main/java/dillcross/net/membership/DatagramLimiter.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.membership;
 
 /**
  * Limits how many datagrams are read, so that a flood does not take the thread from the requests:
--- a/sidecar/src/main/java/dillcross/net/MembershipService.java
+++ b/sidecar/src/main/java/dillcross/net/membership/MembershipService.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.membership;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import dillcross.common.NumericAddress;
@@ -61,7 +61,12 @@
     buffer = new byte[Math.max(MIN_BUFFER_BYTES, datagramBytes + FRAME_BYTES)];
   }
 
-  void open(Network network) throws IOException {
+  /**
+   * Binds the datagram socket.
+   *
+   * @throws IOException if the address cannot be bound
+   */
+  public void open(Network network) throws IOException {
     transport = network.bindDatagrams(bindAddress, buffer.length, this);
     MemberRecord self = membership.self();
     LOG.info(
@@ -93,13 +98,13 @@
   }
 
   /** Datagrams are about to be handled. */
-  void beforeEvents(long nowUs) {
+  public void beforeEvents(long nowUs) {
     now = nowUs;
     limiter.refill(nowUs);
   }
 
   /** Sends what is due. */
-  void afterEvents(long nowUs) {
+  public void afterEvents(long nowUs) {
     now = nowUs;
     if (nowUs >= membership.nextDueUs()) {
       membership.onTime(nowUs);
@@ -142,12 +147,13 @@
   }
 
   /** Tells others that this member leaves. */
-  void leave(long nowUs) {
+  public void leave(long nowUs) {
     membership.leave(nowUs);
     sendPackets();
   }
 
-  long nextDueUs() {
+  /** When membership next has something to do, in microseconds. */
+  public long nextDueUs() {
     return membership.nextDueUs();
   }
 
@@ -156,7 +162,7 @@
   }
 
   /** As JSON, for operators: who we are, whom we hold for what since when, and what was counted. */
-  byte[] view() {
+  public byte[] view() {
     Map<String, Object> view = new LinkedHashMap<>();
     Map<String, Object> self = row(membership.self());
     self.put("health", membership.localHealth());
--- a/sidecar/src/main/java/dillcross/net/PacketCodec.java
+++ b/sidecar/src/main/java/dillcross/net/membership/PacketCodec.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.membership;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/sidecar/src/main/java/dillcross/simhost/EventDispatcher.java
+++ b/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
@@ -1,4 +1,4 @@
-package dillcross.simhost;
+package dillcross.simulator;
 
 import dillcross.balancer.LoadBalancer;
 import dillcross.model.AttemptOutcome;
--- a/sidecar/src/main/java/dillcross/simhost/MalformedInputException.java
+++ b/sidecar/src/main/java/dillcross/simulator/MalformedInputException.java
@@ -1,4 +1,4 @@
-package dillcross.simhost;
+package dillcross.simulator;
 
 /** Input that is not of the simulator's wire; the message names the line. */
 public final class MalformedInputException extends RuntimeException {
--- a/sidecar/src/main/java/dillcross/simhost/WireFields.java
+++ b/sidecar/src/main/java/dillcross/simulator/WireFields.java
@@ -1,4 +1,4 @@
-package dillcross.simhost;
+package dillcross.simulator;
 
 /** Reads the fields of one line, in order, without splitting it first. */
 final class WireFields {
--- a/sidecar/src/test/java/dillcross/PackagesTest.java
+++ b/sidecar/src/test/java/dillcross/PackagesTest.java
@@ -11,6 +11,17 @@
 
 /** Which package may know which: the directions in which the parts depend on each other. */
 class PackagesTest {
+  /** The parts of the network code that stand on messages, buffers and the transport. */
+  private static final String[] NETWORK_PARTS = {
+    "dillcross.net",
+    "dillcross.net.admin",
+    "dillcross.net.client",
+    "dillcross.net.connection",
+    "dillcross.net.discovery",
+    "dillcross.net.endpoint",
+    "dillcross.net.membership"
+  };
+
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
@@ -111,14 +122,14 @@
         .resideInAnyPackage("dillcross.config..", "dillcross.sidecar..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("dillcross.net..", "dillcross.simhost..", "dillcross.cli..")
+        .resideInAnyPackage("dillcross.net..", "dillcross.simulator..", "dillcross.cli..")
         .check(CLASSES);
     noClasses()
         .that()
         .resideInAPackage("dillcross.net..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("dillcross.config..", "dillcross.cli..", "dillcross.simhost..")
+        .resideInAnyPackage("dillcross.config..", "dillcross.cli..", "dillcross.simulator..")
         .check(CLASSES);
   }
 
@@ -134,14 +145,33 @@
         .resideInAPackage("dillcross.net.transport")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("dillcross.net", "dillcross.net.buffer", "dillcross.net.http")
+        .resideInAnyPackage("dillcross.net.buffer", "dillcross.net.http")
+        .orShould()
+        .dependOnClassesThat()
+        .resideInAnyPackage(NETWORK_PARTS)
         .check(CLASSES);
     noClasses()
         .that()
         .resideInAPackage("dillcross.net.http")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("dillcross.net", "dillcross.net.transport")
+        .resideInAPackage("dillcross.net.transport")
+        .orShould()
+        .dependOnClassesThat()
+        .resideInAnyPackage(NETWORK_PARTS)
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAPackage("dillcross.net.connection")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "dillcross.net",
+            "dillcross.net.admin",
+            "dillcross.net.client",
+            "dillcross.net.discovery",
+            "dillcross.net.endpoint",
+            "dillcross.net.membership")
         .check(CLASSES);
     noClasses()
         .that()
--- a/sidecar/src/test/java/dillcross/net/FakeNetwork.java
+++ b/sidecar/src/test/java/dillcross/net/FakeNetwork.java
@@ -10,15 +10,15 @@
 import java.util.List;
 
 /** A network whose other side is the test: each connection is a channel that it moves. */
-final class FakeNetwork implements Network {
-  final List<FakeChannel> channels = new ArrayList<>();
+public final class FakeNetwork implements Network {
+  public final List<FakeChannel> channels = new ArrayList<>();
 
   /** A channel whose other side is the test. */
-  static final class FakeChannel implements TransportChannel {
+  public static final class FakeChannel implements TransportChannel {
     private final StringBuilder received = new StringBuilder();
     private final StringBuilder written = new StringBuilder();
-    final String address;
-    Network.ConnectCallback callback;
+    public final String address;
+    public Network.ConnectCallback callback;
     private Network.ConnectionHandler handler;
     private boolean isOpen = true;
 
@@ -26,27 +26,27 @@
       this.address = address;
     }
 
-    void connect() {
+    public void connect() {
       callback.onConnected();
     }
 
-    void receive(String text) {
+    public void receive(String text) {
       received.append(text);
       handler.onReadable();
     }
 
-    void fail() {
+    public void fail() {
       close();
     }
 
     /** The request that has arrived, if one has; it is taken. */
-    String takeRequest() {
+    public String takeRequest() {
       String request = written.toString();
       written.setLength(0);
       return request;
     }
 
-    int requests() {
+    public int requests() {
       return written.toString().split("HTTP/1.1\r\n", -1).length - 1;
     }
 
--- a/sidecar/src/test/java/dillcross/net/LifecycleTest.java
+++ b/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/sidecar/src/test/java/dillcross/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,6 +8,7 @@
 import dillcross.model.DiscoveryPolicy;
 import dillcross.model.Endpoint;
 import dillcross.model.TestSettings;
+import dillcross.net.FakeNetwork;
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.EndpointEntry;
--- a/sidecar/src/test/java/dillcross/net/AttemptExecutorTest.java
+++ b/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.endpoint;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,7 +11,9 @@
 import dillcross.model.Idempotency;
 import dillcross.model.RequestClass;
 import dillcross.model.TestSettings;
+import dillcross.net.FakeNetwork;
 import dillcross.net.buffer.MemoryBudget;
+import dillcross.net.connection.InboundRequest;
 import dillcross.net.http.HttpRequest;
 import dillcross.sidecar.EndpointEntry;
 import dillcross.sidecar.IncomingRequest;
--- a/sidecar/src/test/java/dillcross/net/PacketCodecTest.java
+++ b/sidecar/src/test/java/dillcross/net/membership/PacketCodecTest.java
@@ -1,4 +1,4 @@
-package dillcross.net;
+package dillcross.net.membership;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/sidecar/src/test/java/dillcross/simhost/SimulatorSessionTest.java
+++ b/sidecar/src/test/java/dillcross/simulator/SimulatorSessionTest.java
@@ -1,4 +1,4 @@
-package dillcross.simhost;
+package dillcross.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
