--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -111,9 +111,9 @@
             "TRUE_CONTENT"),
         fault(
             "an attempt too many",
-            "balancer/Request.java",
-            "return isBodyReleased ? 1 : retryPolicy.maxAttempts();",
-            "return isBodyReleased ? 1 : retryPolicy.maxAttempts() + 1;",
+            "balancer/AttemptPolicy.java",
+            "return request.isBodyReleased ? 1 : request.retryPolicy.maxAttempts();",
+            "return request.isBodyReleased ? 1 : request.retryPolicy.maxAttempts() + 1;",
             "PUSH_LIMIT"),
         fault(
             "a rejection of what may have run",
@@ -162,9 +162,9 @@
             "bodies.toml"),
         fault(
             "a rejection that is held back",
-            "balancer/RequestScheduler.java",
-            "long untilUs = request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);",
-            "long untilUs = request.deadlineUs - 20_000;",
+            "balancer/RequestQueue.java",
+            "return request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);",
+            "return request.deadlineUs - 20_000;",
             "NOT_HELD",
             "overload.toml"),
         fault(
--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -14,6 +14,8 @@
   private static final double QUEUE_FACTOR = 3.6; // times what is in flight without a queue
   private static final double SMALL_LIMIT = 3; // a larger one lets bursts pass at any time
   private static final double KNOWN_COVERAGE = 0.6;
+  private static final double MIN_LIMIT_FACTOR = 0.25; // for the least valuable requests
+  private static final double MAX_LIMIT_FACTOR = 2; // for the most valuable requests
 
   private final TrafficMeter traffic;
   private final InFlightTracker inFlight;
@@ -50,7 +52,7 @@
    * Whether there is capacity for one more; a small limit binds the mean, or thin traffic starves.
    */
   boolean admits(Request request, long nowUs) {
-    double limit = concurrencyLimit(nowUs) * request.limitShare;
+    double limit = concurrencyLimit(nowUs) * limitFactor(request);
     double belowMean = limit - inFlight.meanResponsive(nowUs);
     double burst = Math.sqrt(limit);
     double anyTime = Math.min(burst, 0.5 * (limit - SMALL_LIMIT));
@@ -58,6 +60,14 @@
     return inFlight.responsive() < limit + allowance;
   }
 
+  /**
+   * The part of the limit that the request may use, by its value. A sidecar with little traffic
+   * hardly ever has two requests waiting, so their ranks alone would not prefer valuable ones.
+   */
+  private static double limitFactor(Request request) {
+    return Math.max(MIN_LIMIT_FACTOR, Math.min(MAX_LIMIT_FACTOR, request.relativeValue));
+  }
+
   /** Whether so little is in flight that latency is no queue of ours. */
   boolean isNearlyIdle() {
     return inFlight.total() <= Math.max(1, 0.5 * endpoints.available.size() / instances);
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -0,0 +1,100 @@
+package dillcross.balancer;
+
+import dillcross.model.ServiceObjective;
+
+/**
+ * Decides whether a request may get another attempt, as a retry or as a hedge, when a hedge is due,
+ * and what either costs.
+ *
+ * <p>Inputs are the request's retry policy, its earlier attempts and whether its body can be sent
+ * again; {@link DuplicateGuard} says where a repeat has no effect twice and {@link RetryBudget}
+ * whether it is affordable. Prices are in attempts of that budget.
+ */
+final class AttemptPolicy {
+  private static final double RETRY_PRICE = 1;
+  private static final double NEVER_RAN_PRICE = 0.25; // it cost its endpoint little
+  private static final double HEDGE_PRICE = 1;
+
+  private final DuplicateGuard duplicates;
+  private final RetryBudget budget;
+  private ServiceObjective objective;
+
+  AttemptPolicy(DuplicateGuard duplicates, RetryBudget budget) {
+    this.duplicates = duplicates;
+    this.budget = budget;
+  }
+
+  void configure(ServiceObjective newObjective) {
+    objective = newObjective;
+  }
+
+  /**
+   * Whether an attempt of the request may go to the endpoint now, as far as the request matters.
+   */
+  boolean permits(Request request, EndpointState endpoint, long nowUs) {
+    return isUnanswered(request, nowUs)
+        && request.attempts.size() < maxAttempts(request)
+        && (request.attemptsInFlight == 0 || request.retryPolicy.hedgingAllowed())
+        && duplicates.isHarmless(request, endpoint, nowUs);
+  }
+
+  /** The client gets one final answer, within the deadline. */
+  private static boolean isUnanswered(Request request, long nowUs) {
+    return !request.isOver
+        && request.streaming == null
+        && (request.isBodyIncomplete || nowUs < request.deadlineUs);
+  }
+
+  /** Attempts that the request may have in all; one that was partly released can't be repeated. */
+  private static int maxAttempts(Request request) {
+    return request.isBodyReleased ? 1 : request.retryPolicy.maxAttempts();
+  }
+
+  /** Whether a request with nothing in flight may get its first attempt or a retry. */
+  boolean allowsNext(Request request) {
+    boolean isFirst = request.attempts.isEmpty();
+    return budget.allows(price(request)) && (isFirst || !request.isBodyReleased);
+  }
+
+  /** What the next attempt of a request with nothing in flight costs; the first is free. */
+  double price(Request request) {
+    if (request.attempts.isEmpty()) {
+      return 0;
+    }
+    Attempt last = request.attempts.get(request.attempts.size() - 1);
+    return last.outcome.mayHaveRun ? RETRY_PRICE : NEVER_RAN_PRICE;
+  }
+
+  /** Pays for an attempt that was sent. */
+  void charge(double price) {
+    budget.spend(price);
+  }
+
+  /** Whether a hedge may go beside the request's one attempt in flight. */
+  boolean allowsHedge(Request request) {
+    return !request.isOver && request.attemptsInFlight == 1 && budget.allows(HEDGE_PRICE);
+  }
+
+  /** Pays for a hedge that was sent. */
+  void chargeHedge() {
+    budget.spend(HEDGE_PRICE);
+  }
+
+  /** A request got its first attempt, which pays for later ones. */
+  void recordFirstAttempt(double recentRequests) {
+    budget.earn(recentRequests);
+  }
+
+  /**
+   * How long after its first attempt was sent a request is hedged, in microseconds: as late as
+   * leaves the hedge time to be answered within the latency objective.
+   */
+  long hedgeAfterUs(Request request) {
+    if (objective.tailWeight() == 0) {
+      return Long.MAX_VALUE / 2;
+    }
+    double meanUs = request.classState.meanLatencyUs();
+    double latestUs = request.requestClass.latencyObjectiveUs() - 2 * meanUs;
+    return (long) Math.max(1.5 * meanUs, latestUs);
+  }
+}
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -124,12 +124,16 @@
     return (1 + remoteLoad / remoteSize) / (1 + localLoad / localSize);
   }
 
-  /** Ends the use of a removed endpoint whose grace is over; whether it is unlisted. */
-  boolean expire(EndpointState state, long nowUs) {
-    if (removal.isExpired(state, nowUs)) {
-      state.isListed = false;
+  /** Ends the use of removed endpoints whose grace is over; whether any endpoint is unlisted. */
+  boolean expireRemoved(long nowUs) {
+    boolean isAnyUnlisted = false;
+    for (EndpointState state : endpoints.values()) {
+      if (removal.isExpired(state, nowUs)) {
+        state.isListed = false;
+      }
+      isAnyUnlisted |= !state.isListed;
     }
-    return !state.isListed;
+    return isAnyUnlisted;
   }
 
   /** Forgets what is unlisted and has nothing in flight. */
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
@@ -0,0 +1,53 @@
+package dillcross.balancer;
+
+import dillcross.model.Decision;
+import java.util.Queue;
+import java.util.Random;
+
+/**
+ * Decides how a request that gets no further attempt is answered: rejected with a Retry-After where
+ * its client may safely try again, failed where it may have run.
+ *
+ * <p>Retry-After is a short random part of the latency objective, so that clients do not return
+ * together. It is the longest that clients honour where the objective would be missed anyway and a
+ * late answer has no value, because a retry would only add load.
+ */
+final class FinalAnswer {
+  private final Random random;
+  private final DuplicateGuard duplicates;
+  private final RequestTable requests;
+  private final Queue<Decision> decisions;
+  private long maxRetryAfterUs;
+
+  FinalAnswer(
+      Random random, DuplicateGuard duplicates, RequestTable requests, Queue<Decision> decisions) {
+    this.random = random;
+    this.duplicates = duplicates;
+    this.requests = requests;
+    this.decisions = decisions;
+  }
+
+  void configure(long newMaxRetryAfterUs) {
+    maxRetryAfterUs = newMaxRetryAfterUs;
+  }
+
+  /** Answers the request and ends it. */
+  void giveUp(Request request, long nowUs) {
+    long retryAfterUs = retryAfterUs(request, nowUs);
+    boolean isSafe = duplicates.isRetryByClientSafe(request);
+    decisions.add(
+        isSafe ? new Decision.Reject(request.id, retryAfterUs) : new Decision.Fail(request.id));
+    requests.settle(request, true);
+  }
+
+  private long retryAfterUs(Request request, long nowUs) {
+    long objectiveUs = request.requestClass.latencyObjectiveUs();
+    double expectedUs = nowUs + 1.5 * request.classState.meanLatencyUs();
+    boolean isTooLate = request.arrivalUs + objectiveUs < expectedUs;
+    if (isTooLate && request.requestClass.lateValueShare() == 0) {
+      return maxRetryAfterUs;
+    }
+    long soonUs = (long) (objectiveUs * (0.1 + 0.2 * random.nextDouble()));
+    return Math.min(maxRetryAfterUs, soonUs);
+  }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/IdleConnections.java
@@ -0,0 +1,34 @@
+package dillcross.balancer;
+
+import dillcross.model.Decision;
+import java.util.Queue;
+
+/**
+ * Decides when idle connections to an endpoint are closed: once it is outside this sidecar's subset
+ * and has got no attempt for a while. Otherwise hundreds of sidecars would fill the endpoint's
+ * connection table with connections that each used once.
+ */
+final class IdleConnections {
+  private static final long UNUSED_US = 2_000_000;
+
+  private final EndpointDirectory directory;
+  private final EndpointSets endpoints;
+  private final Queue<Decision> decisions;
+
+  IdleConnections(EndpointDirectory directory, EndpointSets endpoints, Queue<Decision> decisions) {
+    this.directory = directory;
+    this.endpoints = endpoints;
+    this.decisions = decisions;
+  }
+
+  /** Releases the connections of endpoints that are unused at {@code nowUs}. */
+  void releaseUnused(long nowUs) {
+    for (EndpointState endpoint : directory.all()) {
+      boolean isIdle = endpoint.lastAttemptUs > 0 && endpoint.inFlightCount() == 0;
+      if (isIdle && nowUs - endpoint.lastAttemptUs > UNUSED_US && !endpoints.isInUse(endpoint)) {
+        endpoint.lastAttemptUs = 0;
+        decisions.add(new Decision.ReleaseConnections(endpoint.endpoint.id()));
+      }
+    }
+  }
+}
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -4,10 +4,8 @@
 import dillcross.model.BalancerSettings;
 import dillcross.model.Decision;
 import dillcross.model.Endpoint;
-import dillcross.model.Idempotency;
 import dillcross.model.RequestClass;
 import dillcross.model.RetryPolicy;
-import dillcross.model.ServiceObjective;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -36,9 +34,7 @@
  * </ol>
  */
 public final class LoadBalancer {
-  private static final double EARLY_DEADLINE_SHARE = 0.95; // of the latency objective
   private static final double MIN_REQUESTS_IN_SPAN = 10; // over which means are taken
-  private static final long UNUSED_US = 2_000_000; // before idle connections are released
 
   private final Map<String, ClassState> classes = new HashMap<>();
   private final ArrayDeque<Decision> decisions = new ArrayDeque<>();
@@ -46,7 +42,7 @@
   private final EndpointSets endpoints = new EndpointSets();
   private final CheckQueue checks = new CheckQueue();
   private final TrafficMeter traffic = new TrafficMeter();
-  private final RetryBudget budget = new RetryBudget();
+  private final RequestDeadline requestDeadlines = new RequestDeadline();
   private final RequestRanking ranking = new RequestRanking();
   private final RemovalGrace removal = new RemovalGrace();
   private final DemandTracker demand;
@@ -54,15 +50,18 @@
   private final SlowStart slowStart;
   private final EndpointDirectory directory;
   private final EndpointSubset subset;
+  private final IdleConnections idleConnections;
   private final InFlightTracker inFlight;
   private final AdmissionControl admission;
-  private final SilenceMonitor silence;
+  private final AttemptPolicy attempts;
   private final AttemptDispatcher dispatcher;
   private final EndpointPicker picker;
+  private final AttemptCanceller canceller;
+  private final FinalAnswer finalAnswer;
+  private final RequestQueue queue;
   private final RequestScheduler scheduler;
   private final OutcomeRecorder outcomes;
   private RetryPolicy retryPolicy;
-  private ServiceObjective objective;
   private long meanObjectiveUs;
   private long now;
   private long nextSequence;
@@ -75,33 +74,27 @@
     Random random = new Random(seed);
     demand = new DemandTracker(classes.values());
     discovery = new DiscoverySchedule(random);
-    slowStart = new SlowStart(random, traffic);
+    slowStart = new SlowStart(random, traffic, endpoints);
     directory = new EndpointDirectory(slowStart, removal);
     subset = new EndpointSubset(directory, endpoints);
+    idleConnections = new IdleConnections(directory, endpoints, decisions);
     inFlight = new InFlightTracker(traffic, directory);
     SlowdownEstimator slowdown = new SlowdownEstimator(traffic, classes.values());
     admission = new AdmissionControl(traffic, inFlight, slowdown, endpoints);
     OutlierEjection ejection = new OutlierEjection(random, slowStart, subset);
-    silence = new SilenceMonitor(checks, inFlight, ejection, this::hedge);
     DuplicateGuard duplicates = new DuplicateGuard(directory);
+    attempts = new AttemptPolicy(duplicates, new RetryBudget());
+    SilenceMonitor silence = new SilenceMonitor(checks, inFlight, ejection, attempts, this::hedge);
+    AttemptDeadline attemptDeadlines = new AttemptDeadline(duplicates, silence);
     dispatcher =
         new AttemptDispatcher(
-            slowStart, endpoints, inFlight, silence, duplicates, demand, budget, decisions);
+            slowStart, attempts, attemptDeadlines, inFlight, silence, demand, decisions);
     picker = new EndpointPicker(random, directory, endpoints, admission, dispatcher);
-    scheduler =
-        new RequestScheduler(
-            random,
-            requests,
-            endpoints,
-            inFlight,
-            checks,
-            decisions,
-            ejection,
-            admission,
-            budget,
-            duplicates,
-            picker,
-            dispatcher);
+    AttemptRouter router = new AttemptRouter(endpoints, ejection, picker, dispatcher);
+    canceller = new AttemptCanceller(requests, decisions);
+    finalAnswer = new FinalAnswer(random, duplicates, requests, decisions);
+    queue = new RequestQueue(requests, endpoints, admission, inFlight, checks, finalAnswer);
+    scheduler = new RequestScheduler(requests, attempts, admission, router, queue, finalAnswer);
     outcomes = new OutcomeRecorder(ejection, admission, slowdown, traffic, picker);
     applySettings(0, settings);
   }
@@ -112,7 +105,6 @@
   public void applySettings(long nowUs, BalancerSettings settings) {
     now = nowUs;
     retryPolicy = settings.retry();
-    objective = settings.objective();
     configureClasses(settings.requestClasses());
     demand.configure(settings.tenants());
     ranking.configure(settings.weightPerWork());
@@ -123,9 +115,10 @@
     directory.configure(settings);
     subset.configure(settings);
     admission.configure(settings);
-    silence.configure(objective);
+    requestDeadlines.configure(settings.objective());
+    attempts.configure(settings.objective());
     picker.configure(settings);
-    scheduler.configure(settings.maxRetryAfterUs());
+    finalAnswer.configure(settings.maxRetryAfterUs());
   }
 
   private void configureClasses(List<RequestClass> configured) {
@@ -191,15 +184,10 @@
     requests.add(request);
   }
 
-  /** Where a late answer earns nothing, the deadline is early enough to reject within it. */
   private Request newRequest(long id, ClassState classState, long timeoutUs) {
     RequestClass requestClass = classState.requestClass;
-    boolean isEarly =
-        objective.tailWeight() > 0
-            && requestClass.lateValueShare() == 0
-            && requestClass.idempotency() == Idempotency.IDEMPOTENT;
-    long objectiveUs = (long) (EARLY_DEADLINE_SHARE * requestClass.latencyObjectiveUs());
-    long deadlineUs = now + (isEarly ? Math.min(timeoutUs, objectiveUs) : timeoutUs);
+    boolean isEarly = requestDeadlines.isEarly(requestClass);
+    long deadlineUs = now + requestDeadlines.timeoutUs(requestClass, timeoutUs);
     return new Request(id, classState, retryPolicy, now, deadlineUs, isEarly, nextSequence++);
   }
 
@@ -310,19 +298,22 @@
     if (discovery.takeDue(now)) {
       decisions.add(new Decision.WatchEndpoints());
     }
-    scheduler.cancelUnneeded();
+    canceller.cancelUnneeded();
     checks.runDue(now);
     if (subset.refreshIfStale()) {
       inFlight.signalCapacity();
     }
     if (now == demand.lastFadeUs()) {
-      releaseUnused();
+      if (directory.expireRemoved(now)) {
+        subset.invalidate();
+      }
+      idleConnections.releaseUnused(now);
     }
     scheduler.placeAll(now);
     if (inFlight.takeCapacitySignal()) {
       scheduler.placeWaiting(now);
     }
-    scheduler.shedWaiting(traffic.successesPerUs(now), meanObjectiveUs, now);
+    queue.shed(traffic.successesPerUs(now), meanObjectiveUs, now);
     scheduleTimer();
   }
 
@@ -330,20 +321,6 @@
     scheduler.hedge(request, nowUs);
   }
 
-  /** Hundreds of sidecars fill an endpoint with connections that each used for a moment. */
-  private void releaseUnused() {
-    for (EndpointState endpoint : directory.all()) {
-      if (directory.expire(endpoint, now)) {
-        subset.invalidate();
-      }
-      boolean isIdle = endpoint.lastAttemptUs > 0 && endpoint.inFlightCount() == 0;
-      if (isIdle && now - endpoint.lastAttemptUs > UNUSED_US && !endpoints.isInUse(endpoint)) {
-        endpoint.lastAttemptUs = 0;
-        decisions.add(new Decision.ReleaseConnections(endpoint.endpoint.id()));
-      }
-    }
-  }
-
   private void scheduleTimer() {
     long dueUs = Math.min(discovery.nextDueUs(), checks.nextDueUs());
     if (dueUs < timerUs) {
--- a/sidecar/src/main/java/dillcross/balancer/Request.java
+++ b/sidecar/src/main/java/dillcross/balancer/Request.java
@@ -31,8 +31,8 @@
   /** Order in the queue, the highest first. */
   double rank;
 
-  /** Of the concurrency limit: its value for its time compared with the usual. */
-  double limitShare;
+  /** Its value for its time compared with the usual request's, which is 1. */
+  double relativeValue;
 
   /** Null where its tenant has no quota. */
   DemandCounter tenant;
@@ -80,9 +80,4 @@
   boolean mayHaveRun() {
     return attempts.stream().anyMatch(Attempt::mayHaveRun);
   }
-
-  /** The number of a further attempt, or none at all: what the retry policy leaves. */
-  int maxAttempts() {
-    return isBodyReleased ? 1 : retryPolicy.maxAttempts();
-  }
 }
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
@@ -0,0 +1,71 @@
+package dillcross.balancer;
+
+/**
+ * Decides whether a request may wait for capacity, for how long, and how many may wait.
+ *
+ * <p>A request waits only while an answer can still come within its latency objective, and the
+ * queue is no longer than what is answered within the queue timeout. What may not wait is given up
+ * at once.
+ */
+final class RequestQueue {
+  private static final double QUEUE_SHARE = 0.3; // of the latency objective, at the least
+
+  private final RequestTable requests;
+  private final EndpointSets endpoints;
+  private final AdmissionControl admission;
+  private final InFlightTracker inFlight;
+  private final CheckQueue checks;
+  private final FinalAnswer finalAnswer;
+
+  RequestQueue(
+      RequestTable requests,
+      EndpointSets endpoints,
+      AdmissionControl admission,
+      InFlightTracker inFlight,
+      CheckQueue checks,
+      FinalAnswer finalAnswer) {
+    this.requests = requests;
+    this.endpoints = endpoints;
+    this.admission = admission;
+    this.inFlight = inFlight;
+    this.checks = checks;
+    this.finalAnswer = finalAnswer;
+  }
+
+  /** Has the request wait for capacity while it can still be in time, or gives it up. */
+  void addOrGiveUp(Request request, boolean isFirst, long nowUs) {
+    long untilUs = waitUntilUs(request);
+    // A retry waits only for the limit: where no endpoint may take it, waiting changes nothing.
+    boolean mayWait = isFirst || (!admission.admits(request, nowUs) && !request.mayHaveRun());
+    boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs;
+    if (mayWait && isInTime && !endpoints.available.isEmpty()) {
+      requests.waiting.add(request);
+      inFlight.signalCapacity();
+      checks.schedule(untilUs, checkUs -> expire(request, checkUs));
+    } else {
+      finalAnswer.giveUp(request, nowUs);
+    }
+  }
+
+  private static long waitUntilUs(Request request) {
+    long objectiveUs = request.requestClass.latencyObjectiveUs();
+    double spareUs = objectiveUs - 1.5 * request.classState.meanLatencyUs();
+    return request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);
+  }
+
+  private void expire(Request request, long nowUs) {
+    if (!request.isOver && requests.waiting.remove(request)) {
+      finalAnswer.giveUp(request, nowUs);
+    }
+  }
+
+  /**
+   * Gives up the lowest-ranked requests once the queue exceeds what is answered within the queue
+   * timeout.
+   */
+  void shed(double successesPerUs, long meanObjectiveUs, long nowUs) {
+    while (requests.waiting.size() > 1 + successesPerUs * QUEUE_SHARE * meanObjectiveUs) {
+      finalAnswer.giveUp(requests.waiting.last(), nowUs);
+    }
+  }
+}
--- a/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
@@ -13,9 +13,9 @@
   }
 
   /**
-   * Sets the request's rank and its share of the concurrency limit. A sidecar with little traffic
-   * hardly ever has two requests waiting, so value counts in the limit too; less where the client
-   * gives up before an answer can come.
+   * Sets the request's rank in the queue and its relative value, by which {@link AdmissionControl}
+   * gives it a part of the concurrency limit. Both are lower where the client gives up before an
+   * answer can come.
    */
   void rank(Request request, double need, long timeoutUs, boolean isRepeat) {
     double meanUs = request.classState.meanLatencyUs();
@@ -27,7 +27,7 @@
     usualValueRate += Math.max(0.02, 1.0 / requests) * (valueRate - usualValueRate);
     double repeatShare = isRepeat ? REPEAT_SHARE : 1;
     double relativeValue = valueRate / Math.max(1e-9, usualValueRate) * repeatShare;
-    request.limitShare = Math.max(0.25, Math.min(2, relativeValue));
+    request.relativeValue = relativeValue;
     request.rank = need * valueRate * repeatShare;
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -1,6 +1,5 @@
 package dillcross.balancer;
 
-import dillcross.model.ServiceObjective;
 import java.util.function.ObjLongConsumer;
 
 /**
@@ -13,28 +12,26 @@
   private final CheckQueue checks;
   private final InFlightTracker inFlight;
   private final OutlierEjection ejection;
+  private final AttemptPolicy attempts;
   private final ObjLongConsumer<Request> hedge;
-  private ServiceObjective objective;
 
   /** Calls {@code hedge} with a request that would gain by a second attempt, and the time. */
   SilenceMonitor(
       CheckQueue checks,
       InFlightTracker inFlight,
       OutlierEjection ejection,
+      AttemptPolicy attempts,
       ObjLongConsumer<Request> hedge) {
     this.checks = checks;
     this.inFlight = inFlight;
     this.ejection = ejection;
+    this.attempts = attempts;
     this.hedge = hedge;
   }
 
-  void configure(ServiceObjective newObjective) {
-    objective = newObjective;
-  }
-
   /** Checks an attempt that was sent now, until it ends. */
   void watch(Attempt attempt, long nowUs) {
-    long firstUs = Math.min(overdueAfterUs(attempt) / 2, hedgeAfterUs(attempt.request));
+    long firstUs = Math.min(overdueAfterUs(attempt) / 2, attempts.hedgeAfterUs(attempt.request));
     checks.schedule(nowUs + firstUs, checkUs -> check(attempt, checkUs));
   }
 
@@ -44,16 +41,6 @@
     return (long) (OVERDUE_FACTOR * attempt.request.classState.meanLatencyUs() * slowness);
   }
 
-  /** After how long a hedge has just time enough to be answered within the latency objective. */
-  private long hedgeAfterUs(Request request) {
-    if (objective.tailWeight() == 0) {
-      return Long.MAX_VALUE / 2;
-    }
-    double meanUs = request.classState.meanLatencyUs();
-    double latestUs = request.requestClass.latencyObjectiveUs() - 2 * meanUs;
-    return (long) Math.max(1.5 * meanUs, latestUs);
-  }
-
   private void check(Attempt attempt, long nowUs) {
     Request request = attempt.request;
     if (!attempt.isInFlight() || attempt.isSilent || request.streaming != null) {
@@ -67,14 +54,14 @@
       ejection.recordFailure(attempt, nowUs);
       inFlight.markSilent(attempt);
     } else { // it answers others: check again, it may fall silent yet
-      long hedgeUs = hedgeAfterUs(request);
+      long hedgeUs = attempts.hedgeAfterUs(request);
       long nextUs = elapsedUs < hedgeUs ? hedgeUs - elapsedUs : overdueUs / 2;
       checks.schedule(nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
       if (isOverdue && !attempt.isConnectionSuspect) {
         inFlight.markConnectionSuspect(attempt);
       }
     }
-    if (isOverdue || elapsedUs >= hedgeAfterUs(request)) {
+    if (isOverdue || elapsedUs >= attempts.hedgeAfterUs(request)) {
       hedge.accept(request, nowUs);
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -13,12 +13,14 @@
 
   private final Random random;
   private final TrafficMeter traffic;
+  private final EndpointSets endpoints;
   private SlowStartPolicy policy;
   private int instances;
 
-  SlowStart(Random random, TrafficMeter traffic) {
+  SlowStart(Random random, TrafficMeter traffic, EndpointSets endpoints) {
     this.random = random;
     this.traffic = traffic;
+    this.endpoints = endpoints;
   }
 
   void configure(BalancerSettings settings) {
@@ -33,11 +35,8 @@
     endpoint.slowStart.successes = 0;
   }
 
-  /**
-   * Whether the endpoint may get one more attempt, where {@code endpointsInUse} share this
-   * sidecar's requests.
-   */
-  boolean hasBudget(EndpointState endpoint, long nowUs, int endpointsInUse) {
+  /** Whether the endpoint may get one more attempt now. */
+  boolean hasBudget(EndpointState endpoint, long nowUs) {
     SlowStartState state = endpoint.slowStart;
     long elapsedUs = nowUs - state.startUs;
     if (state.startUs == 0 || elapsedUs >= policy.warmUpUs()) {
@@ -47,7 +46,8 @@
     double initialShare = policy.initialCapacityShare();
     double progress = Math.max(0, (double) elapsedUs / policy.warmUpUs());
     double capacityShare = initialShare + (1 - initialShare) * progress;
-    double usual = traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpointsInUse);
+    double usual =
+        traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpoints.inUse());
     double floor = AdmissionControl.INITIAL_LIMIT_PER_ENDPOINT / instances;
     double budget =
         BUDGET_SHARE * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
