--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -9,6 +9,7 @@
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
+import dillcross.endpointlist.EndpointListParser;
 import dillcross.net.SidecarServer;
 import dillcross.sidecar.EndpointListUpdate;
 import dillcross.sidecar.RequestCoordinator;
@@ -128,7 +129,7 @@
     long seed = random.named("start " + starts).any();
     RequestCoordinator coordinator =
         new RequestCoordinator(new LoadBalancer(seed, settings.balancer()));
-    EndpointListUpdate known = EndpointListUpdate.fromJson(list.known());
+    EndpointListUpdate known = EndpointListParser.fromJson(list.known());
     coordinator.onEndpointList(world.now(), known.version(), true, known.entries(), false);
     list.knows(process());
     world.oracle().started(process());
--- a/sidecar/src/main/java/dillcross/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dillcross/config/SidecarConfig.java
@@ -1,8 +1,9 @@
 package dillcross.config;
 
 import dillcross.common.NumericAddress;
+import dillcross.endpointlist.EndpointListParser;
+import dillcross.endpointlist.MalformedEndpointListException;
 import dillcross.sidecar.EndpointListUpdate;
-import dillcross.sidecar.MalformedEndpointListException;
 import dillcross.sidecar.SidecarLimits;
 import dillcross.sidecar.SidecarSettings;
 import java.net.InetSocketAddress;
@@ -80,7 +81,7 @@
   private static Optional<EndpointListUpdate> knownEndpoints(ConfigValues values) {
     Map<?, ?> json = values.below("known").tree();
     try {
-      return json.isEmpty() ? Optional.empty() : Optional.of(EndpointListUpdate.fromJson(json));
+      return json.isEmpty() ? Optional.empty() : Optional.of(EndpointListParser.fromJson(json));
     } catch (MalformedEndpointListException e) {
       throw new InvalidConfigException("known", e.getMessage());
     }
--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -1,6 +1,7 @@
 package dillcross.net.discovery;
 
-import com.fasterxml.jackson.jr.ob.JSON;
+import dillcross.endpointlist.EndpointListParser;
+import dillcross.endpointlist.MalformedEndpointListException;
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.connection.Connection;
 import dillcross.net.connection.ConnectionFactory;
@@ -12,10 +13,8 @@
 import dillcross.net.http.HttpResponse;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.EndpointListUpdate;
-import dillcross.sidecar.MalformedEndpointListException;
 import dillcross.sidecar.NetworkCommand;
 import dillcross.sidecar.RequestCoordinator;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +38,6 @@
  */
 public final class DiscoveryClient implements MessageHandler {
   private static final int MAX_LIST_BYTES = 1 << 20;
-  private static final int MICROS_PER_MILLI = 1000;
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   private final RequestCoordinator coordinator;
@@ -162,8 +160,7 @@
   }
 
   private void sendRequest(WatchCall call, long waitUs) {
-    String target =
-        "/v1/servers?since=" + call.sinceVersion + "&timeout_ms=" + waitUs / MICROS_PER_MILLI;
+    String target = WatchRequestTarget.of(call.sinceVersion, waitUs);
     call.connection.send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
   }
 
@@ -226,10 +223,8 @@
 
   private static Optional<EndpointListUpdate> parse(byte[] text) {
     try {
-      return JSON.std.anyFrom(text) instanceof Map<?, ?> json
-          ? Optional.of(EndpointListUpdate.fromJson(json))
-          : Optional.empty();
-    } catch (IOException | IllegalArgumentException | MalformedEndpointListException malformed) {
+      return Optional.of(EndpointListParser.parse(text));
+    } catch (MalformedEndpointListException malformed) {
       return Optional.empty();
     }
   }
--- a/sidecar/src/test/java/dillcross/PackagesTest.java
+++ b/sidecar/src/test/java/dillcross/PackagesTest.java
@@ -87,6 +87,25 @@
         .check(CLASSES);
   }
 
+  /** The endpoint list reaches the coordinator as typed entries; JSON is read outside of it. */
+  @Test
+  void theCoordinatorSeesTypedValuesAlone() {
+    classes()
+        .that()
+        .resideInAPackage("dillcross.sidecar..")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideInAnyPackage(
+            "dillcross.sidecar..",
+            "dillcross.balancer",
+            "dillcross.model",
+            "java.lang..",
+            "java.util",
+            "java.util.stream",
+            "java.util.function")
+        .check(CLASSES);
+  }
+
   @Test
   void membershipKnowsNothingOfTheRest() {
     classes()
