--- a/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
+++ b/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
@@ -6,11 +6,17 @@
 import dillcross.net.endpoint.AttemptExecutor;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.sidecar.NetworkCommand;
 import java.util.Locale;
 
-/** Has the coordinator's commands carried out by the part that each is for. */
+/** Passes each command of the coordinator to the component that carries it out. */
 final class CommandDispatcher {
+  // The response bodies that clients know.
+  private static final String REJECTED_BODY = "turned away, another try is harmless";
+  private static final String FAILED_BODY = "failed";
+  private static final String CLIENT_ERROR_BODY = "turned down"; // by the endpoint, for good
+
   private static final int MICROS_PER_MILLI = 1000;
   private static final int MILLIS_PER_SECOND = 1000;
 
@@ -37,11 +43,12 @@
       listener.finishStreaming(caller(finish.client()), finish.complete());
     } else if (command instanceof NetworkCommand.ForwardClientError error) {
       int status = ((HttpResponse) error.content()).status();
-      listener.respond(caller(error.client()), HttpResponse.text(status, "turned down"));
+      listener.respond(caller(error.client()), HttpResponse.text(status, CLIENT_ERROR_BODY));
     } else if (command instanceof NetworkCommand.RejectRequest reject) {
       reject(reject);
     } else if (command instanceof NetworkCommand.FailRequest fail) {
-      listener.respond(caller(fail.client()), HttpResponse.text(502, "failed"));
+      listener.respond(
+          caller(fail.client()), HttpResponse.text(HttpStatus.BAD_GATEWAY, FAILED_BODY));
     } else if (command instanceof NetworkCommand.CloseConnections close) {
       attempts.closeConnections(close.endpoint());
     } else if (command instanceof NetworkCommand.WatchEndpoints watch) {
@@ -67,7 +74,7 @@
   }
 
   private void reject(NetworkCommand.RejectRequest command) {
-    HttpResponse response = HttpResponse.text(503, "turned away, another try is harmless");
+    HttpResponse response = HttpResponse.text(HttpStatus.SERVICE_UNAVAILABLE, REJECTED_BODY);
     if (command.retryAfterUs() > 0) {
       response.fields().put(HeaderNames.RETRY_AFTER, seconds(command.retryAfterUs()));
     }
--- a/sidecar/src/main/java/dillcross/net/WarmUp.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUp.java
@@ -11,6 +11,7 @@
 import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.sidecar.AttemptResult;
 import dillcross.sidecar.EndpointEntry;
 import dillcross.sidecar.IncomingRequest;
@@ -32,10 +33,12 @@
   private static final int REQUESTS_PER_FAILURE = 50;
   private static final long INTERVAL_US = 1000;
   private static final long TIMEOUT_US = 500_000;
+  private static final int BUFFER_BYTES = 1 << 17;
+  private static final int BUDGET_BYTES = 1 << 20;
   private static final byte[] BODY = new byte[100];
 
   private final RequestCoordinator coordinator;
-  private final RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
+  private final RingBuffer buffer = new RingBuffer(BUFFER_BYTES, new MemoryBudget(BUDGET_BYTES));
 
   private WarmUp(RequestCoordinator coordinator) {
     this.coordinator = coordinator;
@@ -61,7 +64,7 @@
 
   private void playRequest(long nowUs, String className) {
     Map<String, String> fields = Map.of(HeaderNames.HOST, "a", HeaderNames.REQUEST_ID, "1");
-    Object request = readBack(HttpRequest.of("POST", "/a/b", fields, BODY), true);
+    Object request = readBack(HttpRequest.of(HttpRequest.POST, "/a/b", fields, BODY), true);
     coordinator.onRequest(
         nowUs, new IncomingRequest(request, request, null, className, TIMEOUT_US, false, false));
     NetworkCommand command = coordinator.next(nowUs);
@@ -74,7 +77,7 @@
   }
 
   private void playResponse(long nowUs, NetworkCommand.SendAttempt attempt) {
-    Object response = readBack(HttpResponse.text(200, "ok"), false);
+    Object response = readBack(HttpResponse.text(HttpStatus.OK, "ok"), false);
     boolean fails = attempt.requestId() % REQUESTS_PER_FAILURE == 0;
     AttemptResult.Kind kind =
         fails ? AttemptResult.Kind.CONNECTION_BROKEN : AttemptResult.Kind.SUCCEEDED;
--- a/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
@@ -8,6 +8,7 @@
 import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.net.membership.MembershipService;
 import dillcross.net.transport.Network;
 import dillcross.net.transport.TransportChannel;
@@ -90,7 +91,7 @@
     String path = call.path();
     Optional<String> method = methodOf(path);
     if (method.isEmpty()) {
-      return HttpResponse.text(404, "unknown call");
+      return HttpResponse.text(HttpStatus.NOT_FOUND, "unknown call");
     }
     if (!call.method().equals(method.get())) {
       return HttpResponse.methodNotAllowed(method.get());
@@ -105,35 +106,35 @@
 
   private Optional<String> methodOf(String path) {
     return switch (path) {
-      case AdminPaths.READY -> Optional.of("GET");
-      case AdminPaths.MEMBERS -> membership.map(service -> "GET");
-      case AdminPaths.DRAIN, AdminPaths.RESUME -> Optional.of("POST");
+      case AdminPaths.READY -> Optional.of(HttpRequest.GET);
+      case AdminPaths.MEMBERS -> membership.map(service -> HttpRequest.GET);
+      case AdminPaths.DRAIN, AdminPaths.RESUME -> Optional.of(HttpRequest.POST);
       default -> Optional.empty();
     };
   }
 
   private HttpResponse readiness() {
     return lifecycle.isReady()
-        ? HttpResponse.text(200, "ready")
-        : HttpResponse.text(503, "not ready");
+        ? HttpResponse.text(HttpStatus.OK, "ready")
+        : HttpResponse.text(HttpStatus.SERVICE_UNAVAILABLE, "not ready");
   }
 
   private HttpResponse members() {
     Map<String, String> fields =
         new LinkedHashMap<>(Map.of(HeaderNames.CONTENT_TYPE, "application/json"));
-    return HttpResponse.of(200, fields, membership.orElseThrow().view());
+    return HttpResponse.of(HttpStatus.OK, fields, membership.orElseThrow().view());
   }
 
   private HttpResponse drain() {
     lifecycle.drain(clock.getAsLong());
     LOG.info("draining: clients are to go elsewhere");
-    return HttpResponse.text(200, "draining");
+    return HttpResponse.text(HttpStatus.OK, "draining");
   }
 
   private HttpResponse resume() {
     lifecycle.resume();
     LOG.info("resumed: the drain is over");
-    return HttpResponse.text(200, "resumed");
+    return HttpResponse.text(HttpStatus.OK, "resumed");
   }
 
   /** Closes who has stayed for too long. */
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -12,6 +12,7 @@
 import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.net.transport.Network;
 import dillcross.net.transport.TransportChannel;
 import dillcross.sidecar.IncomingRequest;
@@ -32,6 +33,7 @@
   private static final long BODY_US = 4_000_000; // for 64 KiB from a slow client, and slack
   private static final long IDLE_US = 20_000_000; // clients that come once and stay must not add up
   private static final int MICROS_PER_MILLI = 1000;
+  private static final String UNKNOWN_CLASS_BODY = "unknown category"; // the protocol's word
 
   private final RequestCoordinator coordinator;
   private final LongSupplier clock;
@@ -121,7 +123,9 @@
       respond(
           connection,
           request,
-          HttpResponse.text(isHealthy ? 200 : 503, isHealthy ? "ready" : "not ready"));
+          HttpResponse.text(
+              isHealthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE,
+              isHealthy ? "ready" : "not ready"));
     } else if (connection.hasInputEnded()) {
       connection.close(); // a client that closes has gone
     } else {
@@ -144,7 +148,7 @@
   private void serve(Connection connection, HttpRequest request) {
     RequestClass requestClass = requestClasses.get(firstSegment(request.path()));
     if (requestClass == null) {
-      rejectAndClose(connection, HttpResponse.text(404, "unknown category"));
+      rejectAndClose(connection, HttpResponse.text(HttpStatus.NOT_FOUND, UNKNOWN_CLASS_BODY));
       return;
     }
     Optional<HttpResponse> rejection = RequestValidator.check(request, requestClass, openIds);
@@ -173,7 +177,7 @@
             request.field(HeaderNames.TENANT),
             requestClass.name(),
             timeoutUs,
-            "1".equals(request.field(HeaderNames.CLIENT_RETRY)),
+            HeaderNames.FLAG_SET.equals(request.field(HeaderNames.CLIENT_RETRY)),
             request.isStreaming());
     long requestId = coordinator.onRequest(clock.getAsLong(), incoming);
     connection.attachment = new PendingRequest(requestId, clientId);
@@ -202,7 +206,7 @@
       connection.discardRest(maxBody); // its body still arrives
     }
     if (!connection.isClosing && request.isHttp10()) {
-      response.fields().put(HeaderNames.CONNECTION, "keep-alive");
+      response.fields().put(HeaderNames.CONNECTION, HeaderNames.CONNECTION_KEEP_ALIVE);
     }
     send(connection, response);
     continueReading(connection);
@@ -304,7 +308,8 @@
       connection.attachment = null;
       openIds.remove(pending.clientId());
       coordinator.onClientDisconnected(nowUs, pending.requestId());
-      rejectAndClose(connection, HttpResponse.text(408, "the request stopped coming"));
+      rejectAndClose(
+          connection, HttpResponse.text(HttpStatus.REQUEST_TIMEOUT, "the request stopped coming"));
     } else if (isBodyIncomplete && stillUs > Math.max(TRANSFER_US, maxTimeoutUs)) {
       coordinator.onBodyStalled(pending.requestId());
     } else if (connection.outboundRelay != null
@@ -352,7 +357,9 @@
     if (isSilent && (isLate || isUnwanted)) {
       ClientConnections.closeIfIdle(connection);
     } else if (isLate) {
-      rejectAndClose(connection, HttpResponse.text(408, "the request did not come whole in time"));
+      rejectAndClose(
+          connection,
+          HttpResponse.text(HttpStatus.REQUEST_TIMEOUT, "the request did not come whole in time"));
     }
   }
 
--- a/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
+++ b/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
@@ -5,12 +5,13 @@
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import java.util.Optional;
 import java.util.Set;
 
 /**
- * Checks requests of clients. An endpoint would reject a malformed one, or choke on it to the cost
- * of whatever else waits on that connection; so it goes no further.
+ * Checks requests of clients before they are admitted, so that no endpoint receives a malformed
+ * one. Stateless.
  */
 final class RequestValidator {
   private static final String TIMEOUT_FORM = "[0-9]{1,9}";
@@ -18,21 +19,28 @@
 
   private RequestValidator() {}
 
-  /** The response that rejects the request; empty where nothing is wrong with it. */
+  /**
+   * Checks a request against its class.
+   *
+   * @param openIds the ids of requests that wait for their response
+   * @return the response that rejects the request; empty if the request is valid
+   */
   static Optional<HttpResponse> check(
       HttpRequest request, RequestClass requestClass, Set<String> openIds) {
-    String method = requestClass.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST";
+    String method =
+        requestClass.idempotency() == Idempotency.IDEMPOTENT ? HttpRequest.GET : HttpRequest.POST;
     if (!request.method().equals(method)) {
       return Optional.of(HttpResponse.methodNotAllowed(method));
     }
-    return findFault(request, requestClass, openIds).map(text -> HttpResponse.text(400, text));
+    return findFault(request, requestClass, openIds)
+        .map(text -> HttpResponse.text(HttpStatus.BAD_REQUEST, text));
   }
 
   private static Optional<String> findFault(
       HttpRequest request, RequestClass requestClass, Set<String> openIds) {
     String id = request.field(HeaderNames.REQUEST_ID);
     boolean needsKey = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
-    if (request.method().equals("GET") && request.body().length > 0) {
+    if (request.method().equals(HttpRequest.GET) && request.body().length > 0) {
       return Optional.of("GET takes no body");
     }
     if (!isTimeout(request.field(HeaderNames.REQUEST_TIMEOUT))) {
@@ -43,11 +51,11 @@
       return Optional.of(HeaderNames.REQUEST_ID + " is missing or malformed");
     }
     if (needsKey && !isVisibleText(request.field(HeaderNames.IDEMPOTENCY_KEY))) {
-      // A repeat could not be recognised.
+      // Without a key endpoints could not deduplicate a retry.
       return Optional.of(HeaderNames.IDEMPOTENCY_KEY + " is missing or malformed");
     }
     if (openIds.contains(id)) {
-      // Its response belongs to another.
+      // Responses to two open requests of one id could not be told apart.
       return Optional.of(HeaderNames.REQUEST_ID + " is that of a request that is open");
     }
     return Optional.empty();
--- a/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
+++ b/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
@@ -2,6 +2,7 @@
 
 import dillcross.net.http.HttpMessage;
 import dillcross.net.http.HttpMessageParser;
+import dillcross.net.http.HttpStatus;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
@@ -9,7 +10,6 @@
 final class HttpConnectionCodec {
   private static final byte[] CONTINUE =
       "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-  private static final int OUT_OF_MEMORY = 503; // nothing was forwarded, so a retry is harmless
 
   private HttpConnectionCodec() {}
 
@@ -66,10 +66,14 @@
     return true;
   }
 
+  /**
+   * The status of what is wrong with the input; 0 if nothing is. A connection that got no memory is
+   * answered 503: nothing of its request was forwarded, so a retry is safe.
+   */
   private static int fault(Connection connection) {
     int fault = connection.parser().fault();
     boolean isStarved = connection.isServerSide() && connection.in().isStarved();
-    return fault == 0 && isStarved ? OUT_OF_MEMORY : fault;
+    return fault == 0 && isStarved ? HttpStatus.SERVICE_UNAVAILABLE : fault;
   }
 
   /** A client's time begins with its last byte, not when an endpoint takes that. */
--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -8,9 +8,9 @@
 import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
-import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.EndpointListUpdate;
 import dillcross.sidecar.NetworkCommand;
@@ -210,7 +210,9 @@
     HttpResponse response = (HttpResponse) message;
     Optional<WatchCall> call = callOn(connection);
     Optional<EndpointListUpdate> update =
-        call.isPresent() && response.status() == 200 ? parse(response.body()) : Optional.empty();
+        call.isPresent() && response.status() == HttpStatus.OK
+            ? parse(response.body())
+            : Optional.empty();
     if (update.isEmpty()) {
       call.ifPresent(failed -> fail(failed, true));
       connection.close();
@@ -249,7 +251,7 @@
 
   @Override
   public void onMalformedMessage(Connection connection, int status) {
-    if (status == HttpMessageParser.BODY_TOO_LARGE) {
+    if (status == HttpStatus.CONTENT_TOO_LARGE) {
       LOG.warning("endpoint list larger than " + MAX_LIST_BYTES + " bytes, keeping the last one");
     }
     callOn(connection).ifPresent(call -> fail(call, false));
--- a/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -12,6 +12,7 @@
 import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.AttemptResult;
 import dillcross.sidecar.NetworkCommand;
@@ -331,15 +332,18 @@
 
   private static AttemptResult.Kind kindOf(HttpResponse response) {
     return switch (response.status()) {
-      case 200 -> AttemptResult.Kind.SUCCEEDED;
-      case 503, 504 ->
-          "1".equals(response.field(HeaderNames.NOT_STARTED))
+      case HttpStatus.OK -> AttemptResult.Kind.SUCCEEDED;
+      case HttpStatus.SERVICE_UNAVAILABLE, HttpStatus.GATEWAY_TIMEOUT ->
+          HeaderNames.FLAG_SET.equals(response.field(HeaderNames.NOT_STARTED))
               ? AttemptResult.Kind.OVERLOADED
               : AttemptResult.Kind.ERROR;
-      // These speak of the endpoint or the moment; any other 4xx of the request itself.
-      case 408, 425, 429 -> AttemptResult.Kind.ERROR;
+      // These depend on the endpoint or the moment; any other 4xx on the request itself.
+      case HttpStatus.REQUEST_TIMEOUT, HttpStatus.TOO_EARLY, HttpStatus.TOO_MANY_REQUESTS ->
+          AttemptResult.Kind.ERROR;
       default ->
-          response.status() / 100 == 4 ? AttemptResult.Kind.CLIENT_ERROR : AttemptResult.Kind.ERROR;
+          HttpStatus.isClientError(response.status())
+              ? AttemptResult.Kind.CLIENT_ERROR
+              : AttemptResult.Kind.ERROR;
     };
   }
 
--- a/sidecar/src/main/java/dillcross/net/http/ChunkDecoder.java
+++ b/sidecar/src/main/java/dillcross/net/http/ChunkDecoder.java
@@ -37,7 +37,7 @@
       int end = findLineEnd(in);
       if (end < 0) {
         if (in.size() > MAX_LINE_BYTES) {
-          fault = isInTrailer ? HttpMessageParser.HEAD_TOO_LARGE : HttpMessageParser.MALFORMED;
+          fault = isInTrailer ? HttpStatus.HEADER_FIELDS_TOO_LARGE : HttpStatus.BAD_REQUEST;
         }
         return 0;
       }
@@ -62,7 +62,7 @@
     }
     isLineEndPending = false;
     if (in.at(0) != '\r' || in.at(1) != '\n') {
-      fault = HttpMessageParser.MALFORMED;
+      fault = HttpStatus.BAD_REQUEST;
       return false;
     }
     in.skip(HttpMessage.LINE_END.length());
@@ -74,7 +74,7 @@
     trailerBytes += length + HttpMessage.LINE_END.length();
     isComplete = length == 0;
     if (trailerBytes >= HttpMessageParser.MAX_HEAD_BYTES) {
-      fault = HttpMessageParser.HEAD_TOO_LARGE;
+      fault = HttpStatus.HEADER_FIELDS_TOO_LARGE;
     }
   }
 
@@ -82,12 +82,12 @@
     int extension = line.indexOf(';');
     String digits = (extension < 0 ? line : line.substring(0, extension)).trim();
     if (!digits.matches("[0-9a-fA-F]{1,8}")) {
-      fault = HttpMessageParser.MALFORMED;
+      fault = HttpStatus.BAD_REQUEST;
       return 0;
     }
     long size = Long.parseLong(digits, HEXADECIMAL);
     if (size > maxBytes) {
-      fault = HttpMessageParser.BODY_TOO_LARGE;
+      fault = HttpStatus.CONTENT_TOO_LARGE;
       return 0;
     }
     isInTrailer = size == 0;
--- a/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
@@ -8,10 +8,10 @@
 
 /** Parses the head of a message: its first line and its header fields. */
 final class HttpHeadParser {
-  private static final String HTTP_10 = "HTTP/1.0";
+  private static final int FIRST_LINE_PARTS = 3; // of a request line and of a status line
   private static final String VERSION_FORM = "HTTP/1\\.[01]";
 
-  /** A second one of these would leave open which holds. */
+  /** Fields whose repetition makes a message ambiguous, and so malformed. */
   private static final Set<String> SINGLE =
       Set.of(
           HeaderNames.CONTENT_LENGTH,
@@ -45,7 +45,7 @@
 
   private static Optional<HttpMessage> parseRequestLine(String line, Map<String, String> fields) {
     String[] parts = line.split(" ", -1);
-    if (parts.length != 3) {
+    if (parts.length != FIRST_LINE_PARTS) {
       return Optional.empty();
     }
     String target = withoutAuthority(parts[1]);
@@ -54,20 +54,20 @@
         AsciiText.isToken(parts[0])
             && target.matches("/[!-~]*")
             && version.matches(VERSION_FORM)
-            && (version.equals(HTTP_10) || fields.containsKey(HeaderNames.HOST));
+            && (version.equals(HttpMessage.HTTP_10) || fields.containsKey(HeaderNames.HOST));
     return isWellFormed
         ? Optional.of(new HttpRequest(parts[0], target, version, fields, HttpMessage.NO_BODY, 0))
         : Optional.empty();
   }
 
-  /** A proxy's form names the host too; what we forward does not. */
+  /** The absolute form of a target, as proxies receive it, is forwarded without its host. */
   private static String withoutAuthority(String target) {
     String path = target.replaceFirst("^https?://[^/?#]+(?=/|$)", "");
     return path.isEmpty() ? "/" : path;
   }
 
   private static Optional<HttpMessage> parseStatusLine(String line, Map<String, String> fields) {
-    String[] parts = line.split(" ", 3);
+    String[] parts = line.split(" ", FIRST_LINE_PARTS);
     boolean isWellFormed =
         parts.length >= 2 && parts[0].matches(VERSION_FORM) && parts[1].matches("[1-5][0-9][0-9]");
     if (!isWellFormed) {
@@ -96,7 +96,7 @@
     }
     String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
     if (!parsesRequests && name.equals(HeaderNames.SERVER_LOAD)) {
-      return true; // nothing here uses it, so one that can't be read spoils no answer
+      return true; // unused here, so a malformed one does not invalidate the response
     }
     if (!AsciiText.isFieldText(line)) {
       return false;
@@ -114,12 +114,13 @@
     return !SINGLE.contains(name);
   }
 
-  /** Whether one length or one known coding tells where the body ends. */
+  /** Whether exactly one of a length and a known coding frames the body, or neither. */
   private static boolean isFramedOnce(String firstLine, HttpMessage head) {
     String length = head.field(HeaderNames.CONTENT_LENGTH);
     String coding = head.field(HeaderNames.TRANSFER_ENCODING);
     boolean isKnownCoding =
-        coding == null || (coding.equalsIgnoreCase("chunked") && !firstLine.contains(HTTP_10));
+        coding == null
+            || (coding.equalsIgnoreCase("chunked") && !firstLine.contains(HttpMessage.HTTP_10));
     boolean isKnownLength = length == null || (coding == null && length.matches("[0-9]{1,18}"));
     return isKnownCoding && isKnownLength;
   }
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
@@ -22,6 +22,15 @@
   /** As {@link #remainingBytes}: the end of the connection tells, to those who know no chunks. */
   long UNTIL_CLOSE = -2;
 
+  /** The version that this sidecar writes. */
+  String HTTP_11 = "HTTP/1.1";
+
+  /** The version whose senders know no chunks. */
+  String HTTP_10 = "HTTP/1.0";
+
+  /** A first guess at the size of a head, in characters. */
+  int USUAL_HEAD_CHARS = 256;
+
   /** The line end of HTTP. */
   String LINE_END = "\r\n";
 
@@ -34,7 +43,7 @@
   Set<String> HOP_BY_HOP =
       Set.of(
           HeaderNames.CONNECTION,
-          "keep-alive",
+          HeaderNames.KEEP_ALIVE,
           "proxy-connection",
           "te",
           "trailer",
@@ -75,14 +84,15 @@
 
   /** Whether its sender keeps no connection unless it says so, and knows no chunks. */
   default boolean isHttp10() {
-    return version().equals("HTTP/1.0");
+    return version().equals(HTTP_10);
   }
 
   /** Whether its sender keeps the connection open behind it. */
   default boolean keepsAlive() {
     String text = fields().getOrDefault(HeaderNames.CONNECTION, "").toLowerCase(Locale.ROOT);
     List<String> options = List.of(text.split("[ \\t]*,[ \\t]*"));
-    return !options.contains("close") && (!isHttp10() || options.contains("keep-alive"));
+    return !options.contains(HeaderNames.CONNECTION_CLOSE)
+        && (!isHttp10() || options.contains(HeaderNames.CONNECTION_KEEP_ALIVE));
   }
 
   /** Its fields, without those of the hop and those that the sender names as such. */
@@ -119,7 +129,7 @@
 
   /** All that goes before its body. */
   default byte[] encodeHead() {
-    StringBuilder head = new StringBuilder(256);
+    StringBuilder head = new StringBuilder(USUAL_HEAD_CHARS);
     head.append(startLine()).append(LINE_END);
     fields()
         .forEach((name, value) -> head.append(name).append(": ").append(value).append(LINE_END));
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -13,16 +13,12 @@
   /** A body up to this is read completely before it is handed on; a larger one is streamed. */
   public static final int MAX_BUFFERED_BODY_BYTES = 64 << 10;
 
-  /** Fault: the body is larger than allowed. */
-  public static final int BODY_TOO_LARGE = 413;
-
-  static final int MALFORMED = 400;
-  static final int HEAD_TOO_LARGE = 431;
   static final int MAX_HEAD_BYTES = 16 << 10;
   private static final int MAX_REQUEST_HEAD_BYTES = 8 << 10; // an endpoint may take no more
   private static final int MAX_INTERIM_RESPONSES = 16; // some are usual, more are without end
   private static final String RESPONSE_START = "HTTP/1.";
-  private static final int HEAD_END_BYTES = 4;
+  private static final int HEAD_END_BYTES = 4; // two line ends
+  private static final int LINE_END_BYTES = 2;
 
   private final boolean parsesRequests;
   private final HttpHeadParser headParser;
@@ -115,14 +111,14 @@
   }
 
   private boolean isInterimResponse() {
-    return head instanceof HttpResponse response && response.status() < 200;
+    return head instanceof HttpResponse response && HttpStatus.isInterim(response.status());
   }
 
   private void skipInterimResponse() {
     head = null;
     interimResponses++;
     if (interimResponses > MAX_INTERIM_RESPONSES) {
-      fault = HEAD_TOO_LARGE;
+      fault = HttpStatus.HEADER_FIELDS_TOO_LARGE;
     }
   }
 
@@ -212,7 +208,7 @@
     }
     isBodyComplete = remaining == 0 && chunks == null;
     if (received > maxBody) {
-      fault = BODY_TOO_LARGE;
+      fault = HttpStatus.CONTENT_TOO_LARGE;
     }
   }
 
@@ -221,9 +217,9 @@
     int end = findHeadEnd(in);
     int maxBytes = parsesRequests ? MAX_REQUEST_HEAD_BYTES : MAX_HEAD_BYTES;
     if (end > maxBytes || (end < 0 && in.size() > maxBytes)) {
-      fault = HEAD_TOO_LARGE;
+      fault = HttpStatus.HEADER_FIELDS_TOO_LARGE;
     } else if (end < 0 && !startsLikeMessage(in)) {
-      fault = MALFORMED;
+      fault = HttpStatus.BAD_REQUEST;
     } else if (end >= 0) {
       String[] lines = AsciiText.read(in, 0, end).split(HttpMessage.LINE_END, -1);
       in.skip(end + HEAD_END_BYTES);
@@ -235,8 +231,8 @@
 
   /** Empty lines before a message are allowed. */
   private void skipEmptyLines(RingBuffer in) {
-    while (in.size() > 1 && in.at(0) == '\r' && in.at(1) == '\n') {
-      in.skip(2);
+    while (in.size() >= LINE_END_BYTES && isLineEnd(in, 0)) {
+      in.skip(LINE_END_BYTES);
       scanned = 0;
     }
   }
@@ -246,15 +242,17 @@
     int from = Math.max(0, scanned - (HEAD_END_BYTES - 1));
     scanned = in.size();
     for (int i = from; i + HEAD_END_BYTES <= in.size(); i++) {
-      boolean isEnd =
-          in.at(i) == '\r' && in.at(i + 1) == '\n' && in.at(i + 2) == '\r' && in.at(i + 3) == '\n';
-      if (isEnd) {
+      if (isLineEnd(in, i) && isLineEnd(in, i + LINE_END_BYTES)) {
         return i;
       }
     }
     return -1;
   }
 
+  private static boolean isLineEnd(RingBuffer in, int index) {
+    return in.at(index) == '\r' && in.at(index + 1) == '\n';
+  }
+
   /**
    * Whether what has arrived can be the start of a message: noise may never end, and its attempt
    * would wait until its deadline.
@@ -262,7 +260,7 @@
   private boolean startsLikeMessage(RingBuffer in) {
     int count = Math.min(in.size(), RESPONSE_START.length());
     for (int i = 0; i < count; i++) {
-      char c = (char) (in.at(i) & 0xff);
+      char c = (char) Byte.toUnsignedInt(in.at(i));
       if (!(parsesRequests ? mayStartRequest(c, i) : mayStartResponse(c, i))) {
         return false;
       }
@@ -271,7 +269,7 @@
   }
 
   private static boolean mayStartRequest(char c, int index) {
-    return (c >= ' ' && c < 127) || c == '\r' || (c == '\n' && index > 0);
+    return (c >= ' ' && c < AsciiText.DELETE) || c == '\r' || (c == '\n' && index > 0);
   }
 
   private static boolean mayStartResponse(char c, int index) {
@@ -282,7 +280,7 @@
   /** Prepares to read the body of a message, or notes the fault of its head. */
   private void startMessage(Optional<HttpMessage> parsed) {
     if (parsed.isEmpty()) {
-      fault = MALFORMED;
+      fault = HttpStatus.BAD_REQUEST;
       return;
     }
     HttpMessage message = parsed.get();
@@ -290,11 +288,11 @@
     boolean isChunked = message.field(HeaderNames.TRANSFER_ENCODING) != null && !hasNoBody;
     long length = bodyLength(message, isChunked, hasNoBody);
     if (length > maxBody) {
-      fault = BODY_TOO_LARGE;
+      fault = HttpStatus.CONTENT_TOO_LARGE;
       return;
     }
     if (length == HttpMessage.UNTIL_CLOSE && message.keepsAlive()) {
-      fault = MALFORMED; // its end could not be told from a reset, or would never come
+      fault = HttpStatus.BAD_REQUEST; // the end of its body could not be told from a reset
       return;
     }
     remaining = length;
@@ -308,7 +306,9 @@
   }
 
   private static boolean hasNoBody(int status) {
-    return status < 200 || status == 204 || status == 304;
+    return HttpStatus.isInterim(status)
+        || status == HttpStatus.NO_CONTENT
+        || status == HttpStatus.NOT_MODIFIED;
   }
 
   private long bodyLength(HttpMessage message, boolean isChunked, boolean hasNoBody) {
--- a/sidecar/src/main/java/dillcross/net/http/HttpRequest.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpRequest.java
@@ -5,7 +5,7 @@
 /**
  * An HTTP request.
  *
- * @param target what it asks for, with the query
+ * @param target the request target, with the query
  */
 public record HttpRequest(
     String method,
@@ -15,22 +15,26 @@
     byte[] body,
     long remainingBytes)
     implements HttpMessage {
-  private static final String GET = "GET";
+  /** The method of a request that changes nothing. */
+  public static final String GET = "GET";
 
-  /** A request of ours, with all of its body. */
+  /** The method of a request that may change something. */
+  public static final String POST = "POST";
+
+  /** A request that this sidecar makes, with its complete body. */
   public static HttpRequest of(
       String method, String target, Map<String, String> fields, byte[] body) {
-    return new HttpRequest(method, target, "HTTP/1.1", fields, body, 0);
+    return new HttpRequest(method, target, HttpMessage.HTTP_11, fields, body, 0);
   }
 
-  /** A GET of ours. */
+  /** A GET that this sidecar makes. */
   public static HttpRequest get(String target, Map<String, String> fields) {
     return of(GET, target, fields, NO_BODY);
   }
 
-  /** As we forward it: the same body with other fields, in our version. */
+  /** The request as it is forwarded: the same body with other fields, as HTTP/1.1. */
   public HttpRequest withFields(Map<String, String> newFields) {
-    return new HttpRequest(method, target, "HTTP/1.1", newFields, body, remainingBytes);
+    return new HttpRequest(method, target, HttpMessage.HTTP_11, newFields, body, remainingBytes);
   }
 
   /** The target without the query. */
--- a/sidecar/src/main/java/dillcross/simulator/DecisionWriter.java
+++ b/sidecar/src/main/java/dillcross/simulator/DecisionWriter.java
@@ -5,6 +5,7 @@
 /** Writes the decisions of one instance as lines of the simulator's wire. */
 final class DecisionWriter implements Decision.Handler {
   private static final int MICROS_PER_MILLI = 1000;
+  private static final int DECIMAL = 10;
 
   private final StringBuilder output;
   private final int instance;
@@ -16,9 +17,9 @@
 
   @Override
   public void onSendAttempt(Decision.SendAttempt decision) {
-    begin("forward").append(' ').append(decision.requestId()).append(' ');
+    begin(WireFormat.SEND_ATTEMPT).append(' ').append(decision.requestId()).append(' ');
     if (decision.deadlineUs() == 0) {
-      output.append('-');
+      output.append(WireFormat.ABSENT);
     } else {
       appendMillis(decision.deadlineUs());
     }
@@ -27,35 +28,35 @@
 
   @Override
   public void onReject(Decision.Reject decision) {
-    begin("not_now").append(' ').append(decision.requestId()).append(' ');
+    begin(WireFormat.REJECT_REQUEST).append(' ').append(decision.requestId()).append(' ');
     appendMillis(decision.retryAfterUs());
     output.append('\n');
   }
 
   @Override
   public void onFail(Decision.Fail decision) {
-    begin("report_failure").append(' ').append(decision.requestId()).append('\n');
+    begin(WireFormat.FAIL_REQUEST).append(' ').append(decision.requestId()).append('\n');
   }
 
   @Override
   public void onCancelAttempt(Decision.CancelAttempt decision) {
-    begin("undo_send").append(' ').append(decision.requestId());
+    begin(WireFormat.CANCEL_ATTEMPT).append(' ').append(decision.requestId());
     output.append(' ').append(decision.attempt()).append('\n');
   }
 
   @Override
   public void onReleaseConnections(Decision.ReleaseConnections decision) {
-    begin("close_idle").append(' ').append(decision.endpoint()).append('\n');
+    begin(WireFormat.RELEASE_CONNECTIONS).append(' ').append(decision.endpoint()).append('\n');
   }
 
   @Override
   public void onWatchEndpoints(Decision.WatchEndpoints decision) {
-    begin("listen").append(" 1\n");
+    begin(WireFormat.WATCH_ENDPOINTS).append(" 1\n");
   }
 
   @Override
   public void onScheduleTimer(Decision.ScheduleTimer decision) {
-    begin("wake_at").append(' ');
+    begin(WireFormat.SCHEDULE_TIMER).append(' ');
     appendMillis(decision.delayUs());
     output.append(" w\n");
   }
@@ -64,11 +65,12 @@
     return output.append(name).append(' ').append(instance);
   }
 
+  /** Milliseconds with three decimals; without an intermediate string, as there are many. */
   private void appendMillis(long us) {
-    long rest = us % MICROS_PER_MILLI;
     output.append(us / MICROS_PER_MILLI).append('.');
-    output.append((char) ('0' + rest / 100));
-    output.append((char) ('0' + rest / 10 % 10));
-    output.append((char) ('0' + rest % 10));
+    long micros = us % MICROS_PER_MILLI;
+    for (int unit = MICROS_PER_MILLI / DECIMAL; unit > 0; unit /= DECIMAL) {
+      output.append((char) ('0' + micros / unit % DECIMAL));
+    }
   }
 }
--- a/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
+++ b/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
@@ -8,9 +8,6 @@
 
 /** Turns events of the simulator's wire into calls of a load balancer. */
 final class EventDispatcher {
-  private static final String ACTIVE_REQUESTS = "active:"; // in a load report
-  private static final long REPEAT_FLAG = 2;
-
   private final Map<Integer, List<Endpoint>> snapshots;
 
   /** {@code snapshots} are the endpoint lists by their numbers, a live view. */
@@ -20,14 +17,15 @@
 
   void dispatch(String name, WireFields fields, LoadBalancer balancer, long nowUs) {
     switch (name) {
-      case "endpoints" -> onEndpoints(fields, balancer, nowUs);
-      case "knock" -> onRequest(fields, balancer, nowUs);
-      case "response" -> onAttemptEnded(fields, balancer, nowUs);
-      case "opened" -> onResponseStarted(fields, balancer, nowUs);
-      case "withdrawn" -> balancer.onClientDisconnected(nowUs, fields.wholeNumber(0));
-      case "fired" -> balancer.onTimer(nowUs);
+      case WireFormat.ENDPOINTS_CHANGED -> onEndpoints(fields, balancer, nowUs);
+      case WireFormat.REQUEST_ARRIVED -> onRequest(fields, balancer, nowUs);
+      case WireFormat.ATTEMPT_ENDED -> onAttemptEnded(fields, balancer, nowUs);
+      case WireFormat.RESPONSE_STARTED -> onResponseStarted(fields, balancer, nowUs);
+      case WireFormat.CLIENT_DISCONNECTED ->
+          balancer.onClientDisconnected(nowUs, fields.wholeNumber(0));
+      case WireFormat.TIMER_DUE -> balancer.onTimer(nowUs);
       default -> {
-        // nothing asks for health checks or for other sidecars' messages
+        // health checks and messages of other load balancers are not used
       }
     }
   }
@@ -36,7 +34,7 @@
     fields.wholeNumber(0);
     int snapshot = fields.index();
     String form = fields.text();
-    if (form.equals("Error")) {
+    if (form.equals(WireFormat.LIST_UNAVAILABLE)) {
       balancer.onEndpointListFailure(nowUs, Long.MAX_VALUE);
       return;
     }
@@ -44,7 +42,7 @@
     if (entries == null) {
       throw fields.malformed("no such list");
     }
-    balancer.onEndpointList(nowUs, !form.equals("Partial"), entries);
+    balancer.onEndpointList(nowUs, !form.equals(WireFormat.LIST_OF_CHANGES), entries);
   }
 
   private static void onRequest(WireFields fields, LoadBalancer balancer, long nowUs) {
@@ -53,8 +51,8 @@
     long timeoutUs = fields.microseconds();
     fields.skip();
     fields.skip();
-    boolean isRepeat = (fields.wholeNumber(0) & REPEAT_FLAG) != 0;
-    balancer.onRequest(nowUs, requestId, tenant, fields.text(), timeoutUs, isRepeat);
+    boolean isClientRetry = (fields.wholeNumber(0) & WireFormat.CLIENT_RETRY_FLAG) != 0;
+    balancer.onRequest(nowUs, requestId, tenant, fields.text(), timeoutUs, isClientRetry);
   }
 
   private static void onAttemptEnded(WireFields fields, LoadBalancer balancer, long nowUs) {
@@ -84,9 +82,10 @@
     if (report == null) {
       return;
     }
-    for (String part : report.split(",")) {
-      if (part.startsWith(ACTIVE_REQUESTS)) {
-        double inFlight = fields.numberOf(part.substring(ACTIVE_REQUESTS.length()));
+    for (String entry : report.split(",")) {
+      if (entry.startsWith(WireFormat.REQUESTS_IN_FLIGHT)) {
+        String count = entry.substring(WireFormat.REQUESTS_IN_FLIGHT.length());
+        double inFlight = fields.numberOf(count);
         balancer.onLoadReport(nowUs, endpoint, inFlight);
       }
     }
@@ -95,14 +94,14 @@
   private static AttemptOutcome outcome(WireFields fields) {
     int code = fields.index();
     return switch (code) {
-      case 0 -> AttemptOutcome.SUCCEEDED;
-      case 1 -> AttemptOutcome.CANCELLED;
-      case 4 -> AttemptOutcome.TIMED_OUT;
-      case 8 -> AttemptOutcome.OVERLOADED;
-      case 9 -> AttemptOutcome.NOT_SENT;
-      case 10 -> AttemptOutcome.RESET;
-      case 13 -> AttemptOutcome.ERROR;
-      case 14 -> AttemptOutcome.CONNECT_FAILED;
+      case WireFormat.SUCCEEDED -> AttemptOutcome.SUCCEEDED;
+      case WireFormat.CANCELLED -> AttemptOutcome.CANCELLED;
+      case WireFormat.TIMED_OUT -> AttemptOutcome.TIMED_OUT;
+      case WireFormat.OVERLOADED -> AttemptOutcome.OVERLOADED;
+      case WireFormat.NOT_SENT -> AttemptOutcome.NOT_SENT;
+      case WireFormat.RESET -> AttemptOutcome.RESET;
+      case WireFormat.ERROR -> AttemptOutcome.ERROR;
+      case WireFormat.CONNECT_FAILED -> AttemptOutcome.CONNECT_FAILED;
       default -> throw fields.malformed("unknown outcome " + code);
     };
   }
--- a/sidecar/src/main/java/dillcross/simulator/SimulatorSession.java
+++ b/sidecar/src/main/java/dillcross/simulator/SimulatorSession.java
@@ -19,7 +19,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts many load balancers, sharing nothing between them, on the simulator's wire. */
+/**
+ * Hosts many load balancers, which share nothing, on the simulator's wire: reads batches of events,
+ * and answers each batch with the decisions of the load balancers that it touched. Single-threaded.
+ */
 public final class SimulatorSession {
   private static final int INPUT_BUFFER_BYTES = 1 << 16;
   private static final int OUTPUT_BUFFER_CHARS = 1 << 12;
@@ -29,7 +32,7 @@
   private final Map<Integer, LoadBalancer> instances = new HashMap<>();
   private final Map<Integer, List<Endpoint>> snapshots = new HashMap<>();
   private final EventDispatcher dispatcher = new EventDispatcher(snapshots);
-  private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>(); // by this batch
+  private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>(); // in this batch
   private final Map<Integer, String> failures = new LinkedHashMap<>(); // in this batch
   private final StringBuilder output = new StringBuilder(OUTPUT_BUFFER_CHARS);
   private long lineNumber;
@@ -63,7 +66,7 @@
   /** Whether a batch is open after the line. */
   private boolean handle(WireFields fields, boolean isInBatch) throws IOException {
     String name = fields.text();
-    if (name.equals("tick")) {
+    if (name.equals(WireFormat.BATCH_BEGIN)) {
       if (isInBatch) {
         throw fields.malformed("a batch begins within a batch");
       }
@@ -73,7 +76,7 @@
     if (!isInBatch) {
       throw fields.malformed("outside a batch");
     }
-    if (name.equals("commit")) {
+    if (name.equals(WireFormat.BATCH_END)) {
       answer();
       return false;
     }
@@ -83,21 +86,21 @@
 
   private void onEvent(String name, WireFields fields) throws IOException {
     switch (name) {
-      case "snapshot_rows" -> snapshots.put(fields.index(), readRows(fields.index()));
-      case "open_instance" -> openInstance(fields);
-      case "shutdown" -> {
+      case WireFormat.ENDPOINT_LIST -> snapshots.put(fields.index(), readEndpoints(fields.index()));
+      case WireFormat.CREATE_INSTANCE -> openInstance(fields);
+      case WireFormat.REMOVE_INSTANCE -> {
         int instance = fields.index();
         instances.remove(instance);
         touched.remove(instance);
       }
-      case "endpoints",
-          "knock",
-          "response",
-          "opened",
-          "withdrawn",
-          "sampled",
-          "peer_data",
-          "fired" ->
+      case WireFormat.ENDPOINTS_CHANGED,
+          WireFormat.REQUEST_ARRIVED,
+          WireFormat.ATTEMPT_ENDED,
+          WireFormat.RESPONSE_STARTED,
+          WireFormat.CLIENT_DISCONNECTED,
+          WireFormat.HEALTH_CHECKED,
+          WireFormat.PEER_MESSAGE,
+          WireFormat.TIMER_DUE ->
           onInstanceEvent(name, fields);
       default -> throw fields.malformed("unknown message");
     }
@@ -145,28 +148,28 @@
     }
   }
 
-  private List<Endpoint> readRows(int count) throws IOException {
+  private List<Endpoint> readEndpoints(int count) throws IOException {
     List<Endpoint> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       String line = in.readLine();
       lineNumber++;
       WireFields fields = new WireFields(line == null ? "" : line, lineNumber);
-      if (line == null || !fields.text().equals("row")) {
+      if (line == null || !fields.text().equals(WireFormat.ENDPOINT)) {
         throw fields.malformed("a row of the list is missing");
       }
-      entries.add(readRow(fields));
+      entries.add(readEndpoint(fields));
     }
     return entries;
   }
 
-  private static Endpoint readRow(WireFields fields) {
+  private static Endpoint readEndpoint(WireFields fields) {
     fields.skip();
     String id = fields.text();
     long startedUs = fields.microseconds();
     Health health =
         switch (fields.text()) {
-          case "up" -> Health.UP;
-          case "draining" -> Health.DRAINING;
+          case WireFormat.HEALTH_UP -> Health.UP;
+          case WireFormat.HEALTH_DRAINING -> Health.DRAINING;
           default -> Health.REMOVED;
         };
     double weight = fields.number(1);
@@ -180,8 +183,14 @@
     touched.forEach(this::writeDecisions);
     failures.forEach(
         (instance, failure) ->
-            output.append("bug ").append(instance).append(' ').append(failure).append('\n'));
-    output.append("next\n");
+            output
+                .append(WireFormat.INSTANCE_FAILED)
+                .append(' ')
+                .append(instance)
+                .append(' ')
+                .append(failure)
+                .append('\n'));
+    output.append(WireFormat.ANSWER_END).append('\n');
     out.write(output.toString().getBytes(StandardCharsets.UTF_8));
     out.flush();
     output.setLength(0);
--- a/sidecar/src/main/java/dillcross/simulator/WireFields.java
+++ b/sidecar/src/main/java/dillcross/simulator/WireFields.java
@@ -1,9 +1,11 @@
 package dillcross.simulator;
 
-/** Reads the fields of one line, in order, without splitting it first. */
+/**
+ * Reads the fields of one line, in order, without splitting it first. Each method reads the next
+ * field, and throws {@link MalformedInputException} where it is missing or malformed.
+ */
 final class WireFields {
-  private static final String ABSENT = "-";
-  private static final int MAX_SHOWN = 200;
+  private static final int MAX_QUOTED_CHARS = 200;
   private static final int MICROS_PER_MILLI = 1000;
 
   private final long lineNumber;
@@ -28,10 +30,10 @@
     end = end < 0 ? line.length() : end;
     String field = line.substring(position, end);
     position = end + 1;
-    return field.equals(ABSENT) ? null : field;
+    return field.equals(WireFormat.ABSENT) ? null : field;
   }
 
-  /** The next field, which has to be there. */
+  /** The next field; throws {@link MalformedInputException} where it is absent. */
   String text() {
     String field = optionalText();
     if (field == null) {
@@ -71,9 +73,9 @@
     }
   }
 
-  /** The number in a part of a field; 0 where it is absent. */
-  double numberOf(String part) {
-    return new WireFields(part, lineNumber).number(0);
+  /** The number that a piece of a field holds; 0 where it is absent. */
+  double numberOf(String text) {
+    return new WireFields(text, lineNumber).number(0);
   }
 
   /** Milliseconds with a fraction, as whole microseconds; 0 where they are absent. */
@@ -96,7 +98,8 @@
   }
 
   private String describe(String reason) {
-    String shown = line.length() > MAX_SHOWN ? line.substring(0, MAX_SHOWN) + "..." : line;
-    return "line " + lineNumber + ": " + reason + ": " + shown;
+    String quoted =
+        line.length() > MAX_QUOTED_CHARS ? line.substring(0, MAX_QUOTED_CHARS) + "..." : line;
+    return "line " + lineNumber + ": " + reason + ": " + quoted;
   }
 }
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/simulator/WireFormat.java
@@ -0,0 +1,131 @@
+package dillcross.simulator;
+
+/**
+ * The words of the simulator's wire, each with the term that the code uses. A message is one line:
+ * its name, then its fields separated by spaces.
+ */
+final class WireFormat {
+  /** A field that is absent. */
+  static final String ABSENT = "-";
+
+  // Messages from the simulator
+
+  /** A batch begins; its field is the time in milliseconds. */
+  static final String BATCH_BEGIN = "tick";
+
+  /** A batch ends, and its decisions are requested. */
+  static final String BATCH_END = "commit";
+
+  /** An endpoint list, whose rows follow. */
+  static final String ENDPOINT_LIST = "snapshot_rows";
+
+  /** One endpoint of an endpoint list. */
+  static final String ENDPOINT = "row";
+
+  /** A load balancer is created. */
+  static final String CREATE_INSTANCE = "open_instance";
+
+  /** A load balancer is removed. */
+  static final String REMOVE_INSTANCE = "shutdown";
+
+  /** A load balancer's endpoint list has changed, or is unavailable. */
+  static final String ENDPOINTS_CHANGED = "endpoints";
+
+  /** A request has arrived. */
+  static final String REQUEST_ARRIVED = "knock";
+
+  /** An attempt has ended. */
+  static final String ATTEMPT_ENDED = "response";
+
+  /** The first bytes of an attempt's response have arrived. */
+  static final String RESPONSE_STARTED = "opened";
+
+  /** A client has disconnected. */
+  static final String CLIENT_DISCONNECTED = "withdrawn";
+
+  /** A timer is due. */
+  static final String TIMER_DUE = "fired";
+
+  /** The result of a health check; ignored. */
+  static final String HEALTH_CHECKED = "sampled";
+
+  /** A message of another load balancer; ignored. */
+  static final String PEER_MESSAGE = "peer_data";
+
+  // Values of their fields
+
+  /** The health of an endpoint that takes requests. */
+  static final String HEALTH_UP = "up";
+
+  /** The health of an endpoint that shuts down gracefully. */
+  static final String HEALTH_DRAINING = "draining";
+
+  /** The endpoint list is unavailable. */
+  static final String LIST_UNAVAILABLE = "Error";
+
+  /** The endpoint list holds changes only. */
+  static final String LIST_OF_CHANGES = "Partial";
+
+  /** The flag, among those of a request, that its client has tried before. */
+  static final long CLIENT_RETRY_FLAG = 2;
+
+  /** The prefix, in a load report, of how many requests the endpoint has in flight. */
+  static final String REQUESTS_IN_FLIGHT = "active:";
+
+  // Outcomes of an attempt
+
+  /** It succeeded. */
+  static final int SUCCEEDED = 0;
+
+  /** It was cancelled. */
+  static final int CANCELLED = 1;
+
+  /** It timed out. */
+  static final int TIMED_OUT = 4;
+
+  /** The endpoint was overloaded and did not start on it. */
+  static final int OVERLOADED = 8;
+
+  /** It was never sent. */
+  static final int NOT_SENT = 9;
+
+  /** Its connection was reset. */
+  static final int RESET = 10;
+
+  /** The endpoint answered with an error. */
+  static final int ERROR = 13;
+
+  /** Its connection could not be opened. */
+  static final int CONNECT_FAILED = 14;
+
+  // Messages to the simulator
+
+  /** Send an attempt. */
+  static final String SEND_ATTEMPT = "forward";
+
+  /** Reject a request; a retry is safe. */
+  static final String REJECT_REQUEST = "not_now";
+
+  /** Fail a request. */
+  static final String FAIL_REQUEST = "report_failure";
+
+  /** Cancel an attempt. */
+  static final String CANCEL_ATTEMPT = "undo_send";
+
+  /** Close the idle connections to an endpoint. */
+  static final String RELEASE_CONNECTIONS = "close_idle";
+
+  /** Watch the endpoint list. */
+  static final String WATCH_ENDPOINTS = "listen";
+
+  /** Set a timer. */
+  static final String SCHEDULE_TIMER = "wake_at";
+
+  /** A load balancer has failed with an exception. */
+  static final String INSTANCE_FAILED = "bug";
+
+  /** The answer to a batch is complete. */
+  static final String ANSWER_END = "next";
+
+  private WireFormat() {}
+}
