--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -27,8 +27,8 @@
         fault(
             "two answers",
             "sidecar/RequestCoordinator.java",
-            "isFinal && !request.isOver && request.streaming == null",
-            "isFinal && request.streaming == null",
+            "isFinal && !request.isFinished() && !request.isStreaming()",
+            "isFinal && !request.isStreaming()",
             "ONE_ANSWER",
             "copies.toml"),
         fault(
@@ -73,8 +73,8 @@
         fault(
             "a client that has disconnected, unnoticed",
             "sidecar/RequestCoordinator.java",
-            "if (request != null && !request.isOver) {\n      balancer.onClientDisconnected(nowUs, id);",
-            "if (request != null && request.isOver) {\n      balancer.onClientDisconnected(nowUs, id);",
+            "if (request != null && !request.isFinished()) {\n      balancer.onClientDisconnected(nowUs, id);",
+            "if (request != null && request.isFinished()) {\n      balancer.onClientDisconnected(nowUs, id);",
             "NOTHING_AFTER",
             "gone.toml"),
         fault(
--- a/sidecar/src/main/java/dillcross/sidecar/OpenRequest.java
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenRequest.java
@@ -3,69 +3,136 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request, kept until it is answered and none of its attempts is in flight. Plain state. */
+/**
+ * One request and its attempts, kept until it is finished and none of its attempts is in flight.
+ * Times are in microseconds. Belongs to the selector thread.
+ */
 final class OpenRequest {
   private static final long BODY_INCOMPLETE = Long.MAX_VALUE;
 
-  final Object client;
-  final Object content;
-  final long timeoutUs;
-  final List<OpenAttempt> attempts = new ArrayList<>(2);
-  int attemptsInFlight;
-
-  /** Whether all of its body can still be sent. */
-  boolean isReplayable = true;
-
-  /** Whose answer is streamed to the client; null before. */
-  OpenAttempt streaming;
-
-  boolean isOver;
+  private final Object client;
+  private final Object content;
+  private final long timeoutUs;
+  private final List<OpenAttempt> attempts = new ArrayList<>(2);
+  private int attemptsInFlight;
+  private boolean isReplayable = true;
+  private OpenAttempt streaming; // null until a response is streamed to the client
+  private boolean isFinished;
   private long deadlineUs = BODY_INCOMPLETE;
 
-  /** One attempt. */
-  static final class OpenAttempt {
-    /** Where the endpoint was when it was sent. */
-    final EndpointEntry target;
-
-    /** When it was sent; where the request's body came later, when that was complete. */
-    long sentUs;
-
-    /** When its answer began to be streamed; 0 before. */
-    long streamingSinceUs;
-
-    /** Abandoned because its time was over. */
-    boolean hasTimedOut;
-
-    boolean hasEnded;
-
-    OpenAttempt(EndpointEntry target, long sentUs) {
-      this.target = target;
-      this.sentUs = sentUs;
-    }
-  }
-
   OpenRequest(Object client, Object content, long timeoutUs) {
     this.client = client;
     this.content = content;
     this.timeoutUs = timeoutUs;
   }
 
-  /** The client's time counts from the last byte of the body. */
+  /** Who waits for the answer. */
+  Object client() {
+    return client;
+  }
+
+  /** What is sent to endpoints. */
+  Object content() {
+    return content;
+  }
+
+  /** Starts the client's timeout, at the last byte of the body. */
   void startDeadline(long nowUs) {
     deadlineUs = nowUs + timeoutUs;
   }
 
-  /** {@code Long.MAX_VALUE} while its body is incomplete. */
+  /** When the client stops waiting; {@code Long.MAX_VALUE} while the body is incomplete. */
   long deadlineUs() {
     return deadlineUs;
   }
 
+  /** The deadline if the body were complete now. */
+  long earliestDeadlineUs(long nowUs) {
+    return isBodyIncomplete() ? nowUs + timeoutUs : deadlineUs;
+  }
+
   boolean isBodyIncomplete() {
     return deadlineUs == BODY_INCOMPLETE;
   }
 
-  /** The attempt of that number; null where there is none. */
+  /** Notes that the last byte of the body has arrived: attempts in flight are timed from now. */
+  void completeBody(long nowUs) {
+    for (OpenAttempt attempt : attempts) {
+      attempt.restartTimeUnlessEnded(nowUs);
+    }
+  }
+
+  /** Notes that a part of the body was released, so that no other attempt can send all of it. */
+  void releaseBody() {
+    isReplayable = false;
+  }
+
+  /** Whether all of the body can still be sent. */
+  boolean isReplayable() {
+    return isReplayable;
+  }
+
+  /** Starts an attempt, and returns its number within the request. */
+  int startAttempt(EndpointEntry target, long nowUs) {
+    attempts.add(new OpenAttempt(target, nowUs));
+    attemptsInFlight++;
+    return attempts.size() - 1;
+  }
+
+  /** The attempt of that number, which must have been started. */
   OpenAttempt attempt(int number) {
-    return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
+    return attempts.get(number);
+  }
+
+  /** The attempt of that number; null if it has ended or was never started. */
+  OpenAttempt findInFlight(int number) {
+    boolean isStarted = number >= 0 && number < attempts.size();
+    return isStarted && !attempts.get(number).hasEnded() ? attempts.get(number) : null;
+  }
+
+  /** How many attempts were started, those that have ended included. */
+  int attemptCount() {
+    return attempts.size();
+  }
+
+  /** Ends an attempt that is in flight. */
+  void endAttempt(OpenAttempt attempt) {
+    attempt.end();
+    attemptsInFlight--;
+  }
+
+  /** Streams the attempt's response to the client from now on. */
+  void startStreaming(OpenAttempt attempt, long nowUs) {
+    streaming = attempt;
+    attempt.startStreaming(nowUs);
+  }
+
+  /** Whether a response has begun to be streamed to the client. */
+  boolean isStreaming() {
+    return streaming != null;
+  }
+
+  /** Whether it is this attempt's response that is streamed to the client. */
+  boolean isStreaming(OpenAttempt attempt) {
+    return streaming == attempt;
+  }
+
+  /** The number of the attempt whose response is streamed; -1 if none is. */
+  int streamingNumber() {
+    return attempts.indexOf(streaming);
+  }
+
+  /** Notes that the client gets no further answer: it has one, or has disconnected. */
+  void finish() {
+    isFinished = true;
+  }
+
+  boolean isFinished() {
+    return isFinished;
+  }
+
+  /** Whether nothing more can happen to the request. */
+  boolean isRemovable() {
+    return isFinished && attemptsInFlight == 0;
   }
 }
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenRequests.java
@@ -0,0 +1,88 @@
+package dillcross.sidecar;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Queue;
+
+/**
+ * The requests that are kept, by the ids that this sidecar gives them. Abandons their attempts by
+ * commands to the network. Belongs to the selector thread.
+ */
+final class OpenRequests {
+  private final Map<Long, OpenRequest> requests = new HashMap<>();
+  private final Queue<NetworkCommand> commands;
+  private long lastId;
+
+  OpenRequests(Queue<NetworkCommand> commands) {
+    this.commands = commands;
+  }
+
+  /** Adds a request, and returns its id. */
+  long add(OpenRequest request) {
+    lastId++;
+    requests.put(lastId, request);
+    return lastId;
+  }
+
+  /** The request of that id; null if it is not kept. */
+  OpenRequest find(long id) {
+    return requests.get(id);
+  }
+
+  /** The request of that id; null if it is finished or not kept. */
+  OpenRequest findUnfinished(long id) {
+    OpenRequest request = requests.get(id);
+    return request == null || request.isFinished() ? null : request;
+  }
+
+  /** Finishes the request: its client gets no further answer. */
+  void finish(long id, OpenRequest request) {
+    request.finish();
+    removeIfDone(id, request);
+  }
+
+  /** Removes the request if it is finished and no attempt of it is in flight. */
+  void removeIfDone(long id, OpenRequest request) {
+    if (request.isRemovable()) {
+      requests.remove(id);
+    }
+  }
+
+  /** Abandons an attempt that is not needed any more, if it is in flight. */
+  void cancelAttempt(long id, OpenRequest request, int number) {
+    OpenAttempt attempt = request.findInFlight(number);
+    if (attempt != null) {
+      abandon(id, number, attempt, false);
+    }
+  }
+
+  /** Abandons an attempt whose deadline has passed, if it is in flight. */
+  void timeOutAttempt(long id, OpenRequest request, int number) {
+    OpenAttempt attempt = request.findInFlight(number);
+    if (attempt != null && !request.isStreaming(attempt)) { // a streamed response has no deadline
+      abandon(id, number, attempt, true);
+    }
+  }
+
+  /** Abandons all attempts in flight of a request whose deadline has passed. */
+  void timeOutAttempts(long id, OpenRequest request) {
+    for (int number = 0; number < request.attemptCount(); number++) {
+      timeOutAttempt(id, request, number);
+    }
+  }
+
+  private void abandon(long id, int number, OpenAttempt attempt, boolean timedOut) {
+    attempt.abandon(timedOut);
+    commands.add(new NetworkCommand.AbandonAttempt(id, number));
+  }
+
+  /** How many requests wait for their answer. */
+  long unfinishedCount() {
+    return requests.values().stream().filter(request -> !request.isFinished()).count();
+  }
+
+  /** How many requests are kept. */
+  int size() {
+    return requests.size();
+  }
+}
--- a/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
+++ b/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
@@ -4,120 +4,95 @@
 import dillcross.model.AttemptOutcome;
 import dillcross.model.BalancerSettings;
 import dillcross.model.Decision;
-import dillcross.model.Endpoint;
-import dillcross.sidecar.OpenRequest.OpenAttempt;
 import java.util.ArrayDeque;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
  * One sidecar without I/O and without a clock: turns what the network reports into calls of the
- * load balancer, and its decisions into commands for the network. Inputs only note; then pull
- * {@link #next} until it is null. It decides nothing itself: it keeps time for the load balancer,
- * and remembers which client waits for which request. All times are in microseconds of the caller's
- * clock. Belongs to the selector thread.
+ * load balancer, and its decisions into commands for the network. It decides nothing itself.
+ *
+ * <p>The methods that report an event only note it; the caller then pulls {@link #next} until it
+ * returns null. All times are in microseconds of the caller's clock. Belongs to the selector
+ * thread.
  */
 public final class RequestCoordinator {
-  private static final long UNANSWERED_GRACE_US = 10_000; // after the deadline
-  private static final long MIN_WATCH_INTERVAL_US = 100_000; // a list that answers at once
-
   private final LoadBalancer balancer;
-  private final Map<Long, OpenRequest> requests = new HashMap<>();
-  private final EndpointAddresses addresses = new EndpointAddresses();
-  private final TimerQueue timers = new TimerQueue();
   private final ArrayDeque<NetworkCommand> commands = new ArrayDeque<>();
-  private final DecisionExecutor executor = new DecisionExecutor();
-  private long lastRequestId;
-  private long listVersion;
-  private long lastWatchUs;
-  private boolean hasReceivedWatchEvent;
+  private final OpenRequests requests = new OpenRequests(commands);
+  private final TimerQueue timers = new TimerQueue();
+  private final EndpointListTracker endpoints;
+  private final TimerHandler timerHandler;
+  private final DecisionExecutor executor;
 
   /** A coordinator with no requests, for a load balancer that nothing else calls. */
   public RequestCoordinator(LoadBalancer balancer) {
     this.balancer = balancer;
+    endpoints = new EndpointListTracker(balancer, timers, commands);
+    timerHandler = new TimerHandler(timers, balancer, requests, endpoints, commands);
+    executor = new DecisionExecutor(requests, endpoints, timers, commands);
   }
 
-  // Inputs
-
-  /** New settings for the load balancer; nothing that is kept here depends on them. */
+  /** Passes new settings on to the load balancer. */
   public void applySettings(long nowUs, BalancerSettings settings) {
     balancer.applySettings(nowUs, settings);
   }
 
+  // Endpoint list
+
   /**
-   * An update of the endpoint list.
+   * Applies an update of the endpoint list. Changes older than the known version are dropped, and
+   * the complete list is requested.
    *
-   * @param version by the list's own numbering
-   * @param complete whether what {@code updates} do not name is removed; else they are changes
-   * @param fromWatch whether a watch brought it, which then goes on
+   * @param version the discovery service's version of the list
+   * @param complete whether endpoints without an entry are removed; if false the entries are
+   *     changes
+   * @param fromWatch whether a watch brought the update; the next watch is then scheduled
    */
   public void onEndpointList(
       long nowUs, long version, boolean complete, List<EndpointEntry> updates, boolean fromWatch) {
-    // Its numbering began anew, or it is from before what is known: ask for the complete list, as
-    // what it says may undo a drain.
-    boolean isOlder = !complete && version < listVersion;
-    listVersion = isOlder ? 0 : version;
-    applyEndpoints(nowUs, complete, isOlder ? List.of() : updates);
-    hasReceivedWatchEvent |= fromWatch;
-    if (fromWatch) {
-      long earliestUs = Math.max(nowUs, lastWatchUs + MIN_WATCH_INTERVAL_US);
-      timers.add(updates.isEmpty() ? earliestUs : nowUs, TimerKind.WATCH_ENDPOINTS, 0, 0);
-    }
+    endpoints.onUpdate(nowUs, version, complete, updates, fromWatch);
   }
 
   /**
-   * An update from the address where the list was before it moved, while the new one has not
-   * answered yet; version numbers there say nothing here.
+   * Applies an update from the former discovery address, while the new one has not answered yet.
+   * Its versions are not comparable with those of the new address.
    */
   public void onFormerEndpointList(long nowUs, boolean complete, List<EndpointEntry> updates) {
-    applyEndpoints(nowUs, complete, updates);
-  }
-
-  private void applyEndpoints(long nowUs, boolean complete, List<EndpointEntry> updates) {
-    closeConnections(addresses.apply(updates));
-    List<Endpoint> endpoints = updates.stream().map(EndpointEntry::endpoint).toList();
-    balancer.onEndpointList(nowUs, complete, endpoints);
-    closeConnections(addresses.removeIf(id -> !balancer.isListed(id)));
-  }
-
-  private void closeConnections(List<String> ids) {
-    ids.forEach(id -> commands.add(new NetworkCommand.CloseConnections(id)));
+    endpoints.onFormerUpdate(nowUs, complete, updates);
   }
 
-  /**
-   * The list is at another address now: ask for all of it at once, as versions there may differ.
-   */
+  /** Requests the complete list now, because discovery has moved to a new address. */
   public void onDiscoveryMoved(long nowUs) {
-    listVersion = 0;
-    balancer.onEndpointList(nowUs, false, List.of()); // earlier failures are no reason to wait here
-    timers.add(nowUs, TimerKind.WATCH_ENDPOINTS, 0, 0);
+    endpoints.onDiscoveryMoved(nowUs);
   }
 
-  /** Whether a watch has brought the endpoint list. */
+  /** Whether a watch has brought the endpoint list since the start. */
   public boolean hasReceivedWatchEvent() {
-    return hasReceivedWatchEvent;
+    return endpoints.hasReceivedWatchEvent();
   }
 
   /**
    * The endpoint list is unavailable, or a watch of it broke.
    *
-   * @param maxDelayUs it is asked for again after at most so long, times 0.5 to 1.5
+   * @param maxDelayUs the longest backoff before the next watch; the backoff is jittered by a
+   *     factor of 0.5 to 1.5
    */
   public void onEndpointListFailure(long nowUs, long maxDelayUs) {
     balancer.onEndpointListFailure(nowUs, maxDelayUs);
   }
 
+  // Requests
+
   /**
-   * A request has arrived; returns the id by which it is known from here on. Where its body is
-   * incomplete, {@link #onBodyComplete} is called with the last byte.
+   * A request has arrived. If its body is incomplete, {@link #onBodyComplete} is called with the
+   * last byte.
+   *
+   * @return the id of the request, unique within this coordinator
    */
   public long onRequest(long nowUs, IncomingRequest incoming) {
-    lastRequestId++;
-    long id = lastRequestId;
     OpenRequest request =
         new OpenRequest(incoming.client(), incoming.content(), incoming.timeoutUs());
-    requests.put(id, request);
+    long id = requests.add(request);
     balancer.onRequest(
         nowUs,
         id,
@@ -138,302 +113,147 @@
     timers.add(request.deadlineUs(), TimerKind.REQUEST_DEADLINE, id, 0);
   }
 
-  /** A part of the body was released: what is in flight can't be followed by another attempt. */
+  /** A part of the body was released, so that no other attempt can send all of it. */
   public void onBodyReleased(long nowUs, long id) {
-    OpenRequest request = requests.get(id);
-    if (request != null && request.isReplayable) {
-      request.isReplayable = false;
+    OpenRequest request = requests.find(id);
+    if (request != null && request.isReplayable()) {
+      request.releaseBody();
       balancer.onRequestBody(nowUs, id, false, false);
     }
   }
 
-  /** The last byte of the body has arrived. */
+  /** The last byte of the body has arrived; later calls for the same request have no effect. */
   public void onBodyComplete(long nowUs, long id) {
-    OpenRequest request = requests.get(id);
+    OpenRequest request = requests.find(id);
     if (request != null && request.isBodyIncomplete()) {
-      for (OpenAttempt attempt : request.attempts) {
-        if (!attempt.hasEnded) {
-          attempt.sentUs = nowUs;
-        }
-      }
-      balancer.onRequestBody(nowUs, id, true, request.isReplayable);
+      request.completeBody(nowUs);
+      balancer.onRequestBody(nowUs, id, true, request.isReplayable());
       startDeadline(nowUs, id, request);
     }
   }
 
-  /** No endpoint has taken any of the body for as long as that may take: its attempts time out. */
+  /** No endpoint takes the body of a request any more: its attempts time out. */
   public void onBodyStalled(long id) {
-    OpenRequest request = requests.get(id);
+    OpenRequest request = requests.find(id);
     if (request != null) {
-      timeOutAttempts(id, request);
+      requests.timeOutAttempts(id, request);
+    }
+  }
+
+  /** The client has disconnected. */
+  public void onClientDisconnected(long nowUs, long id) {
+    OpenRequest request = requests.find(id);
+    if (request != null && !request.isFinished()) {
+      balancer.onClientDisconnected(nowUs, id);
+      // The load balancer does not cancel an attempt whose response is streamed.
+      requests.cancelAttempt(id, request, request.streamingNumber());
+      requests.finish(id, request);
     }
   }
 
+  // Attempts
+
   /**
-   * The first bytes of an attempt's answer are there, and more will come.
+   * Whether an attempt that waited for its connection may still be sent: its request is not
+   * finished, its deadline has not passed, and its endpoint is still the same process at the same
+   * address and may be used. True for an id that is no request's, as of warm-up probes.
+   */
+  public boolean maySend(long nowUs, long id, int attemptNumber) {
+    OpenRequest request = requests.find(id);
+    if (request == null) {
+      return true;
+    }
+    EndpointEntry target = request.attempt(attemptNumber).target();
+    return !request.isFinished() && nowUs < request.deadlineUs() && endpoints.isCurrent(target);
+  }
+
+  /**
+   * The first bytes of an attempt's response have arrived, and more will follow.
    *
-   * @return false where nobody wants it any more
+   * @return whether the response is streamed to the client; if false it is to be discarded
    */
   public boolean onResponseStarted(long nowUs, long id, int attemptNumber, Object content) {
-    OpenRequest request = requests.get(id);
+    OpenRequest request = requests.find(id);
     if (request == null) {
       return false;
     }
-    OpenAttempt attempt = request.attempts.get(attemptNumber);
-    boolean isAnswered = request.isOver || request.streaming != null;
-    if (attempt.hasEnded || isAnswered || request.isBodyIncomplete()) {
+    OpenAttempt attempt = request.attempt(attemptNumber);
+    boolean isAnswered = request.isFinished() || request.isStreaming();
+    if (attempt.hasEnded() || isAnswered || request.isBodyIncomplete()) {
       return false;
     }
-    request.streaming = attempt;
-    attempt.streamingSinceUs = nowUs;
+    request.startStreaming(attempt, nowUs);
     balancer.onResponseStarted(nowUs, id, attemptNumber);
-    commands.add(new NetworkCommand.StartStreaming(request.client, content));
+    commands.add(new NetworkCommand.StartStreaming(request.client(), content));
     return true;
   }
 
-  /** The client has disconnected. */
-  public void onClientDisconnected(long nowUs, long id) {
-    OpenRequest request = requests.get(id);
-    if (request != null && !request.isOver) {
-      balancer.onClientDisconnected(nowUs, id);
-      // The load balancer leaves an answer that is streamed to the client.
-      abandon(id, request, request.attempts.indexOf(request.streaming), false);
-      finish(id, request);
-    }
-  }
-
-  /** An attempt has ended on the network. */
+  /** An attempt has ended on the network; later calls for the same attempt have no effect. */
   public void onAttemptEnded(long nowUs, long id, int attemptNumber, AttemptResult result) {
-    OpenRequest request = requests.get(id);
-    if (request == null || request.attempts.get(attemptNumber).hasEnded) {
+    OpenRequest request = requests.find(id);
+    if (request == null || request.attempt(attemptNumber).hasEnded()) {
       return;
     }
-    OpenAttempt attempt = request.attempts.get(attemptNumber);
-    attempt.hasEnded = true;
-    request.attemptsInFlight--;
-    AttemptOutcome outcome = result.outcome(attempt.hasTimedOut);
+    OpenAttempt attempt = request.attempt(attemptNumber);
+    request.endAttempt(attempt);
+    AttemptOutcome outcome = result.outcome(attempt.hasTimedOut());
     answerClient(request, attempt, outcome, result.content());
-    boolean hasStreamed = attempt.streamingSinceUs > 0;
-    long endUs =
-        hasStreamed ? attempt.streamingSinceUs : nowUs; // the rest is the client's doing too
     balancer.onAttemptEnded(
-        nowUs, id, attemptNumber, outcome, endUs - attempt.sentUs, request.isOver);
-    if (request.isOver && request.attemptsInFlight == 0) {
-      requests.remove(id);
-    }
+        nowUs, id, attemptNumber, outcome, attempt.elapsedUs(nowUs), request.isFinished());
+    requests.removeIfDone(id, request);
   }
 
-  /** The endpoint's own word is final, and the first that comes. */
+  /** Forwards the first final response and discards later ones. */
   private void answerClient(
       OpenRequest request, OpenAttempt attempt, AttemptOutcome outcome, Object content) {
     boolean succeeded = outcome == AttemptOutcome.SUCCEEDED;
     boolean isFinal = succeeded || outcome == AttemptOutcome.CLIENT_ERROR;
-    if (request.streaming == attempt && !request.isOver) {
-      commands.add(new NetworkCommand.FinishStreaming(request.client, succeeded));
-      request.isOver = true;
-    } else if (isFinal && !request.isOver && request.streaming == null) {
+    if (request.isStreaming(attempt) && !request.isFinished()) {
+      commands.add(new NetworkCommand.FinishStreaming(request.client(), succeeded));
+      request.finish();
+    } else if (isFinal && !request.isFinished() && !request.isStreaming()) {
       commands.add(
           succeeded
-              ? new NetworkCommand.ForwardResponse(request.client, content)
-              : new NetworkCommand.ForwardClientError(request.client, content));
-      request.isOver = true;
+              ? new NetworkCommand.ForwardResponse(request.client(), content)
+              : new NetworkCommand.ForwardClientError(request.client(), content));
+      request.finish();
     }
   }
 
-  /**
-   * Whether an attempt that had to wait for its connection may still be sent: its request may have
-   * been answered or its time be over, its endpoint may drain, have moved, or be another process,
-   * which is warming up. What belongs to no request is not held back here.
-   */
-  public boolean maySend(long nowUs, long id, int attemptNumber) {
-    OpenRequest request = requests.get(id);
-    if (request == null) {
-      return true;
-    }
-    EndpointEntry target = request.attempts.get(attemptNumber).target;
-    return !request.isOver && nowUs < request.deadlineUs() && addresses.isCurrent(target);
-  }
-
-  /**
-   * When the next timer is due; a network with nothing to report must call {@link #next} by then.
-   */
-  public long nextTimerUs() {
-    return timers.nextDueUs();
-  }
-
-  /** Requests that wait for their answer. */
-  public long openRequests() {
-    return requests.values().stream().filter(request -> !request.isOver).count();
-  }
-
-  /** Requests that are kept: open ones, and those that are over with an attempt in flight. */
-  public int trackedRequests() {
-    return requests.size();
-  }
-
-  /** Timers that are set; those of a request that is over go when they are due. */
-  public int pendingTimers() {
-    return timers.size();
-  }
-
-  // Commands
+  // Commands and timers
 
-  /** The next thing to carry out; null when there is none. */
+  /** The next command to carry out; null if there is none. */
   public NetworkCommand next(long nowUs) {
     while (commands.isEmpty()) {
-      TimerQueue.Timer due = timers.pollDue(nowUs);
-      if (due != null) {
-        onTimer(nowUs, due);
+      if (timerHandler.handleNextDue(nowUs)) {
         continue;
       }
       Decision decision = balancer.next();
       if (decision == null) {
         return null;
       }
-      executor.nowUs = nowUs;
-      decision.accept(executor);
+      executor.execute(nowUs, decision);
     }
     return commands.poll();
   }
 
-  private void onTimer(long nowUs, TimerQueue.Timer timer) {
-    OpenRequest request = requests.get(timer.requestId());
-    switch (timer.kind()) {
-      case BALANCER -> balancer.onTimer(nowUs);
-      case WATCH_ENDPOINTS -> watchEndpoints(nowUs);
-      case ATTEMPT_DEADLINE -> abandon(timer.requestId(), request, timer.attempt(), true);
-      case REQUEST_UNANSWERED -> failUnanswered(nowUs, timer.requestId(), request);
-      case REQUEST_DEADLINE -> onDeadline(timer, request);
-    }
-  }
-
-  private void onDeadline(TimerQueue.Timer timer, OpenRequest request) {
-    if (request == null) {
-      return;
-    }
-    timeOutAttempts(timer.requestId(), request);
-    if (!request.isOver) {
-      long checkUs = timer.dueUs() + UNANSWERED_GRACE_US;
-      timers.add(checkUs, TimerKind.REQUEST_UNANSWERED, timer.requestId(), 0);
-    }
-  }
-
-  /** A fault in the load balancer must not leave a client without an answer. */
-  private void failUnanswered(long nowUs, long id, OpenRequest request) {
-    if (request != null && !request.isOver && request.streaming == null) {
-      commands.add(new NetworkCommand.FailRequest(request.client));
-      balancer.onClientDisconnected(nowUs, id);
-      finish(id, request);
-    }
-  }
-
-  private void watchEndpoints(long nowUs) {
-    lastWatchUs = nowUs;
-    commands.add(new NetworkCommand.WatchEndpoints(listVersion));
-  }
-
-  private void timeOutAttempts(long id, OpenRequest request) {
-    for (int number = 0; number < request.attempts.size(); number++) {
-      abandon(id, request, number, true);
-    }
+  /** When the next timer is due: a caller without events must call {@link #next} by then. */
+  public long nextTimerUs() {
+    return timers.nextDueUs();
   }
 
-  private void abandon(long id, OpenRequest request, int number, boolean timedOut) {
-    OpenAttempt attempt = request == null ? null : request.attempt(number);
-    if (attempt == null || attempt.hasEnded) {
-      return;
-    }
-    if (!timedOut || attempt != request.streaming) { // what is streamed has no deadline any more
-      attempt.hasTimedOut = timedOut;
-      commands.add(new NetworkCommand.AbandonAttempt(id, number));
-    }
+  /** How many requests wait for their answer. */
+  public long openRequests() {
+    return requests.unfinishedCount();
   }
 
-  private void finish(long id, OpenRequest request) {
-    request.isOver = true;
-    if (request.attemptsInFlight == 0) {
-      requests.remove(id);
-    }
+  /** How many requests are kept: those that wait, and those with an attempt still in flight. */
+  public int trackedRequests() {
+    return requests.size();
   }
 
-  /** Turns decisions into commands; one for a request that is over has come too late. */
-  private final class DecisionExecutor implements Decision.Handler {
-    private long nowUs;
-
-    private OpenRequest findOpen(long id) {
-      OpenRequest request = requests.get(id);
-      return request == null || request.isOver ? null : request;
-    }
-
-    @Override
-    public void onSendAttempt(Decision.SendAttempt decision) {
-      long id = decision.requestId();
-      OpenRequest request = findOpen(id);
-      if (request == null) {
-        return;
-      }
-      long requestEndUs =
-          request.isBodyIncomplete() ? nowUs + request.timeoutUs : request.deadlineUs();
-      boolean isLimited =
-          !request.isBodyIncomplete()
-              && decision.deadlineUs() > 0
-              && decision.deadlineUs() < request.deadlineUs();
-      long deadlineUs = isLimited ? decision.deadlineUs() : requestEndUs;
-      int number = request.attempts.size();
-      EndpointEntry target = addresses.find(decision.endpoint());
-      request.attempts.add(new OpenAttempt(target, nowUs));
-      request.attemptsInFlight++;
-      if (isLimited) {
-        timers.add(deadlineUs, TimerKind.ATTEMPT_DEADLINE, id, number);
-      }
-      commands.add(
-          new NetworkCommand.SendAttempt(
-              id,
-              number,
-              request.client,
-              decision.endpoint(),
-              target.address(),
-              request.content,
-              deadlineUs));
-    }
-
-    @Override
-    public void onReject(Decision.Reject decision) {
-      OpenRequest request = findOpen(decision.requestId());
-      if (request != null) {
-        commands.add(new NetworkCommand.RejectRequest(request.client, decision.retryAfterUs()));
-        finish(decision.requestId(), request);
-      }
-    }
-
-    @Override
-    public void onFail(Decision.Fail decision) {
-      OpenRequest request = findOpen(decision.requestId());
-      if (request != null) {
-        commands.add(new NetworkCommand.FailRequest(request.client));
-        finish(decision.requestId(), request);
-      }
-    }
-
-    @Override
-    public void onCancelAttempt(Decision.CancelAttempt decision) {
-      long id = decision.requestId();
-      abandon(id, requests.get(id), decision.attempt(), false);
-    }
-
-    @Override
-    public void onReleaseConnections(Decision.ReleaseConnections decision) {
-      commands.add(new NetworkCommand.CloseConnections(decision.endpoint()));
-    }
-
-    @Override
-    public void onWatchEndpoints(Decision.WatchEndpoints decision) {
-      watchEndpoints(nowUs);
-    }
-
-    @Override
-    public void onScheduleTimer(Decision.ScheduleTimer decision) {
-      timers.add(nowUs + decision.delayUs(), TimerKind.BALANCER, 0, 0);
-    }
+  /** How many timers are set. Those of a finished request stay until they are due. */
+  public int pendingTimers() {
+    return timers.size();
   }
 }
