--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -1,21 +1,20 @@
 package dillcross.net.discovery;
 
-import com.fasterxml.jackson.jr.ob.JSON;
+import dillcross.endpointlist.EndpointListParser;
+import dillcross.endpointlist.MalformedEndpointListException;
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.connection.Connection;
 import dillcross.net.connection.ConnectionFactory;
 import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
 import dillcross.net.http.HttpMessage;
-import dillcross.net.http.HttpMessageParser;
 import dillcross.net.http.HttpRequest;
 import dillcross.net.http.HttpResponse;
+import dillcross.net.http.HttpStatus;
 import dillcross.net.transport.Network;
 import dillcross.sidecar.EndpointListUpdate;
-import dillcross.sidecar.MalformedEndpointListException;
 import dillcross.sidecar.NetworkCommand;
 import dillcross.sidecar.RequestCoordinator;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +38,6 @@
  */
 public final class DiscoveryClient implements MessageHandler {
   private static final int MAX_LIST_BYTES = 1 << 20;
-  private static final int MICROS_PER_MILLI = 1000;
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   private final RequestCoordinator coordinator;
@@ -162,8 +160,7 @@
   }
 
   private void sendRequest(WatchCall call, long waitUs) {
-    String target =
-        "/v1/servers?since=" + call.sinceVersion + "&timeout_ms=" + waitUs / MICROS_PER_MILLI;
+    String target = WatchRequestTarget.of(call.sinceVersion, waitUs);
     call.connection.send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
   }
 
@@ -213,7 +210,9 @@
     HttpResponse response = (HttpResponse) message;
     Optional<WatchCall> call = callOn(connection);
     Optional<EndpointListUpdate> update =
-        call.isPresent() && response.status() == 200 ? parse(response.body()) : Optional.empty();
+        call.isPresent() && response.status() == HttpStatus.OK
+            ? parse(response.body())
+            : Optional.empty();
     if (update.isEmpty()) {
       call.ifPresent(failed -> fail(failed, true));
       connection.close();
@@ -226,10 +225,8 @@
 
   private static Optional<EndpointListUpdate> parse(byte[] text) {
     try {
-      return JSON.std.anyFrom(text) instanceof Map<?, ?> json
-          ? Optional.of(EndpointListUpdate.fromJson(json))
-          : Optional.empty();
-    } catch (IOException | IllegalArgumentException | MalformedEndpointListException malformed) {
+      return Optional.of(EndpointListParser.parse(text));
+    } catch (MalformedEndpointListException malformed) {
       return Optional.empty();
     }
   }
@@ -254,7 +251,7 @@
 
   @Override
   public void onMalformedMessage(Connection connection, int status) {
-    if (status == HttpMessageParser.BODY_TOO_LARGE) {
+    if (status == HttpStatus.CONTENT_TOO_LARGE) {
       LOG.warning("endpoint list larger than " + MAX_LIST_BYTES + " bytes, keeping the last one");
     }
     callOn(connection).ifPresent(call -> fail(call, false));
