--- a/sidecar/src/test/java/dillcross/balancer/AdmissionControlTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/AdmissionControlTest.java
@@ -6,187 +6,199 @@
 import dillcross.model.AttemptOutcome;
 import dillcross.model.Decision;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Covers the limit on attempts in flight, and what is rejected; see {@link AdmissionControl}. */
 class AdmissionControlTest {
-  /**
-   * A fleet that answers nothing must not be sent everything: in flight stays bounded, the rest is
-   * told at once.
-   */
+  private static final int INTERVAL_MS = 250;
+
   @ParameterizedTest
   @ValueSource(strings = {"read", "once"})
-  void anOverloadIsNotFed(String requestClass) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b", "c");
-    s.traffic(100, "a");
+  void limitsAttemptsToFleetThatDoesNotRespond(String requestClass) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b", "c");
+    int warmUpRequests = 100;
+    fixture.sendSequentially(warmUpRequests, "a");
+
     List<Long> requests = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
-      requests.add(s.arrive(requestClass));
-      s.pass(5);
+      requests.add(fixture.startRequest(requestClass));
+      fixture.advance(5);
     }
-    assertTrue(s.inFlight.size() <= 12, "in flight " + s.inFlight.size());
-    assertTrue(s.sent.size() - 100 < 60, "pushes " + (s.sent.size() - 100));
+
+    int attempts = fixture.sentAttempts.size() - warmUpRequests;
+    assertTrue(fixture.inFlight.size() <= 12, "in flight " + fixture.inFlight.size());
+    assertTrue(attempts < 60, "attempts " + attempts);
     long rejected =
         requests.stream()
             .filter(
                 request ->
-                    s.answers.get(request) != null
-                        && s.answers.get(request) instanceof Decision.Reject rejection
+                    fixture.answers.get(request) instanceof Decision.Reject rejection
                         && rejection.retryAfterUs() > 0)
             .count();
-    assertTrue(rejected > 200, "nacked " + rejected);
+    assertTrue(rejected > 200, "rejected " + rejected);
   }
 
-  /**
-   * Answers that slow down twentyfold shrink what is in flight, however many endpoints there are.
-   */
+  /** Without a limit 80 and more would be in flight. */
   @Test
-  void inFlightFallsAsAnswersSlowDown() {
-    String[] many = IntStream.range(0, 20).mapToObj(i -> "e" + i).toArray(String[]::new);
-    BalancerFixture s = BalancerFixture.withEndpoints(many);
-    s.traffic(200, "e0");
-    int inFlight = 0;
+  void lowersLimitAsResponsesSlowDown() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints(TestEndpoints.inOneZone(20));
+    fixture.sendSequentially(200, "e0");
+
+    int maxInFlight = 0;
     for (int i = 0; i < 800; i++) {
-      s.arrive("read");
-      s.pass(5);
-      s.endAttempts(p -> p.atMs() <= s.nowMs - 400, AttemptOutcome.SUCCEEDED);
-      inFlight = i < 400 ? 0 : Math.max(inFlight, s.inFlight.size());
+      fixture.startRequest("read");
+      fixture.advance(5);
+      fixture.succeedAfter(400);
+      maxInFlight = i < 400 ? 0 : Math.max(maxInFlight, fixture.inFlight.size());
     }
-    assertTrue(inFlight < 40, "in flight " + inFlight); // 80 and more without a bound
+
+    assertTrue(maxInFlight < 40, "in flight " + maxInFlight);
   }
 
-  /**
-   * Four requests a second at random are neither rejected nor kept from an idle fleet by the
-   * sidecar's own bound.
-   */
+  /** Four requests a second, arriving at random. */
   @Test
-  void littleTrafficIsNotStarved() {
-    BalancerFixture s = BalancerFixture.oneOf(400, 5, TestEndpoints.fleet(30, "UP"));
+  void admitsLightTrafficToIdleFleet() {
+    BalancerFixture fixture = BalancerFixture.inFleet(400, 5, TestEndpoints.inThreeZones(30));
     Random random = new Random(3);
+    int stepMs = 10;
+
     for (int requests = 0; requests < 300; requests++) {
-      s.arrive("read");
-      for (long left = (long) (-250 * Math.log(1 - random.nextDouble())); left >= 0; left -= 10) {
-        s.pass(Math.min(10, left));
-        s.endAttempts(p -> p.atMs() <= s.nowMs - 80, AttemptOutcome.SUCCEEDED);
+      fixture.startRequest("read");
+      long untilNextMs = (long) (-INTERVAL_MS * Math.log(1 - random.nextDouble()));
+      for (long leftMs = untilNextMs; leftMs >= 0; leftMs -= stepMs) {
+        fixture.advance(Math.min(stepMs, leftMs));
+        fixture.succeedAfter(80);
       }
     }
-    long rejected = s.answers.values().stream().filter(d -> d instanceof Decision.Reject).count();
-    assertTrue(rejected < 6, "nacked " + rejected);
+
+    long rejected = fixture.countRejected();
+    assertTrue(rejected < 6, "rejected " + rejected);
   }
 
-  /**
-   * One request class waited wherever it went; its time-outs closed the bound, and the others were
-   * rejected with it.
-   */
+  /** A class that misses its objective at every endpoint says nothing about their capacity. */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void aClassThatIsLateEverywhereDoesNotLowerTheLimit(boolean othersToo) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
+  void doesNotLowerLimitForOneSlowClass(boolean othersAreSlow) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    int fastMs = 40;
+    int slowMs = 600; // the objective is 400 ms
     for (int i = 0; i < 100; i++) {
-      s.arrive("read");
-      s.arrive("any");
-      s.pass(40);
-      s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
+      fixture.startRequest("read");
+      fixture.startRequest("any");
+      fixture.advance(fastMs);
+      fixture.succeedAll();
     }
-    Map<Long, Boolean> read = new HashMap<>();
-    for (int i = 0; i < 800; i++) { // reads take 0.6 s, of a target of 0.4 s
+
+    Set<Long> slowRequests = new HashSet<>();
+    Set<Long> otherRequests = new HashSet<>();
+    for (int i = 0; i < 800; i++) {
       if (i % 3 == 0) {
-        read.put(s.arrive("read"), true);
+        slowRequests.add(fixture.startRequest("read"));
       }
-      long other = s.arrive("any");
-      s.pass(40);
-      long nowMs = s.nowMs;
-      s.endAttempts(
-          p -> nowMs - p.atMs() >= (read.containsKey(p.requestId()) || othersToo ? 600 : 40),
+      long other = fixture.startRequest("any");
+      fixture.advance(fastMs);
+      long nowMs = fixture.nowMs;
+      fixture.endAttempts(
+          attempt -> {
+            boolean hadToWait = otherRequests.contains(attempt.requestId());
+            boolean isSlow =
+                othersAreSlow || hadToWait || slowRequests.contains(attempt.requestId());
+            return nowMs - attempt.sentMs() >= (isSlow ? slowMs : fastMs);
+          },
           AttemptOutcome.SUCCEEDED);
-      read.put(other, false);
+      otherRequests.add(other);
     }
-    read.keySet().removeIf(read::get);
-    long rejected = s.countRejected(read.keySet());
-    assertEquals(othersToo, rejected > 100, "nacked " + rejected);
+
+    long rejected = fixture.countRejected(otherRequests);
+    assertEquals(othersAreSlow, rejected > 100, "rejected " + rejected);
   }
 
-  /**
-   * Connections that die one by one, while their endpoints answer the rest, must not hold the bound
-   * until their deadlines.
-   */
+  /** Their attempts must not fill the limit until their deadlines. */
   @Test
-  void deadConnectionsDoNotHoldTheBound() {
-    BalancerFixture s =
-        BalancerFixture.oneOf(
-            1,
-            0,
-            IntStream.range(0, 10).mapToObj(i -> "e" + i + ":UP:1:east").toArray(String[]::new));
-    Set<Long> dead = new HashSet<>();
+  void doesNotCountAttemptsOnDeadConnections() {
+    BalancerFixture fixture = BalancerFixture.inFleet(1, 0, TestEndpoints.inOneZone(10));
+
+    Set<Long> withoutResponse = new HashSet<>();
     for (int i = 0; i < 1500; i++) {
-      boolean dies = i > 500 && i % 20 == 0;
-      long request = s.arrive(dies ? "once" : "read"); // no copy of these may go
-      dead.addAll(dies ? List.of(request) : List.of());
-      s.pass(5);
-      s.endAttempts(
-          p -> p.atMs() <= s.nowMs - 20 && !dead.contains(p.requestId()), AttemptOutcome.SUCCEEDED);
+      boolean connectionDies = i > 500 && i % 20 == 0;
+      long request = fixture.startRequest(connectionDies ? "once" : "read"); // "once": no hedge
+      if (connectionDies) {
+        withoutResponse.add(request);
+      }
+      fixture.advance(5);
+      fixture.endAttempts(
+          attempt ->
+              attempt.sentMs() <= fixture.nowMs - 20
+                  && !withoutResponse.contains(attempt.requestId()),
+          AttemptOutcome.SUCCEEDED);
     }
-    assertEquals(0, s.answers.values().stream().filter(a -> a instanceof Decision.Reject).count());
+
+    assertEquals(0, fixture.countRejected());
   }
 
-  /**
-   * After a restart of a third, few requests that hung stood for a queue of all, and over half were
-   * rejected while endpoints had room.
-   */
+  /** One in six requests hangs, or all do. */
   @ParameterizedTest
   @CsvSource({"6, false", "1, true"})
-  void fewHangingRequestsAreNoQueueOfAll(int every, boolean queue) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b", "c", "d", "e", "f");
+  void doesNotRejectBecauseFewRequestsHang(int hangingPeriod, boolean rejects) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b", "c", "d", "e", "f");
     for (int i = 0; i < 200; i++) {
-      s.arrive("read");
-      s.pass(20);
-      s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
+      fixture.startRequest("read");
+      fixture.advance(20);
+      fixture.succeedAll();
     }
-    Set<Long> hang = new HashSet<>();
+
+    Set<Long> hanging = new HashSet<>();
     List<Long> requests = new ArrayList<>();
     for (int i = 0; i < 2000; i++) {
-      long request = s.arrive("read");
+      long request = fixture.startRequest("read");
       requests.add(request);
-      if (i % every == 0) {
-        hang.add(request);
+      if (i % hangingPeriod == 0) {
+        hanging.add(request);
       }
-      s.pass(5);
-      long nowMs = s.nowMs;
-      s.endAttempts(
-          p -> nowMs - p.atMs() >= (hang.contains(p.requestId()) ? 390 : 30),
+      fixture.advance(5);
+      long nowMs = fixture.nowMs;
+      fixture.endAttempts(
+          attempt -> nowMs - attempt.sentMs() >= (hanging.contains(attempt.requestId()) ? 390 : 30),
           AttemptOutcome.SUCCEEDED);
     }
-    long rejected = s.countRejected(requests);
-    assertEquals(queue, rejected > 100, "nacked " + rejected);
+
+    long rejected = fixture.countRejected(requests);
+    assertEquals(rejects, rejected > 100, "rejected " + rejected);
   }
 
-  /** Slow endpoints among the few in use must not close the bound for the others. */
+  /** All endpoints of the subset but one are slow. */
   @Test
-  void slowEndpointsDoNotLowerTheLimitForOthers() {
-    BalancerFixture s = BalancerFixture.oneOf(300, 0, TestEndpoints.fleet(30, "UP"));
-    s.thinTraffic(60, 250);
-    List<String> used = s.thinTraffic(40, 250).keySet().stream().sorted().toList();
+  void doesNotRejectBecauseOfSlowEndpoints() {
+    BalancerFixture fixture = BalancerFixture.inFleet(300, 0, TestEndpoints.inThreeZones(30));
+    fixture.sendAtIntervals(60, INTERVAL_MS);
+    List<String> used =
+        fixture.sendAtIntervals(40, INTERVAL_MS).keySet().stream().sorted().toList();
     Random random = new Random(5);
-    int requests = 0;
-    for (; requests < 600; requests++) {
-      s.arrive("once");
-      for (double left = -200 * Math.log(1 - random.nextDouble()); left >= 0; left -= 20) {
-        s.pass(20);
-        s.endAttempts(
-            p -> p.atMs() <= s.nowMs - (used.indexOf(p.endpoint()) != 0 ? 380 : 20),
+    int stepMs = 20;
+    int requests = 600;
+
+    for (int i = 0; i < requests; i++) {
+      fixture.startRequest("once");
+      double untilNextMs = -200 * Math.log(1 - random.nextDouble());
+      for (double leftMs = untilNextMs; leftMs >= 0; leftMs -= stepMs) {
+        fixture.advance(stepMs);
+        fixture.endAttempts(
+            attempt -> {
+              boolean isFast = used.indexOf(attempt.endpoint()) == 0;
+              return attempt.sentMs() <= fixture.nowMs - (isFast ? 20 : 380);
+            },
             AttemptOutcome.SUCCEEDED);
       }
     }
-    long rejected = s.answers.values().stream().filter(d -> d instanceof Decision.Reject).count();
-    assertTrue(rejected < 0.1 * requests, "nacked " + rejected + " of " + requests);
+
+    long rejected = fixture.countRejected();
+    assertTrue(rejected < 0.1 * requests, "rejected " + rejected + " of " + requests);
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/BalancerFixture.java
+++ b/sidecar/src/test/java/dillcross/balancer/BalancerFixture.java
@@ -1,211 +1,140 @@
 package dillcross.balancer;
 
-import dillcross.model.*;
-import dillcross.model.Endpoint.Health;
-import java.util.*;
+import dillcross.model.AttemptOutcome;
+import dillcross.model.Decision;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import java.util.function.Predicate;
 
-/** One sidecar under test: keeps its clock in milliseconds, its wakes, and what it has out. */
-final class BalancerFixture implements Decision.Handler {
-  static final SlowStartPolicy SLOW_START = new SlowStartPolicy(0.3, 8_000_000, 3, 1_500_000);
-  static final RetryPolicy RETRIES = new RetryPolicy(4, true, true);
-
-  static final List<RequestClass> REQUEST_CLASSES =
-      List.of(
-          requestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
-          requestClass("cell", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
-          requestClass("zone", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE),
-          requestClass("any", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL),
-          requestClass("once", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
-
-  /** Stands for an answer of the endpoint, or for a client that has disconnected. */
-  static final Decision ENDPOINT_ANSWER = new Decision.Fail(-1);
-
-  /** What became of a request. */
-  enum NextStep {
-    SEND,
-    REJECT,
-    FAIL,
-    NONE
-  }
-
-  /**
-   * An attempt as the load balancer sent it; {@code untilMs} is 0 where it has no deadline of its
-   * own.
-   */
-  record SentAttempt(long requestId, int number, String endpoint, long atMs, long untilMs) {}
+/**
+ * Drives one {@link LoadBalancer} on a virtual clock: delivers requests, responses and endpoint
+ * lists, fires its timers, and carries out its decisions.
+ */
+final class BalancerFixture extends DecisionRecorder {
+  private static final long DEFAULT_TIMEOUT_MS = 2000;
+  private static final long RESPONSE_TIME_MS = 20;
+  private static final long BASE_SEED = 7;
 
   final LoadBalancer balancer;
-  private final String zone;
-  private final int instanceIndex;
-  private final int instances;
-  final List<SentAttempt> inFlight = new ArrayList<>();
-  final List<SentAttempt> sent = new ArrayList<>();
-  final Map<Long, Decision> answers = new HashMap<>();
-  final List<Long> watches = new ArrayList<>();
-  final List<String> released = new ArrayList<>();
-  final Map<Long, Long> clientDeadlines =
-      new HashMap<>(); // when the client gives up, which ends what is out
+
+  /** How attempts ended. */
   final Map<SentAttempt, AttemptOutcome> outcomes = new HashMap<>();
-  final Map<Long, Integer> attempts = new HashMap<>();
-  private final List<Long> timers = new ArrayList<>();
-  long nowMs = 1_000_000;
-  boolean honoursAttemptDeadlines; // keeps those that the load balancer asks for
-  private final List<SentAttempt> cancelled = new ArrayList<>();
-  private long lastRequest = 100;
-
-  BalancerFixture(RetryPolicy retry, boolean pollRequired, Tenant... tenants) {
-    this(retry, pollRequired, "east", 0, 3, tenants);
+
+  /** When each client gives up, which ends its attempts. */
+  final Map<Long, Long> clientDeadlinesMs = new HashMap<>();
+
+  private final SettingsBuilder settings;
+  private boolean enforcesAttemptDeadlines;
+  private long lastRequestId = 100;
+
+  /** Starts a load balancer that knows no endpoints; its seed follows from its instance index. */
+  BalancerFixture(SettingsBuilder settings) {
+    this.settings = settings;
+    balancer = new LoadBalancer(BASE_SEED + settings.instanceIndex(), settings.build());
   }
 
-  BalancerFixture(
-      RetryPolicy retry,
-      boolean pollRequired,
-      String zone,
-      int instanceIndex,
-      int instances,
-      Tenant... tenants) {
-    this(retry, pollRequired, false, zone, instanceIndex, instances, tenants);
+  /** A load balancer with default settings and these endpoints; see {@link TestEndpoints}. */
+  static BalancerFixture withEndpoints(String... endpoints) {
+    return withSettings(new SettingsBuilder(), endpoints);
   }
 
-  BalancerFixture(
-      RetryPolicy retry,
-      boolean pollRequired,
-      boolean keepRemoved,
-      String zone,
-      int instanceIndex,
-      int instances,
-      Tenant... tenants) {
-    this(
-        new ServiceObjective(0, 0),
-        REQUEST_CLASSES,
-        retry,
-        pollRequired,
-        keepRemoved,
-        zone,
-        instanceIndex,
-        instances,
-        tenants);
+  /** A load balancer with the given settings and endpoints. */
+  static BalancerFixture withSettings(SettingsBuilder settings, String... endpoints) {
+    BalancerFixture fixture = new BalancerFixture(settings);
+    fixture.updateEndpoints(true, endpoints);
+    return fixture;
   }
 
-  BalancerFixture(
-      ServiceObjective objective,
-      List<RequestClass> requestClasses,
-      RetryPolicy retry,
-      boolean pollRequired,
-      boolean keepRemoved,
-      String zone,
-      int instanceIndex,
-      int instances,
-      Tenant... tenants) {
-    this.zone = zone;
-    this.instanceIndex = instanceIndex;
-    this.instances = instances;
-    DiscoveryPolicy discovery = new DiscoveryPolicy(pollRequired, 10_000_000, keepRemoved, false);
-    balancer =
-        new LoadBalancer(
-            7 + instanceIndex,
-            new BalancerSettings(
-                zone,
-                instanceIndex,
-                instances,
-                requestClasses,
-                List.of(tenants),
-                SLOW_START,
-                retry,
-                false,
-                discovery,
-                1_000_000,
-                0.03,
-                objective));
+  /** One of many sidecars that share these endpoints; the sidecars are spread over three zones. */
+  static BalancerFixture inFleet(int instanceCount, int instanceIndex, String... endpoints) {
+    String zone = TestEndpoints.zoneOf(instanceIndex);
+    return withSettings(
+        new SettingsBuilder().instance(zone, instanceIndex, instanceCount), endpoints);
   }
 
-  /** One of many in a large fleet, its zone one of three. */
-  static BalancerFixture oneOf(int instances, int instanceIndex, String... endpoints) {
-    BalancerFixture s =
-        new BalancerFixture(
-            RETRIES,
-            false,
-            List.of("east", "west", "north").get(instanceIndex % 3),
-            instanceIndex,
-            instances);
-    s.updateList(true, endpoints);
-    return s;
+  /** A builder for settings that {@link #applySettings} may put in force. */
+  SettingsBuilder newSettings() {
+    return settings.forSameInstance();
   }
 
-  static BalancerFixture withEndpoints(String... endpoints) {
-    BalancerFixture s = new BalancerFixture(RETRIES, false);
-    s.updateList(true, endpoints);
-    return s;
+  /** Replaces the settings of the running load balancer. */
+  void applySettings(SettingsBuilder newSettings) {
+    balancer.applySettings(nowUs(), newSettings.build());
+    applyDecisions();
   }
 
-  /** New settings for one that runs. */
-  void applySettings(RetryPolicy retry, boolean dynamicWeights, List<RequestClass> requestClasses) {
-    DiscoveryPolicy discovery = new DiscoveryPolicy(false, 10_000_000, false, dynamicWeights);
-    balancer.applySettings(
-        nowMs * 1000,
-        new BalancerSettings(
-            zone,
-            instanceIndex,
-            instances,
-            requestClasses,
-            List.of(),
-            SLOW_START,
-            retry,
-            false,
-            discovery,
-            1_000_000,
-            0.03,
-            new ServiceObjective(0, 0)));
-    pull();
+  /** Has attempts time out at the deadlines that the load balancer sets for them. */
+  void enforceAttemptDeadlines() {
+    enforcesAttemptDeadlines = true;
   }
 
-  static RequestClass requestClass(String name, Idempotency idempotency, DeduplicationScope scope) {
-    return new RequestClass(name, idempotency, scope, 1_000_000, 400_000, 1, 1);
+  /**
+   * Delivers an update of the endpoint list.
+   *
+   * @param complete whether endpoints that it does not name are removed
+   */
+  void updateEndpoints(boolean complete, String... endpoints) {
+    balancer.onEndpointList(nowUs(), complete, TestEndpoints.parse(endpoints));
+    applyDecisions();
   }
 
-  /** Endpoints as {@code id:health:cell:zone:startedMs:weight}, all but the id optional. */
-  void updateList(boolean complete, String... endpoints) {
-    List<Endpoint> entries = new ArrayList<>();
-    for (String text : endpoints) {
-      String[] p = text.split(":");
-      entries.add(
-          new Endpoint(
-              p[0],
-              p.length > 1 ? Health.valueOf(p[1]) : Health.UP,
-              p.length > 4 ? Long.parseLong(p[4]) * 1000 : 0,
-              p.length > 2 ? Integer.parseInt(p[2]) : 1,
-              p.length > 3 ? p[3] : "east",
-              p.length > 5 ? Double.parseDouble(p[5]) : 1));
-    }
-    balancer.onEndpointList(nowMs * 1000, complete, entries);
-    pull();
+  /** Has a call for the endpoint list fail. */
+  void failEndpointListCall() {
+    balancer.onEndpointListFailure(nowUs(), Long.MAX_VALUE);
+    applyDecisions();
   }
 
-  long arrive(String requestClass) {
-    return arrive(requestClass, null, 2000);
+  /** Delivers a request whose client waits for 2 s; returns its id. */
+  long startRequest(String requestClass) {
+    return startRequest(requestClass, null, DEFAULT_TIMEOUT_MS);
   }
 
-  long arrive(String requestClass, String tenant, long timeoutMs) {
-    long request = ++lastRequest;
-    clientDeadlines.put(request, nowMs + timeoutMs);
-    balancer.onRequest(nowMs * 1000, request, tenant, requestClass, timeoutMs * 1000, false);
-    pull();
+  /** Delivers a request of a tenant, or of none where it is null; returns its id. */
+  long startRequest(String requestClass, String tenant, long timeoutMs) {
+    long request = ++lastRequestId;
+    clientDeadlinesMs.put(request, nowMs + timeoutMs);
+    balancer.onRequest(nowUs(), request, tenant, requestClass, timeoutMs * MICROS_PER_MILLI, false);
+    applyDecisions();
     return request;
   }
 
-  /** A request whose content still comes, so that its client's time has not begun. */
-  long arriveWithoutBody(String requestClass) {
-    long request = ++lastRequest;
-    clientDeadlines.put(request, Long.MAX_VALUE);
-    balancer.onRequest(nowMs * 1000, request, null, requestClass, 2_000_000, false);
-    body(request, false, true);
+  /** Delivers the head of a request whose body is still arriving, so that its client waits on. */
+  long startStreamingRequest(String requestClass) {
+    long request = ++lastRequestId;
+    clientDeadlinesMs.put(request, Long.MAX_VALUE);
+    balancer.onRequest(
+        nowUs(), request, null, requestClass, DEFAULT_TIMEOUT_MS * MICROS_PER_MILLI, false);
+    receiveBody(request, false, true);
     return request;
   }
 
-  void body(long request, boolean complete, boolean replayable) {
-    balancer.onRequestBody(nowMs * 1000, request, complete, replayable);
-    pull();
+  /**
+   * Delivers a part of a request's body.
+   *
+   * @param complete whether it is the last part
+   * @param replayable whether the whole body could be sent again
+   */
+  void receiveBody(long request, boolean complete, boolean replayable) {
+    balancer.onRequestBody(nowUs(), request, complete, replayable);
+    applyDecisions();
+  }
+
+  /** Has an attempt's response begin, whose body is still to come. */
+  void startResponse(long request, int attemptNumber) {
+    balancer.onResponseStarted(nowUs(), request, attemptNumber);
+    applyDecisions();
+  }
+
+  /** Has the client of a request disconnect. */
+  void disconnectClient(long request) {
+    balancer.onClientDisconnected(nowUs(), request);
+    applyDecisions();
+  }
+
+  /** Has an endpoint report how many requests it holds. */
+  void reportLoad(String endpoint, double load) {
+    balancer.onLoadReport(nowUs(), endpoint, load);
   }
 
   /** Ends the attempt; a success ends its request with it. */
@@ -216,122 +145,125 @@
       answers.putIfAbsent(attempt.requestId(), ENDPOINT_ANSWER);
     }
     balancer.onAttemptEnded(
-        nowMs * 1000,
+        nowUs(),
         attempt.requestId(),
         attempt.number(),
         outcome,
-        (nowMs - attempt.atMs()) * 1000,
+        (nowMs - attempt.sentMs()) * MICROS_PER_MILLI,
         answers.containsKey(attempt.requestId()));
-    pull();
+    applyDecisions();
   }
 
-  /** Ends every such attempt that is out now. */
-  void endAttempts(Predicate<SentAttempt> which, AttemptOutcome outcome) {
-    inFlight.stream().filter(which).toList().forEach(p -> endAttempt(p, outcome));
+  /** Ends every such attempt that is in flight now. */
+  void endAttempts(Predicate<SentAttempt> filter, AttemptOutcome outcome) {
+    inFlight.stream().filter(filter).toList().forEach(attempt -> endAttempt(attempt, outcome));
   }
 
-  /** How the request was answered by the load balancer; NONE where it was not. */
-  NextStep nextStep(long request) {
-    Decision answer = answers.get(request);
-    if (answer instanceof Decision.Reject) {
-      return NextStep.REJECT;
-    }
-    return answer instanceof Decision.Fail ? NextStep.FAIL : NextStep.NONE;
-  }
-
-  /** How many of the requests were rejected. */
-  long countRejected(Collection<Long> requests) {
-    return requests.stream().filter(request -> nextStep(request) == NextStep.REJECT).count();
+  /** Has every attempt that is in flight now succeed. */
+  void succeedAll() {
+    endAttempts(attempt -> true, AttemptOutcome.SUCCEEDED);
   }
 
-  SentAttempt lastAttemptOf(long request) {
-    return inFlight.stream()
-        .filter(p -> p.requestId() == request)
-        .reduce((a, b) -> b)
-        .orElseThrow();
+  /** Has every attempt succeed that was sent at least so long ago. */
+  void succeedAfter(long latencyMs) {
+    endAttempts(attempt -> attempt.sentMs() <= nowMs - latencyMs, AttemptOutcome.SUCCEEDED);
   }
 
-  /** When its attempt time-out comes, or its client gives up. */
-  private long outcomes(SentAttempt attempt) {
-    return honoursAttemptDeadlines && attempt.untilMs() > 0
-        ? Math.min(attempt.untilMs(), clientDeadlines.get(attempt.requestId()))
-        : clientDeadlines.get(attempt.requestId());
+  /** Has the attempt of a request succeed, if it is in flight. */
+  void succeed(long request) {
+    inFlight.stream()
+        .filter(attempt -> attempt.requestId() == request)
+        .findFirst()
+        .ifPresent(attempt -> endAttempt(attempt, AttemptOutcome.SUCCEEDED));
   }
 
-  /** Moves the clock on, waking the load balancer where it asked for it. */
-  void pass(long ms) {
-    long until = nowMs + ms;
+  /** Moves the clock on, firing timers, attempt deadlines and clients' deadlines on the way. */
+  void advance(long durationMs) {
+    long untilMs = nowMs + durationMs;
     while (true) {
-      long next =
-          Math.min(
-              timers.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE),
-              inFlight.stream().mapToLong(this::outcomes).min().orElse(Long.MAX_VALUE));
-      nowMs = Math.min(until, Math.max(nowMs, next));
-      if (next > until) {
+      long nextMs = Math.min(earliest(timersMs), earliest(attemptEndsMs()));
+      nowMs = Math.min(untilMs, Math.max(nowMs, nextMs));
+      if (nextMs > untilMs) {
         return;
       }
-      endAttempts(p -> outcomes(p) <= nowMs, AttemptOutcome.TIMED_OUT);
-      timers.removeIf(w -> w <= nowMs);
-      balancer.onTimer(nowMs * 1000);
-      pull();
+      endAttempts(attempt -> attemptEndMs(attempt) <= nowMs, AttemptOutcome.TIMED_OUT);
+      timersMs.removeIf(timerMs -> timerMs <= nowMs);
+      balancer.onTimer(nowUs());
+      applyDecisions();
     }
   }
 
+  private static long earliest(List<Long> timesMs) {
+    return timesMs.stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
+  }
+
+  private List<Long> attemptEndsMs() {
+    return inFlight.stream().map(this::attemptEndMs).toList();
+  }
+
+  private long attemptEndMs(SentAttempt attempt) {
+    long clientDeadlineMs = clientDeadlinesMs.get(attempt.requestId());
+    boolean hasDeadline = enforcesAttemptDeadlines && attempt.deadlineMs() > 0;
+    return hasDeadline ? Math.min(attempt.deadlineMs(), clientDeadlineMs) : clientDeadlineMs;
+  }
+
   /**
-   * One request every so often, each answered 20 ms later; the endpoints that got one, with how
-   * many.
+   * Sends one request every {@code intervalMs}, each answered after 20 ms; returns how many
+   * attempts each endpoint answered.
    */
-  Map<String, Integer> thinTraffic(int requests, long everyMs) {
-    Map<String, Integer> got = new HashMap<>();
+  Map<String, Integer> sendAtIntervals(int requests, long intervalMs) {
+    Map<String, Integer> answered = new HashMap<>();
     for (int i = 0; i < requests; i++) {
-      arrive("read");
-      pass(20);
-      for (SentAttempt p : List.copyOf(inFlight)) {
-        got.merge(p.endpoint(), 1, Integer::sum);
-        endAttempt(p, AttemptOutcome.SUCCEEDED);
+      startRequest("read");
+      advance(RESPONSE_TIME_MS);
+      for (SentAttempt attempt : List.copyOf(inFlight)) {
+        answered.merge(attempt.endpoint(), 1, Integer::sum);
+        endAttempt(attempt, AttemptOutcome.SUCCEEDED);
       }
-      pass(everyMs - 20);
+      advance(intervalMs - RESPONSE_TIME_MS);
     }
-    return got;
+    return answered;
   }
 
   /**
-   * Sends requests that are each answered after a while; returns how many attempts the endpoint
-   * got.
+   * Sends requests one after the other, each answered after 20 ms; returns how many attempts went
+   * to the endpoint.
    */
-  long traffic(int requests, String endpoint) {
-    int from = sent.size();
+  long sendSequentially(int requests, String endpoint) {
+    int before = sentAttempts.size();
     for (int i = 0; i < requests; i++) {
-      long request = arrive("read");
-      pass(20);
-      inFlight.stream()
-          .filter(p -> p.requestId() == request)
-          .findFirst()
-          .ifPresent(p -> endAttempt(p, AttemptOutcome.SUCCEEDED));
+      long request = startRequest("read");
+      advance(RESPONSE_TIME_MS);
+      succeed(request);
     }
-    return sent.subList(from, sent.size()).stream()
-        .filter(p -> p.endpoint().equals(endpoint))
-        .count();
+    return countSentTo(endpoint, before);
   }
 
   /**
-   * Sends requests two at a time, both answered after a while; returns how many attempts the
-   * endpoint got.
+   * Sends requests two at a time, both answered after 20 ms; returns how many attempts went to the
+   * endpoint.
    */
-  long pairTraffic(int pairTraffic, String endpoint) {
-    int from = sent.size();
-    for (int i = 0; i < pairTraffic; i++) {
-      List<Long> two = List.of(arrive("read"), arrive("read"));
-      pass(20);
-      endAttempts(p -> two.contains(p.requestId()), AttemptOutcome.SUCCEEDED);
+  long sendPairs(int pairs, String endpoint) {
+    int before = sentAttempts.size();
+    for (int i = 0; i < pairs; i++) {
+      List<Long> pair = List.of(startRequest("read"), startRequest("read"));
+      advance(RESPONSE_TIME_MS);
+      endAttempts(attempt -> pair.contains(attempt.requestId()), AttemptOutcome.SUCCEEDED);
     }
-    return sent.subList(from, sent.size()).stream()
-        .filter(p -> p.endpoint().equals(endpoint))
+    return countSentTo(endpoint, before);
+  }
+
+  private long countSentTo(String endpoint, int from) {
+    return sentAttempts.subList(from, sentAttempts.size()).stream()
+        .filter(attempt -> attempt.endpoint().equals(endpoint))
         .count();
   }
 
-  /** Takes every decision that is ready. */
-  void pull() {
+  private long nowUs() {
+    return nowMs * MICROS_PER_MILLI;
+  }
+
+  private void applyDecisions() {
     Decision next = balancer.next();
     while (next != null) {
       next.accept(this);
@@ -341,53 +273,4 @@
       endAttempt(cancelled.remove(0), AttemptOutcome.CANCELLED);
     }
   }
-
-  @Override
-  public void onSendAttempt(Decision.SendAttempt decision) {
-    long requestId = decision.requestId();
-    int number = attempts.merge(requestId, 1, Integer::sum) - 1;
-    SentAttempt attempt =
-        new SentAttempt(
-            requestId, number, decision.endpoint(), nowMs, decision.deadlineUs() / 1000);
-    inFlight.add(attempt);
-    sent.add(attempt);
-  }
-
-  @Override
-  public void onReject(Decision.Reject decision) {
-    answer(decision.requestId(), decision);
-  }
-
-  @Override
-  public void onFail(Decision.Fail decision) {
-    answer(decision.requestId(), decision);
-  }
-
-  private void answer(long requestId, Decision answer) {
-    if (answers.put(requestId, answer) != null) {
-      throw new AssertionError("answered twice: " + answer);
-    }
-  }
-
-  @Override
-  public void onCancelAttempt(Decision.CancelAttempt decision) {
-    inFlight.stream()
-        .filter(a -> a.requestId() == decision.requestId() && a.number() == decision.attempt())
-        .forEach(cancelled::add);
-  }
-
-  @Override
-  public void onReleaseConnections(Decision.ReleaseConnections decision) {
-    released.add(decision.endpoint());
-  }
-
-  @Override
-  public void onWatchEndpoints(Decision.WatchEndpoints decision) {
-    watches.add(nowMs);
-  }
-
-  @Override
-  public void onScheduleTimer(Decision.ScheduleTimer decision) {
-    timers.add(nowMs + (decision.delayUs() + 999) / 1000);
-  }
 }
--- a/sidecar/src/test/java/dillcross/balancer/BodyStreamingTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/BodyStreamingTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
 import java.util.HashSet;
 import java.util.List;
@@ -13,48 +13,64 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Covers requests whose body, or whose response's body, is still being transferred; see {@link
+ * LoadBalancer#onRequestBody} and {@link LoadBalancer#onResponseStarted}.
+ */
 class BodyStreamingTest {
-  /** What flows, either way, takes no place of other requests and is no silence of its endpoint. */
+  private static BalancerFixture withTraffic() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    fixture.sendSequentially(60, "a");
+    return fixture;
+  }
+
+  /** Neither against the concurrency limit, nor as a silent endpoint. */
   @ParameterizedTest
-  @ValueSource(strings = {"coming", "begun"})
-  void streamingTakesNoCapacity(String how) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(60, "a");
-    int flowing = 40;
-    for (int i = 0; i < flowing; i++) {
-      long request = how.equals("coming") ? s.arriveWithoutBody("read") : s.arrive("read");
-      s.clientDeadlines.put(request, Long.MAX_VALUE);
-      if (how.equals("begun")) {
-        s.pass(20);
-        s.balancer.onResponseStarted(s.nowMs * 1000, request, 0);
-        s.pull();
+  @ValueSource(strings = {"REQUEST", "RESPONSE"})
+  void doesNotCountStreamingAttemptsAgainstTheLimit(String streamedBody) {
+    BalancerFixture fixture = withTraffic();
+    int streams = 40;
+
+    for (int i = 0; i < streams; i++) {
+      if (streamedBody.equals("REQUEST")) {
+        fixture.startStreamingRequest("read");
+      } else {
+        startStreamingResponse(fixture);
       }
     }
-    List<SentAttempt> flow = List.copyOf(s.inFlight);
-    assertEquals(flowing, flow.size(), "each was pushed, none waits");
-    s.pass(1500);
-    assertEquals(flowing, s.inFlight.size(), "nothing was pushed again for silence");
-    long before = s.answers.size();
+    assertEquals(streams, fixture.inFlight.size(), "each was sent, none waits");
+    fixture.advance(1500);
+    assertEquals(streams, fixture.inFlight.size(), "none was hedged");
+
+    long answersBefore = fixture.answers.size();
+    long toFirst = fixture.sendSequentially(40, "a");
     assertTrue(
-        s.traffic(40, "a") > 5 && s.answers.size() - before == 40, "others are served, by both");
-    assertEquals(Set.of(AttemptOutcome.SUCCEEDED), new HashSet<>(s.outcomes.values()));
+        toFirst > 5 && fixture.answers.size() - answersBefore == 40,
+        "other requests are served, by both endpoints");
+    assertEquals(Set.of(AttemptOutcome.SUCCEEDED), new HashSet<>(fixture.outcomes.values()));
+  }
+
+  private static void startStreamingResponse(BalancerFixture fixture) {
+    long request = fixture.startRequest("read");
+    fixture.clientDeadlinesMs.put(request, Long.MAX_VALUE);
+    fixture.advance(20);
+    fixture.startResponse(request, 0);
   }
 
-  /** An attempt is timed, and its request's deadline counts, from the last byte of its content. */
   @Test
-  void anRequestIsTimedFromItsLastByte() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(60, "a");
-    long request = s.arriveWithoutBody("read");
-    s.pass(5000);
-    assertEquals(1, s.attempts.get(request), "not while it comes");
-    s.body(request, true, true);
-    s.pass(1000);
-    assertEquals(
-        2, s.attempts.get(request), "then its silence tells, and its TTL of 2 s has begun anew");
+  void measuresTimeFromTheLastByteOfTheBody() {
+    BalancerFixture fixture = withTraffic();
+    long request = fixture.startStreamingRequest("read");
+    fixture.advance(5000);
+    assertEquals(1, fixture.attemptCount(request), "no hedge while the body arrives");
+
+    fixture.receiveBody(request, true, true);
+    fixture.advance(1000);
+
+    assertEquals(2, fixture.attemptCount(request), "silent from then on; its 2 s have only begun");
   }
 
-  /** What was let go goes nowhere else: neither after a failure nor as a hedged attempt. */
+  /** Neither as a retry nor as a hedge. */
   @ParameterizedTest
   @CsvSource({
     "once, CONNECT_FAILED, REJECT",
@@ -63,31 +79,32 @@
     "cell, CONNECT_FAILED, REJECT",
     "read, SILENCE, NONE"
   })
-  void aReleasedBodyIsNotSentAgain(String requestClass, String outcome, String answer) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(60, "a");
-    long request = s.arriveWithoutBody(requestClass);
-    s.body(request, false, false);
-    s.body(request, true, false);
+  void doesNotResendRequestWhoseBodyWasReleased(
+      String requestClass, String outcome, String answer) {
+    BalancerFixture fixture = withTraffic();
+    long request = fixture.startStreamingRequest(requestClass);
+    fixture.receiveBody(request, false, false);
+    fixture.receiveBody(request, true, false);
+
     if (outcome.equals("SILENCE")) {
-      s.pass(1500);
+      fixture.advance(1500);
     } else {
-      s.endAttempt(s.lastAttemptOf(request), AttemptOutcome.valueOf(outcome));
+      fixture.endAttempt(fixture.lastAttemptOf(request), AttemptOutcome.valueOf(outcome));
     }
-    assertEquals(1, s.attempts.get(request));
-    assertEquals(answer, s.nextStep(request).toString());
+
+    assertEquals(1, fixture.attemptCount(request));
+    assertEquals(answer, fixture.nextStep(request).toString());
   }
 
-  /** Once one answer has begun the copies beside it are called back, and it is not. */
   @Test
-  void hedgesBesideAStreamingAnswerAreCancelled() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(60, "a");
-    long request = s.arrive("read");
-    s.pass(400);
-    assertEquals(2, s.inFlight.size());
-    s.balancer.onResponseStarted(s.nowMs * 1000, request, 1);
-    s.pull();
-    assertEquals(List.of(1), s.inFlight.stream().map(SentAttempt::number).toList());
+  void cancelsOtherAttemptsOnceAResponseStarts() {
+    BalancerFixture fixture = withTraffic();
+    long request = fixture.startRequest("read");
+    fixture.advance(400);
+    assertEquals(2, fixture.inFlight.size());
+
+    fixture.startResponse(request, 1);
+
+    assertEquals(List.of(1), fixture.inFlight.stream().map(SentAttempt::number).toList());
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/ConnectionReleaseTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/ConnectionReleaseTest.java
@@ -4,33 +4,32 @@
 
 import java.util.Arrays;
 import java.util.Collections;
+import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Covers which idle connections are released; see {@link LoadBalancer}. */
 class ConnectionReleaseTest {
-  /** Connections to endpoints that have come out of use are let go; those in use are kept. */
   @Test
-  void unusedConnectionsAreReleased() {
-    String[] before = TestEndpoints.fleet(30, "UP");
-    BalancerFixture s = BalancerFixture.oneOf(100, 0, before);
-    s.thinTraffic(40, 250);
-    Set<String> used = s.thinTraffic(40, 250).keySet();
-    s.updateList(
-        false,
-        used.stream()
-            .map(
-                e ->
-                    Arrays.stream(before)
-                        .filter(b -> b.startsWith(e + ":"))
-                        .findFirst()
-                        .orElseThrow()
-                        .replace("UP", "DRAINING"))
-            .toArray(String[]::new));
-    Set<String> others = s.thinTraffic(20, 250).keySet();
-    s.released.clear();
-    s.updateList(true, before);
-    s.thinTraffic(40, 250);
-    assertTrue(s.released.containsAll(others), others + " but let go: " + s.released);
-    assertTrue(Collections.disjoint(s.released, used), used + " let go: " + s.released);
+  void releasesConnectionsToEndpointsThatLeftTheSubset() {
+    String[] healthy = TestEndpoints.inThreeZones(30);
+    BalancerFixture fixture = BalancerFixture.inFleet(100, 0, healthy);
+    fixture.sendAtIntervals(40, 250);
+    Set<String> subset = fixture.sendAtIntervals(40, 250).keySet();
+    String[] drainedSubset =
+        Arrays.stream(healthy)
+            .filter(endpoint -> subset.contains(endpoint.split(":")[0]))
+            .map(endpoint -> endpoint.replace("UP", "DRAINING"))
+            .toArray(String[]::new);
+    fixture.updateEndpoints(false, drainedSubset);
+    Set<String> substitutes = fixture.sendAtIntervals(20, 250).keySet();
+    fixture.releasedConnections.clear();
+
+    fixture.updateEndpoints(true, healthy);
+    fixture.sendAtIntervals(40, 250);
+
+    List<String> released = fixture.releasedConnections;
+    assertTrue(released.containsAll(substitutes), substitutes + " but released " + released);
+    assertTrue(Collections.disjoint(released, subset), subset + " but released " + released);
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/DiscoveryScheduleTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/DiscoveryScheduleTest.java
@@ -5,20 +5,23 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Covers when the endpoint list is requested; see {@link DiscoverySchedule}. */
 class DiscoveryScheduleTest {
-  /** A list out of reach is asked for again, later each time, and not by all sidecars at once. */
   @Test
-  void anUnreachableListIsAskedForAgain() {
-    BalancerFixture s = new BalancerFixture(BalancerFixture.RETRIES, true, "east", 1, 400);
-    s.updateList(true, "a");
-    assertEquals(0, s.watches.size(), "400 that start together spread their first calls");
-    s.pass(3500);
+  void retriesFailedCallsWithBackoffAndJitter() {
+    SettingsBuilder settings = new SettingsBuilder().pollRequired().instance("east", 1, 400);
+    BalancerFixture fixture = BalancerFixture.withSettings(settings, "a");
+    long startMs = fixture.nowMs;
+    assertEquals(
+        0, fixture.watchTimesMs.size(), "400 sidecars that start together spread their calls");
+
+    fixture.advance(3500);
     for (int i = 0; i < 6; i++) {
-      s.balancer.onEndpointListFailure(s.nowMs * 1000, Long.MAX_VALUE);
-      s.pull();
-      s.pass(10_000);
+      fixture.failEndpointListCall();
+      fixture.advance(10_000);
     }
-    assertEquals(7, s.watches.size());
-    assertTrue(s.watches.get(1) < 1_004_500);
+
+    assertEquals(7, fixture.watchTimesMs.size());
+    assertTrue(fixture.watchTimesMs.get(1) < startMs + 4500);
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
@@ -3,20 +3,25 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.NextStep;
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.NextStep;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
-import dillcross.model.RetryPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Covers which retries could run a request a second time; see {@link DuplicateGuard}. */
 class DuplicateGuardTest {
-  private static final String[] THREE = {"a:UP:1:east", "b:UP:1:east", "c:UP:2:west"};
+  private static final String[] TWO_ZONES = {"a:UP:1:east", "b:UP:1:east", "c:UP:2:west"};
+
+  private static BalancerFixture withoutHedging(String... endpoints) {
+    return BalancerFixture.withSettings(
+        new SettingsBuilder().retries(SettingsBuilder.WITHOUT_HEDGING), endpoints);
+  }
 
   /**
-   * After the outcome of a first attempt to {@code a} (cell 1, east): where the request goes next,
-   * or its answer.
+   * After a first attempt to "a" (cell 1, east): whether the request is retried anywhere (SEND),
+   * retried at the endpoint named, or failed.
    */
   @ParameterizedTest
   @CsvSource({
@@ -32,99 +37,103 @@
     "once, RESET, FAIL",
     "once, TIMED_OUT, FAIL"
   })
-  void noEffectTwice(String requestClass, AttemptOutcome outcome, String next) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a:UP:1:east");
-    long request = s.arrive(requestClass);
-    s.updateList(true, THREE);
-    s.pass(5);
-    s.endAttempt(s.lastAttemptOf(request), outcome);
-    switch (next) {
+  void retriesOnlyWhereRequestCannotRunTwice(
+      String requestClass, AttemptOutcome outcome, String expected) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a:UP:1:east");
+    long request = fixture.startRequest(requestClass);
+    fixture.updateEndpoints(true, TWO_ZONES);
+    fixture.advance(5);
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), outcome);
+
+    switch (expected) {
       case "SEND" ->
-          assertTrue(s.lastAttemptOf(request).number() == 1 && !s.answers.containsKey(request));
-      case "FAIL" -> assertEquals(NextStep.FAIL, s.nextStep(request));
-      default -> assertEquals(next, s.lastAttemptOf(request).endpoint());
+          assertTrue(
+              fixture.lastAttemptOf(request).number() == 1
+                  && !fixture.answers.containsKey(request));
+      case "FAIL" -> assertEquals(NextStep.FAIL, fixture.nextStep(request));
+      default -> assertEquals(expected, fixture.lastAttemptOf(request).endpoint());
     }
   }
 
-  /** The endpoints of a group remember a repeat for 1 s from its send. */
+  /** Endpoints remember an idempotency key for 1 s from the first attempt. */
   @ParameterizedTest
   @CsvSource({"zone, 500, SEND", "zone, 1100, FAIL", "any, 1100, REJECT", "read, 1100, SEND"})
-  void retriesStayWithinTheirDeduplicationWindow(String requestClass, long afterMs, NextStep then) {
-    BalancerFixture s = new BalancerFixture(new RetryPolicy(4, false, true), false);
-    s.updateList(true, "a", "b");
-    long request = s.arrive(requestClass);
-    s.pass(afterMs);
-    s.endAttempt(s.lastAttemptOf(request), AttemptOutcome.ERROR);
-    NextStep step = s.nextStep(request);
-    assertEquals(then, step == NextStep.NONE ? NextStep.SEND : step);
-    assertEquals(then == NextStep.SEND ? 2 : 1, s.attempts.get(request));
+  void doesNotRetryAfterDeduplicationWindow(
+      String requestClass, long firstAttemptMs, NextStep expected) {
+    BalancerFixture fixture = withoutHedging("a", "b");
+    long request = fixture.startRequest(requestClass);
+    fixture.advance(firstAttemptMs);
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), AttemptOutcome.ERROR);
+
+    assertEquals(expected, fixture.nextStepOrSend(request));
+    assertEquals(expected == NextStep.SEND ? 2 : 1, fixture.attemptCount(request));
   }
 
-  /**
-   * What still connects when its group forgets the request, or what a cut network holds back, would
-   * run a second time.
-   */
+  /** A retry that connects or is delivered after the window would run a second time. */
   @ParameterizedTest
   @CsvSource({"zone, 700, 900", "zone, 0, 900", "any, 300, 900"})
-  void aRetryEndsWithItsDeduplicationWindow(String requestClass, long firstMs, long limitMs) {
-    BalancerFixture s = new BalancerFixture(new RetryPolicy(4, false, true), false);
-    s.updateList(true, "a", "b", "c");
-    long request = s.arrive(requestClass);
-    SentAttempt first = s.lastAttemptOf(request);
+  void retryTimesOutBeforeDeduplicationWindowEnds(
+      String requestClass, long firstAttemptMs, long retryLimitMs) {
+    BalancerFixture fixture = withoutHedging("a", "b", "c");
+    long request = fixture.startRequest(requestClass);
+    SentAttempt first = fixture.lastAttemptOf(request);
     assertTrue(
-        first.untilMs() == 0 || first.untilMs() > s.nowMs + 1900,
-        "the first push has all of its time");
-    s.pass(firstMs);
-    s.endAttempt(first, AttemptOutcome.RESET);
-    SentAttempt repeat = s.lastAttemptOf(request);
-    assertEquals(first.atMs() + limitMs, repeat.untilMs());
-    s.endAttempt(
-        repeat,
-        AttemptOutcome.CONNECT_FAILED); // that one never ran: the next is bound by the first alone
+        first.deadlineMs() == 0 || first.deadlineMs() > fixture.nowMs + 1900,
+        "the first attempt has all of the request's time");
+
+    fixture.advance(firstAttemptMs);
+    fixture.endAttempt(first, AttemptOutcome.RESET);
+    SentAttempt retry = fixture.lastAttemptOf(request);
+    assertEquals(first.sentMs() + retryLimitMs, retry.deadlineMs());
+
+    fixture.endAttempt(retry, AttemptOutcome.CONNECT_FAILED); // so only the first may have run
     assertTrue(
-        s.inFlight.stream().noneMatch(p -> p.requestId() == request)
-            || s.lastAttemptOf(request).untilMs() == first.atMs() + limitMs);
+        fixture.inFlight.stream().noneMatch(attempt -> attempt.requestId() == request)
+            || fixture.lastAttemptOf(request).deadlineMs() == first.sentMs() + retryLimitMs);
   }
 
-  /** An attempt whose earlier ones provably never ran is no repeat to anyone. */
   @Test
-  void anAttemptThatNeverRanNeedsNoDeduplication() {
-    BalancerFixture s = new BalancerFixture(new RetryPolicy(4, false, true), false);
-    s.updateList(true, "a", "b");
-    long request = s.arrive("zone");
-    s.endAttempt(s.lastAttemptOf(request), AttemptOutcome.CONNECT_FAILED);
-    assertTrue(
-        s.lastAttemptOf(request).untilMs() >= s.nowMs + 2000,
-        "until " + (s.lastAttemptOf(request).untilMs() - s.nowMs));
+  void retryHasFullTimeWhereFirstAttemptNeverRan() {
+    BalancerFixture fixture = withoutHedging("a", "b");
+    long request = fixture.startRequest("zone");
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), AttemptOutcome.CONNECT_FAILED);
+
+    long deadlineMs = fixture.lastAttemptOf(request).deadlineMs();
+    assertTrue(deadlineMs >= fixture.nowMs + 2000, "left: " + (deadlineMs - fixture.nowMs));
   }
 
   /**
-   * A repeat on its way to a group that answers nothing may come when that has forgotten the
-   * request: an effect twice, 17 of 20,000 emulated days of cut and lagging zones. One endpoint
-   * that hangs among others that answer is no such path.
+   * Where no endpoint of a deduplication scope responds, the network may delay a retry until the
+   * scope has forgotten the key. One endpoint that hangs among others that respond is no such case.
    */
   @ParameterizedTest
   @CsvSource({"true, true", "false, false"})
-  void noRepeatGoesWhereAPathOwesItsAnswers(boolean othersAnswer, boolean repeated) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a:UP:1:east", "b:UP:1:east", "c:UP:1:east");
-    s.traffic(30, "a");
-    s.arrive("once"); // is never answered
-    long request = s.arrive("cell"); // its window is 1 s
-    s.pass(150);
-    if (othersAnswer) {
+  void doesNotRetryInScopeThatDoesNotRespond(boolean othersRespond, boolean retried) {
+    BalancerFixture fixture =
+        BalancerFixture.withEndpoints("a:UP:1:east", "b:UP:1:east", "c:UP:1:east");
+    fixture.sendSequentially(30, "a");
+    fixture.startRequest("once"); // gets no response
+    long request = fixture.startRequest("cell");
+    fixture.advance(150);
+    if (othersRespond) {
       for (int i = 0; i < 3; i++) {
-        long other = s.arrive("read");
-        s.pass(2);
-        s.inFlight.stream()
-            .filter(p -> p.requestId() == other)
-            .findFirst()
-            .ifPresent(p -> s.endAttempt(p, AttemptOutcome.SUCCEEDED));
+        long other = fixture.startRequest("read");
+        fixture.advance(2);
+        fixture.succeed(other);
       }
     }
-    s.pass(40);
-    s.endAttempt(
-        s.inFlight.stream().filter(p -> p.requestId() == request).findFirst().orElseThrow(),
-        AttemptOutcome.RESET);
-    assertEquals(repeated, s.attempts.get(request) > 1);
+    fixture.advance(40);
+
+    SentAttempt first =
+        fixture.inFlight.stream()
+            .filter(attempt -> attempt.requestId() == request)
+            .findFirst()
+            .orElseThrow();
+    fixture.endAttempt(first, AttemptOutcome.RESET);
+
+    assertEquals(retried, fixture.attemptCount(request) > 1);
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/EndpointPickerTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/EndpointPickerTest.java
@@ -1,135 +1,156 @@
 package dillcross.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
-import java.util.Arrays;
+import java.util.ArrayList;
 import java.util.List;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Covers which endpoint of those in use gets an attempt; see {@link EndpointPicker}. */
 class EndpointPickerTest {
-  /** The faster of two endpoints gets most of the traffic. */
+  private static final int SLOW_MS = 100;
+  private static final int FAST_MS = 20;
+
+  /** Answers one request, slowly if "a" got it; returns whether it did. */
+  private static boolean answerOneRequest(BalancerFixture fixture) {
+    SentAttempt attempt = fixture.lastAttemptOf(fixture.startRequest("read"));
+    boolean isSlow = attempt.endpoint().equals("a");
+    fixture.advance(isSlow ? SLOW_MS : FAST_MS);
+    fixture.endAttempt(attempt, AttemptOutcome.SUCCEEDED);
+    return isSlow;
+  }
+
   @Test
-  void picksByLatency() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    int[] got = new int[2];
+  void prefersEndpointWithLowerLatency() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+
+    int toSlow = 0;
+    int toFast = 0;
     for (int i = 0; i < 200; i++) {
-      SentAttempt p = s.lastAttemptOf(s.arrive("read"));
-      s.pass(p.endpoint().equals("a") ? 100 : 20);
-      s.endAttempt(p, AttemptOutcome.SUCCEEDED);
-      got[p.endpoint().equals("a") ? 0 : 1]++;
+      if (answerOneRequest(fixture)) {
+        toSlow++;
+      } else {
+        toFast++;
+      }
     }
-    assertTrue(got[1] > 2 * got[0], got[0] + " " + got[1]);
+
+    assertTrue(toFast > 2 * toSlow, toSlow + " to the slow endpoint, " + toFast + " to the fast");
   }
 
-  /**
-   * Of two in use one drawn twice was no choice: a quarter of the requests went to the slow one,
-   * whatever was known of it.
-   */
+  /** With the same endpoint drawn twice a quarter of the requests would go to the slow one. */
   @Test
-  void drawsTwoDifferentOnes() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    int slow = 0;
-    for (int i = 0; i < 300; i++) {
-      SentAttempt p = s.lastAttemptOf(s.arrive("read"));
-      s.pass(p.endpoint().equals("a") ? 100 : 20);
-      s.endAttempt(p, AttemptOutcome.SUCCEEDED);
-      slow += i >= 100 && p.endpoint().equals("a") ? 1 : 0;
+  void comparesTwoDifferentEndpoints() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    for (int i = 0; i < 100; i++) {
+      answerOneRequest(fixture);
     }
-    assertTrue(slow < 20, slow + " of 200");
+
+    int toSlow = 0;
+    for (int i = 0; i < 200; i++) {
+      toSlow += answerOneRequest(fixture) ? 1 : 0;
+    }
+
+    assertTrue(toSlow < 20, toSlow + " of 200");
   }
 
-  /**
-   * A crowded endpoint is passed over by sidecars whose own few requests could not tell; for a
-   * while only.
-   */
+  /** Load reports show what a sidecar with few requests of its own can't measure. */
   @Test
-  void endpointsThatReportMuchLoadArePickedLess() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(20, "a");
+  void prefersEndpointThatReportsLessLoad() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    fixture.sendSequentially(20, "a");
+
     for (int i = 0; i < 30; i++) {
-      s.balancer.onLoadReport(s.nowMs * 1000, "a", 30);
-      s.balancer.onLoadReport(s.nowMs * 1000, "b", 3);
+      fixture.reportLoad("a", 30);
+      fixture.reportLoad("b", 3);
     }
-    assertTrue(s.pairTraffic(100, "a") < 20);
+    assertTrue(fixture.sendPairs(100, "a") < 20);
+
     for (int i = 0; i < 60; i++) {
-      s.balancer.onLoadReport(s.nowMs * 1000, "a", 3);
-      s.balancer.onLoadReport(s.nowMs * 1000, "b", 3);
+      fixture.reportLoad("a", 3);
+      fixture.reportLoad("b", 3);
     }
-    assertTrue(s.pairTraffic(100, "a") > 50, "it says that it is free again");
-    s.balancer.onLoadReport(s.nowMs * 1000, "unknown", 5);
+    assertTrue(fixture.sendPairs(100, "a") > 50, "its reported load has fallen");
+    fixture.reportLoad("unknown", 5);
   }
 
-  /**
-   * What only turns away is let be for longer and longer: it never acks, and its latency must not
-   * be forgotten.
-   */
+  /** It never succeeds, and its latency must not be forgotten in the meantime. */
   @Test
-  void aJammedEndpointIsLetBe() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b", "c");
-    s.thinTraffic(30, 250);
+  void avoidsEndpointThatIsAlwaysOverloaded() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b", "c");
+    fixture.sendAtIntervals(30, 250);
+
     for (int i = 0; i < 240; i++) {
-      s.arrive("read");
-      s.pass(20);
-      s.endAttempts(p -> p.endpoint().equals("a"), AttemptOutcome.OVERLOADED);
-      s.pass(20);
-      s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
-      s.pass(210);
+      fixture.startRequest("read");
+      fixture.advance(20);
+      fixture.endAttempts(attempt -> attempt.endpoint().equals("a"), AttemptOutcome.OVERLOADED);
+      fixture.advance(20);
+      fixture.succeedAll();
+      fixture.advance(210);
     }
-    long lost =
-        s.sent.stream()
-            .filter(p -> p.endpoint().equals("a") && p.atMs() > s.nowMs - 30_000)
+
+    long toOverloaded =
+        fixture.sentAttempts.stream()
+            .filter(attempt -> attempt.endpoint().equals("a"))
+            .filter(attempt -> attempt.sentMs() > fixture.nowMs - 30_000)
             .count();
-    assertTrue(lost <= 8, "pushed to it in half a minute: " + lost);
+    assertTrue(toOverloaded <= 8, "attempts in half a minute: " + toOverloaded);
   }
 
-  /**
-   * All sidecars see the same late weights: low once must not turn them all away, low for long
-   * must.
-   */
+  /** All sidecars see the same weights late, so one low weight must not turn them all away. */
   @Test
-  void dynamicWeightsCountInTheLongRun() {
-    int[] got = new int[3];
+  void followsDynamicWeightsOnlyWhenTheyLast() {
+    int before = 0;
+    int afterOneUpdate = 0;
+    int afterManyUpdates = 0;
+
     for (int seed = 0; seed < 20; seed++) {
-      BalancerFixture s = new BalancerFixture(BalancerFixture.RETRIES, false, "east", seed, 3);
-      s.applySettings(BalancerFixture.RETRIES, true, BalancerFixture.REQUEST_CLASSES);
-      s.updateList(true, "a", "b");
-      s.traffic(20, "b");
-      got[0] += (int) s.traffic(20, "b");
-      for (int renewals = 0; renewals < 30; renewals++) {
-        s.updateList(false, "b:UP:1:east:0:0.2");
-        got[1] += renewals == 0 ? (int) s.traffic(20, "b") : 0;
+      SettingsBuilder settings = new SettingsBuilder().instance("east", seed, 3);
+      BalancerFixture fixture = new BalancerFixture(settings);
+      fixture.applySettings(fixture.newSettings().dynamicWeights(true));
+      fixture.updateEndpoints(true, "a", "b");
+      fixture.sendSequentially(20, "b");
+      before += (int) fixture.sendSequentially(20, "b");
+      for (int update = 0; update < 30; update++) {
+        fixture.updateEndpoints(false, "b:UP:1:east:0:0.2");
+        afterOneUpdate += update == 0 ? (int) fixture.sendSequentially(20, "b") : 0;
       }
-      got[2] += (int) s.traffic(20, "b");
+      afterManyUpdates += (int) fixture.sendSequentially(20, "b");
     }
-    assertTrue(got[1] > 0.25 * got[0], "once: " + Arrays.toString(got));
-    assertTrue(got[2] < 0.25 * got[0], "for long: " + Arrays.toString(got));
+
+    assertTrue(afterOneUpdate > 0.25 * before, afterOneUpdate + " after one, before " + before);
+    assertTrue(afterManyUpdates < 0.25 * before, afterManyUpdates + " after 30, before " + before);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"a:DRAINING", "a:REMOVED"})
-  void drainingEndpointsGetNothing(String news) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    assertTrue(s.traffic(40, "a") > 0);
-    s.updateList(false, news);
-    assertEquals(0, s.traffic(40, "a"));
-    s.updateList(true, "c"); // a and b are not named: gone
-    assertEquals(0, s.traffic(40, "a") + s.traffic(40, "b"));
+  void doesNotPickDrainingOrRemovedEndpoints(String update) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    assertTrue(fixture.sendSequentially(40, "a") > 0);
+
+    fixture.updateEndpoints(false, update);
+    assertEquals(0, fixture.sendSequentially(40, "a"));
+
+    fixture.updateEndpoints(true, "c"); // removes "a" and "b", which it does not name
+    assertEquals(0, fixture.sendSequentially(40, "a") + fixture.sendSequentially(40, "b"));
   }
 
   @Test
-  void theSameSeedDecidesTheSame() {
-    List<List<SentAttempt>> sent =
-        IntStream.of(4, 4, 5)
-            .mapToObj(me -> BalancerFixture.oneOf(50, me, TestEndpoints.fleet(40, "UP")))
-            .map(s -> s.thinTraffic(50, 100).isEmpty() ? null : s.sent)
-            .toList();
+  void decidesTheSameForTheSameSeed() {
+    List<List<SentAttempt>> sent = new ArrayList<>();
+    for (int instanceIndex : new int[] {4, 4, 5}) {
+      BalancerFixture fixture =
+          BalancerFixture.inFleet(50, instanceIndex, TestEndpoints.inThreeZones(40));
+      assertFalse(fixture.sendAtIntervals(50, 100).isEmpty());
+      sent.add(fixture.sentAttempts);
+    }
+
     assertEquals(sent.get(0), sent.get(1));
     assertNotEquals(sent.get(0), sent.get(2));
   }
--- a/sidecar/src/test/java/dillcross/balancer/EndpointSubsetTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/EndpointSubsetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -13,176 +13,198 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Covers which endpoints of a large fleet one sidecar uses; see {@link EndpointSubset}. */
 class EndpointSubsetTest {
+  private static final int INTERVAL_MS = 250;
+  private static final Predicate<String> IN_FIRST_ZONE =
+      endpoint -> TestEndpoints.indexOf(endpoint) % 3 == 0;
+
+  private static Set<String> usedEndpoints(BalancerFixture fixture, int requests) {
+    return fixture.sendAtIntervals(requests, INTERVAL_MS).keySet();
+  }
+
   @ParameterizedTest
   @CsvSource({"90, 200", "60, 500", "20, 40"})
-  void sidecarsUseFewEndpointsAndShareThemAlike(int endpoints, int sidecars) {
-    Map<String, Integer> all = new HashMap<>();
-    for (int me = 0; me < sidecars; me++) {
-      Map<String, Integer> got =
-          BalancerFixture.oneOf(sidecars, me, TestEndpoints.fleet(endpoints, "UP"))
-              .thinTraffic(24, 250);
-      assertTrue(got.size() <= 6, "used by one: " + got);
-      got.forEach((e, n) -> all.merge(e, n, Integer::sum));
+  void sidecarsUseFewEndpointsAndLoadThemEvenly(int endpoints, int sidecars) {
+    int requests = 24;
+    Map<String, Integer> totals = new HashMap<>();
+    for (int index = 0; index < sidecars; index++) {
+      BalancerFixture fixture =
+          BalancerFixture.inFleet(sidecars, index, TestEndpoints.inThreeZones(endpoints));
+      Map<String, Integer> attempts = fixture.sendAtIntervals(requests, INTERVAL_MS);
+      assertTrue(attempts.size() <= 6, "used by one: " + attempts);
+      attempts.forEach((endpoint, count) -> totals.merge(endpoint, count, Integer::sum));
     }
-    assertEquals(endpoints, all.size());
-    double mean = 24.0 * sidecars / endpoints;
-    all.forEach(
-        (e, n) ->
-            assertTrue(n > 0.5 * mean && n < 1.75 * mean, e + " got " + n + ", mean " + mean));
+
+    assertEquals(endpoints, totals.size());
+    double mean = (double) requests * sidecars / endpoints;
+    totals.forEach(
+        (endpoint, count) ->
+            assertTrue(
+                count > 0.5 * mean && count < 1.75 * mean,
+                endpoint + " got " + count + ", mean " + mean));
   }
 
   @Test
-  void muchTrafficUsesAll() {
-    BalancerFixture s = BalancerFixture.oneOf(100, 0, TestEndpoints.fleet(12, "UP:1:east"));
-    assertEquals(12, s.thinTraffic(600, 25).size());
+  void usesAllEndpointsUnderHeavyTraffic() {
+    BalancerFixture fixture = BalancerFixture.inFleet(100, 0, TestEndpoints.inOneZone(12));
+
+    assertEquals(12, fixture.sendAtIntervals(600, 25).size());
   }
 
-  /** What a sidecar uses with its own zone as it is, then as told, then as before. */
+  /** The sidecar's own zone is up, then draining or starting, then up again. */
   @ParameterizedTest
   @CsvSource({"DRAINING", "COLD"})
-  void useWidensToTheNextLocationAndNarrowsAgain(String trouble) {
-    String[] before = TestEndpoints.fleet(30, "UP");
-    BalancerFixture s = BalancerFixture.oneOf(100, 0, before);
-    Predicate<String> own = e -> Integer.parseInt(e.substring(1)) % 3 == 0;
-    s.thinTraffic(40, 250);
-    assertTrue(s.thinTraffic(40, 250).keySet().stream().filter(own.negate()).count() <= 1);
-    s.updateList(
+  void usesOtherZonesWhileOwnZoneIsUnavailable(String condition) {
+    boolean isCold = condition.equals("COLD");
+    String[] healthy = TestEndpoints.inThreeZones(30);
+    BalancerFixture fixture = BalancerFixture.inFleet(100, 0, healthy);
+    usedEndpoints(fixture, 40);
+    assertTrue(countOutsideOwnZone(usedEndpoints(fixture, 40)) <= 1);
+
+    fixture.updateEndpoints(
         false,
-        Arrays.stream(before)
-            .filter(e -> e.endsWith("east"))
-            .map(e -> trouble.equals("COLD") ? e + ":" + s.nowMs : e.replace("UP", trouble))
+        Arrays.stream(healthy)
+            .filter(endpoint -> endpoint.endsWith("east"))
+            .map(
+                endpoint ->
+                    isCold ? endpoint + ":" + fixture.nowMs : endpoint.replace("UP", condition))
             .toArray(String[]::new));
-    Map<String, Integer> got = s.thinTraffic(12, 250);
-    assertTrue(
-        got.entrySet().stream()
-                .filter(e -> !own.test(e.getKey()))
-                .mapToInt(Map.Entry::getValue)
-                .sum()
-            >= (trouble.equals("COLD") ? 4 : 6),
-        "cold ones take their part: " + got);
-    s.pass(9000);
-    s.updateList(true, before);
-    s.thinTraffic(60, 250);
-    assertTrue(s.thinTraffic(40, 250).keySet().stream().filter(own.negate()).count() <= 1);
+    Map<String, Integer> attempts = fixture.sendAtIntervals(12, INTERVAL_MS);
+    int toOtherZones =
+        attempts.entrySet().stream()
+            .filter(entry -> !IN_FIRST_ZONE.test(entry.getKey()))
+            .mapToInt(Map.Entry::getValue)
+            .sum();
+    assertTrue(toOtherZones >= (isCold ? 4 : 6), "starting endpoints get a share: " + attempts);
+
+    fixture.advance(9000);
+    fixture.updateEndpoints(true, healthy);
+    usedEndpoints(fixture, 60);
+    assertTrue(countOutsideOwnZone(usedEndpoints(fixture, 40)) <= 1);
+  }
+
+  private static long countOutsideOwnZone(Set<String> endpoints) {
+    return endpoints.stream().filter(IN_FIRST_ZONE.negate()).count();
   }
 
-  /** Where the own location holds much more than the other, by the list, leaving it weighs less. */
+  /** Where the endpoint list says that the own zone is loaded much more than the other. */
   @ParameterizedTest
   @CsvSource({"0.1, 1, true", "1, 1, false", "1, 0.1, false"})
-  void crowdedLocationsAreLeft(double ours, double others, boolean left) {
-    BalancerFixture s = new BalancerFixture(BalancerFixture.RETRIES, false, "east", 0, 100);
-    s.applySettings(BalancerFixture.RETRIES, true, BalancerFixture.REQUEST_CLASSES);
-    String[] zones = {"east", "west"};
-    s.updateList(
-        true,
-        IntStream.range(0, 12)
-            .mapToObj(i -> "e" + i + ":UP:1:" + zones[i % 2] + ":0:1")
-            .toArray(String[]::new));
-    for (int renewals = 0; renewals < 30; renewals++) {
-      s.updateList(
-          false,
-          IntStream.range(0, 12)
-              .mapToObj(
-                  i -> "e" + i + ":UP:1:" + zones[i % 2] + ":0:" + (i % 2 == 0 ? ours : others))
-              .toArray(String[]::new));
+  void leavesOwnZoneWhenItsWeightsAreLow(double ownWeight, double otherWeight, boolean leavesZone) {
+    SettingsBuilder settings = new SettingsBuilder().instance("east", 0, 100);
+    BalancerFixture fixture = new BalancerFixture(settings);
+    fixture.applySettings(fixture.newSettings().dynamicWeights(true));
+    fixture.updateEndpoints(true, inTwoZones(1, 1));
+
+    for (int update = 0; update < 30; update++) {
+      fixture.updateEndpoints(false, inTwoZones(ownWeight, otherWeight));
     }
-    int west =
-        s.thinTraffic(60, 250).entrySet().stream()
-            .filter(e -> Integer.parseInt(e.getKey().substring(1)) % 2 == 1)
+
+    int toWest =
+        fixture.sendAtIntervals(60, INTERVAL_MS).entrySet().stream()
+            .filter(entry -> TestEndpoints.indexOf(entry.getKey()) % 2 == 1)
             .mapToInt(Map.Entry::getValue)
             .sum();
-    assertEquals(left, west > 30, "left for the other " + west + " of 60");
+    assertEquals(leavesZone, toWest > 30, toWest + " of 60 requests left the zone");
+  }
+
+  private static String[] inTwoZones(double eastWeight, double westWeight) {
+    return TestEndpoints.generate(
+        12, index -> index % 2 == 0 ? "UP:1:east:0:" + eastWeight : "UP:1:west:0:" + westWeight);
   }
 
-  /**
-   * What is in use is counted by size: a sidecar whose neighbours on the ring are small uses more
-   * of them.
-   */
+  /** A sidecar whose neighbours on the ring are small uses more of them. */
   @Test
-  void subsetsAreSizedByWeight() {
-    for (int me = 0; me < 60; me++) {
-      BalancerFixture s =
-          BalancerFixture.oneOf(
-              60,
-              me,
-              IntStream.range(0, 30)
-                  .mapToObj(i -> "e" + i + ":UP:1:east:0:" + (i % 3 == 0 ? 4 : 1))
-                  .toArray(String[]::new));
-      int size =
-          s.thinTraffic(60, 250).keySet().stream()
-              .mapToInt(e -> Integer.parseInt(e.substring(1)) % 3 == 0 ? 4 : 1)
+  void sizesSubsetByEndpointWeight() {
+    int sidecars = 60;
+    String[] endpoints =
+        TestEndpoints.generate(30, index -> "UP:1:east:0:" + (index % 3 == 0 ? 4 : 1));
+    for (int index = 0; index < sidecars; index++) {
+      BalancerFixture fixture = BalancerFixture.inFleet(sidecars, index, endpoints);
+
+      int totalWeight =
+          usedEndpoints(fixture, 60).stream()
+              .mapToInt(endpoint -> IN_FIRST_ZONE.test(endpoint) ? 4 : 1)
               .sum();
-      assertTrue(size >= 3, me + " uses " + size);
+
+      assertTrue(totalWeight >= 3, "sidecar " + index + " uses a weight of " + totalWeight);
     }
   }
 
-  /**
-   * An endpoint that leaves moves no more than its own place and a neighbour's in what each sidecar
-   * uses.
-   */
+  /** A removed endpoint changes a subset only where it or its neighbour on the ring was in it. */
   @Test
-  void aChangeOfTheListMovesFew() {
-    int moved = 0;
-    for (int me = 0; me < 60; me++) {
-      BalancerFixture s = BalancerFixture.oneOf(60, me, TestEndpoints.fleet(60, "UP"));
-      Set<String> before = s.thinTraffic(40, 250).keySet();
-      s.updateList(false, "e7:REMOVED");
-      Set<String> after = s.thinTraffic(40, 250).keySet();
-      moved += (int) after.stream().filter(e -> !before.contains(e)).count();
+  void removedEndpointChangesFewSubsets() {
+    int sidecars = 60;
+    int changes = 0;
+    for (int index = 0; index < sidecars; index++) {
+      BalancerFixture fixture =
+          BalancerFixture.inFleet(sidecars, index, TestEndpoints.inThreeZones(60));
+      Set<String> before = usedEndpoints(fixture, 40);
+      fixture.updateEndpoints(false, "e7:REMOVED");
+      Set<String> after = usedEndpoints(fixture, 40);
+      changes += (int) after.stream().filter(endpoint -> !before.contains(endpoint)).count();
     }
-    assertTrue(moved <= 60, "moved " + moved + " of " + 60 * 3);
+
+    assertTrue(changes <= 60, "changed " + changes + " of " + sidecars * 3);
   }
 
-  /**
-   * News that one is gone change what is in use at once: of two in use one stayed in the draws, and
-   * got nothing.
-   */
+  /** At once, or it would still be drawn and the subset would be one short. */
   @ParameterizedTest
   @ValueSource(strings = {"REMOVED", "DRAINING"})
-  void removedEndpointsAreReplacedInTheSubset(String health) {
-    BalancerFixture s = BalancerFixture.oneOf(100, 3, "a", "b", "c", "d", "e", "f", "g", "h");
-    Set<String> used = new TreeSet<>(s.thinTraffic(30, 400).keySet());
-    String first = used.iterator().next();
-    s.pass(500);
-    s.traffic(1, first);
-    s.updateList(false, first + ":" + health);
-    int from = s.sent.size();
-    s.pairTraffic(4, first);
-    Set<String> after =
-        new TreeSet<>(
-            s.sent.subList(from, s.sent.size()).stream().map(SentAttempt::endpoint).toList());
-    assertFalse(after.contains(first));
-    assertEquals(used.size(), after.size(), used + " " + after);
+  void replacesUnavailableEndpointAtOnce(String health) {
+    BalancerFixture fixture =
+        BalancerFixture.inFleet(100, 3, "a", "b", "c", "d", "e", "f", "g", "h");
+    Set<String> before = new TreeSet<>(fixture.sendAtIntervals(30, 400).keySet());
+    String unavailable = before.iterator().next();
+    fixture.advance(500);
+    fixture.sendSequentially(1, unavailable);
+
+    fixture.updateEndpoints(false, unavailable + ":" + health);
+    int sentBefore = fixture.sentAttempts.size();
+    fixture.sendPairs(4, unavailable);
+
+    Set<String> after = new TreeSet<>();
+    for (SentAttempt attempt :
+        fixture.sentAttempts.subList(sentBefore, fixture.sentAttempts.size())) {
+      after.add(attempt.endpoint());
+    }
+    assertFalse(after.contains(unavailable));
+    assertEquals(before.size(), after.size(), before + " " + after);
   }
 
-  /** Sidecars whose own endpoints are full turn to different others, each from its own spot on. */
   @Test
-  void sidecarsSpillOverToDifferentEndpoints() {
-    Set<String> to = new HashSet<>();
-    for (int me = 0; me < 10; me++) {
-      BalancerFixture s = BalancerFixture.oneOf(10, me, TestEndpoints.fleet(60, "UP:1:east"));
-      Set<String> used = s.thinTraffic(40, 250).keySet();
-      String other = null;
-      for (int i = 0; i < 40 && other == null; i++) {
-        s.arrive("read");
-        s.pass(5);
-        s.endAttempts(p -> used.contains(p.endpoint()), AttemptOutcome.OVERLOADED);
-        other =
-            s.inFlight.stream()
-                .map(SentAttempt::endpoint)
-                .filter(e -> !used.contains(e))
-                .findFirst()
-                .orElse(null);
-      }
-      to.add(other);
+  void sidecarsOverflowToDifferentEndpoints() {
+    Set<String> overflowEndpoints = new HashSet<>();
+    for (int index = 0; index < 10; index++) {
+      BalancerFixture fixture = BalancerFixture.inFleet(10, index, TestEndpoints.inOneZone(60));
+      Set<String> used = usedEndpoints(fixture, 40);
+      overflowEndpoints.add(firstOverflowEndpoint(fixture, used));
+    }
+
+    assertTrue(overflowEndpoints.size() >= 6, "ten sidecars used " + overflowEndpoints);
+  }
+
+  /** Has the subset answer that it is full until an attempt leaves it; null if none does. */
+  private static String firstOverflowEndpoint(BalancerFixture fixture, Set<String> subset) {
+    String overflowEndpoint = null;
+    for (int i = 0; i < 40 && overflowEndpoint == null; i++) {
+      fixture.startRequest("read");
+      fixture.advance(5);
+      fixture.endAttempts(
+          attempt -> subset.contains(attempt.endpoint()), AttemptOutcome.OVERLOADED);
+      overflowEndpoint =
+          fixture.inFlight.stream()
+              .map(SentAttempt::endpoint)
+              .filter(endpoint -> !subset.contains(endpoint))
+              .findFirst()
+              .orElse(null);
     }
-    assertTrue(to.size() >= 6, "ten sidecars turned to " + to);
+    return overflowEndpoint;
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/GivingUpTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/GivingUpTest.java
@@ -2,17 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillcross.balancer.BalancerFixture.NextStep;
+import dillcross.balancer.DecisionRecorder.NextStep;
 import dillcross.model.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Covers the final answer to requests that no endpoint answers; see {@link RequestScheduler}. */
 class GivingUpTest {
-  /**
-   * No endpoint may take it again: the answer comes at once, and is a rejection only where that is
-   * safe.
-   */
+  /** The client may retry only after a rejection, so that is only given where a retry is safe. */
   @ParameterizedTest
   @CsvSource({
     "read, ERROR, REJECT",
@@ -24,46 +22,61 @@
     "once, CONNECT_FAILED, REJECT",
     "cell, OVERLOADED, REJECT"
   })
-  void theLastAnswerIsPromptAndTrue(String requestClass, AttemptOutcome outcome, NextStep answer) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a:UP:1:east");
-    long request = s.arrive(requestClass);
-    s.pass(300);
-    s.updateList(true, "a:DRAINING:1:east", "c:DRAINING:2:west");
-    s.endAttempt(s.lastAttemptOf(request), outcome);
-    assertEquals(answer, s.nextStep(request));
-    s.pass(3000);
-    assertEquals(1, s.attempts.get(request));
+  void answersAtOnceWhenNoEndpointIsLeft(
+      String requestClass, AttemptOutcome outcome, NextStep answer) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a:UP:1:east");
+    long request = fixture.startRequest(requestClass);
+    fixture.advance(300);
+    fixture.updateEndpoints(true, "a:DRAINING:1:east", "c:DRAINING:2:west");
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), outcome);
+
+    assertEquals(answer, fixture.nextStep(request));
+    fixture.advance(3000);
+    assertEquals(1, fixture.attemptCount(request));
   }
 
   @Test
-  void withoutEndpointsTheRejectionIsPrompt() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a:DRAINING");
-    assertEquals(NextStep.REJECT, s.nextStep(s.arrive("once")));
+  void rejectsAtOnceWithoutEndpoints() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a:DRAINING");
+
+    long request = fixture.startRequest("once");
+
+    assertEquals(NextStep.REJECT, fixture.nextStep(request));
   }
 
   @Test
-  void aFinishedRequestStaysFinished() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    long request = s.arrive("read");
-    s.balancer.onClientDisconnected(s.nowMs * 1000, request);
-    s.pull();
-    s.balancer.onClientDisconnected(s.nowMs * 1000, request);
-    s.pass(3000);
-    assertEquals(BalancerFixture.ENDPOINT_ANSWER, s.answers.get(request), "no answer of ours");
-    assertEquals(1, s.attempts.get(request));
+  void doesNotAnswerAfterClientDisconnected() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    long request = fixture.startRequest("read");
+
+    fixture.disconnectClient(request);
+    fixture.disconnectClient(request);
+    fixture.advance(3000);
+
+    assertEquals(
+        BalancerFixture.ENDPOINT_ANSWER,
+        fixture.answers.get(request),
+        "the load balancer gives no answer of its own");
+    assertEquals(1, fixture.attemptCount(request));
   }
 
-  /** Odd settings and lists: prompt, truthful answers and no exception. */
   @ParameterizedTest
   @CsvSource({"0, 0, east", "-1, 7, ''", "1, 2000000000, nowhere", "500, 3, east"})
-  void oddFleetsAreServed(int sidecars, int me, String zone) {
-    BalancerFixture s = new BalancerFixture(BalancerFixture.RETRIES, false, zone, me, sidecars);
-    assertEquals(NextStep.REJECT, s.nextStep(s.arrive("once")));
-    s.updateList(true, "a:UP:1:");
-    assertEquals(10, s.thinTraffic(10, 250).get("a"));
-    s.updateList(true);
-    assertEquals(NextStep.REJECT, s.nextStep(s.arrive("once")));
-    s.updateList(true, "a:UP:1:", "b:UP:2:west");
-    assertEquals(10, s.thinTraffic(10, 250).values().stream().mapToInt(n -> n).sum());
+  void servesWithUnusualInstanceSettings(int instanceCount, int instanceIndex, String zone) {
+    BalancerFixture fixture =
+        new BalancerFixture(new SettingsBuilder().instance(zone, instanceIndex, instanceCount));
+    assertEquals(NextStep.REJECT, fixture.nextStep(fixture.startRequest("once")));
+
+    fixture.updateEndpoints(true, "a:UP:1:");
+    assertEquals(10, fixture.sendAtIntervals(10, 250).get("a"));
+
+    fixture.updateEndpoints(true);
+    assertEquals(NextStep.REJECT, fixture.nextStep(fixture.startRequest("once")));
+
+    fixture.updateEndpoints(true, "a:UP:1:", "b:UP:2:west");
+    int answered =
+        fixture.sendAtIntervals(10, 250).values().stream().mapToInt(Integer::intValue).sum();
+    assertEquals(10, answered);
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
@@ -3,17 +3,28 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
 import dillcross.model.RetryPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Covers which failures eject an endpoint and how it is readmitted; see {@link OutlierEjection}.
+ */
 class OutlierEjectionTest {
+  private static final int CONSECUTIVE_FAILURES = 5;
+  private static final int RESPONSE_MS = 5;
+
+  /** Longer than a response can take: a timeout before that says nothing of the endpoint. */
+  private static final int LONG_SILENCE_MS = 350;
+
+  private static final int OVERLOAD_PAUSE_MS = 12_000;
+
   /**
-   * E error, T time-out, R reset, X connection failed, F full, A success, on the only endpoint;
-   * then another joins.
+   * Outcomes in the order in which the only endpoint gives them: E error, T timeout after a long
+   * silence, t early timeout, R reset, X connection failed, F full, A success.
    */
   @ParameterizedTest
   @CsvSource({
@@ -28,107 +39,118 @@
     "EEFFFEEE, true",
     "EEEAEEEAEEEA, true"
   })
-  void ejectsAfterFiveInARowOrTooLargeAShare(String outcomes, boolean ejected) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a");
+  void ejectsAfterConsecutiveFailuresOrHighFailureShare(String outcomes, boolean ejected) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a");
+
     for (int i = 0; i < outcomes.length(); i++) {
-      fail(s, outcomes.charAt(i));
+      endOneAttempt(fixture, outcomes.charAt(i));
     }
-    s.updateList(false, "b");
-    assertEquals(ejected, s.traffic(30, "a") == 0);
+
+    fixture.updateEndpoints(false, "b");
+    assertEquals(ejected, fixture.sendSequentially(30, "a") == 0);
   }
 
-  private static void fail(BalancerFixture s, char outcome) {
-    long request = s.arrive("once");
-    s.pass(
-        outcome == 'T'
-            ? 350
-            : 10); // a time-out before an answer could be expected says nothing: 't'
-    s.endAttempt(
-        s.lastAttemptOf(request),
-        switch (outcome) {
-          case 'E' -> AttemptOutcome.ERROR;
-          case 'T', 't' -> AttemptOutcome.TIMED_OUT;
-          case 'R' -> AttemptOutcome.RESET;
-          case 'X' -> AttemptOutcome.CONNECT_FAILED;
-          case 'F' -> AttemptOutcome.OVERLOADED;
-          default -> AttemptOutcome.SUCCEEDED;
-        });
-    s.pass(outcome == 'F' ? 12_000 : 10);
+  private static void endOneAttempt(BalancerFixture fixture, char outcome) {
+    long request = fixture.startRequest("once");
+    fixture.advance(outcome == 'T' ? LONG_SILENCE_MS : 10);
+    fixture.endAttempt(fixture.lastAttemptOf(request), outcomeOf(outcome));
+    fixture.advance(outcome == 'F' ? OVERLOAD_PAUSE_MS : 10);
   }
 
-  private static BalancerFixture ejected() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    for (int failures = 0; failures < 5; ) {
-      SentAttempt p = s.lastAttemptOf(s.arrive("read"));
-      s.pass(5);
-      s.endAttempt(p, p.endpoint().equals("a") ? AttemptOutcome.ERROR : AttemptOutcome.SUCCEEDED);
-      failures += p.endpoint().equals("a") ? 1 : 0;
-      s.pass(5);
-      s.endAttempts(q -> true, AttemptOutcome.SUCCEEDED);
+  private static AttemptOutcome outcomeOf(char letter) {
+    return switch (letter) {
+      case 'E' -> AttemptOutcome.ERROR;
+      case 'T', 't' -> AttemptOutcome.TIMED_OUT;
+      case 'R' -> AttemptOutcome.RESET;
+      case 'X' -> AttemptOutcome.CONNECT_FAILED;
+      case 'F' -> AttemptOutcome.OVERLOADED;
+      default -> AttemptOutcome.SUCCEEDED;
+    };
+  }
+
+  /** Of two endpoints, "a" has just been ejected for consecutive failures. */
+  private static BalancerFixture withEjectedEndpoint() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    int failures = 0;
+    while (failures < CONSECUTIVE_FAILURES) {
+      SentAttempt attempt = fixture.lastAttemptOf(fixture.startRequest("read"));
+      boolean fails = attempt.endpoint().equals("a");
+      fixture.advance(RESPONSE_MS);
+      fixture.endAttempt(attempt, fails ? AttemptOutcome.ERROR : AttemptOutcome.SUCCEEDED);
+      failures += fails ? 1 : 0;
+      fixture.advance(RESPONSE_MS);
+      fixture.succeedAll();
     }
-    return s;
+    return fixture;
   }
 
   @ParameterizedTest
   @CsvSource({"SUCCEEDED, true", "ERROR, false", "TIMED_OUT, false"})
-  void aPenaltyEndsInOneRequestOnProbation(AttemptOutcome outcome, boolean back) {
-    BalancerFixture s = ejected();
-    assertEquals(0, s.traffic(30, "a")); // 0.6 s: within the shortest penalty
-    s.pass(700);
-    SentAttempt probe = s.lastAttemptOf(s.arrive("read"));
-    assertEquals("a", probe.endpoint());
-    assertEquals(0, s.traffic(2, "a"), "one at a time");
-    s.endAttempt(probe, outcome);
-    s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
-    assertEquals(back, s.pairTraffic(60, "a") > 0); // 1.2 s
-    s.pass(1300);
-    assertTrue(s.pairTraffic(60, "a") > 0, "the second penalty is twice the first, not more");
+  void readmitsAfterOneSuccessOnProbation(AttemptOutcome outcome, boolean readmitted) {
+    BalancerFixture fixture = withEjectedEndpoint();
+    assertEquals(0, fixture.sendSequentially(30, "a")); // 0.6 s: within the shortest penalty
+
+    fixture.advance(700);
+    SentAttempt probation = fixture.lastAttemptOf(fixture.startRequest("read"));
+    assertEquals("a", probation.endpoint());
+    assertEquals(0, fixture.sendSequentially(2, "a"), "one request at a time on probation");
+    fixture.endAttempt(probation, outcome);
+    fixture.succeedAll();
+
+    assertEquals(readmitted, fixture.sendPairs(60, "a") > 0); // 1.2 s
+    fixture.advance(1300);
+    assertTrue(fixture.sendPairs(60, "a") > 0, "the second penalty is at most twice the first");
   }
 
-  /** A probation request whose attempt never ends must not keep the endpoint out for good. */
   @Test
-  void aProbationThatNeverEndsIsReplaced() {
-    BalancerFixture s = ejected();
-    s.pass(1300);
-    assertEquals("a", s.lastAttemptOf(s.arrive("read")).endpoint());
-    s.pass(10_000);
-    assertEquals("a", s.lastAttemptOf(s.arrive("read")).endpoint());
+  void replacesProbationRequestThatNeverEnds() {
+    BalancerFixture fixture = withEjectedEndpoint();
+    fixture.advance(1300);
+    assertEquals("a", fixture.lastAttemptOf(fixture.startRequest("read")).endpoint());
+
+    fixture.advance(10_000);
+
+    assertEquals("a", fixture.lastAttemptOf(fixture.startRequest("read")).endpoint());
   }
 
   @Test
-  void withAllEjectedItPicksAsIfNoneWere() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a");
+  void ignoresEjectionsWhenAllEndpointsAreEjected() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a");
+
     for (int i = 0; i < 6; i++) {
-      fail(s, 'E');
+      endOneAttempt(fixture, 'E');
     }
-    assertEquals("a", s.lastAttemptOf(s.arrive("once")).endpoint());
+
+    assertEquals("a", fixture.lastAttemptOf(fixture.startRequest("once")).endpoint());
   }
 
-  /** An answer after a pause ends an ejection that nothing but silence caused. */
+  /** A response after a pause ends an ejection that only missing responses caused. */
   @Test
-  void aPauseCostsLittle() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(40, "a");
+  void readmitsSilentEndpointOnceItResponds() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    fixture.sendSequentially(40, "a");
     for (int i = 0; i < 24; i++) {
-      s.arrive("read");
-      s.pass(5);
-      s.endAttempts(p -> p.endpoint().equals("b"), AttemptOutcome.SUCCEEDED);
+      fixture.startRequest("read");
+      fixture.advance(RESPONSE_MS);
+      fixture.endAttempts(attempt -> attempt.endpoint().equals("b"), AttemptOutcome.SUCCEEDED);
     }
-    s.pass(200);
-    s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
-    s.pass(10_000); // as long as a latency counts
-    assertTrue(s.pairTraffic(100, "a") > 10);
+
+    fixture.advance(200);
+    fixture.succeedAll();
+
+    fixture.advance(10_000); // until the latency of the pause is no longer remembered
+    assertTrue(fixture.sendPairs(100, "a") > 10);
   }
 
-  /**
-   * What was learned stays: an ejected endpoint is out after a switch too, and after the way back.
-   */
   @Test
-  void ejectionsSurviveNewSettings() {
-    BalancerFixture s = ejected();
-    s.applySettings(new RetryPolicy(3, false, true), true, BalancerFixture.REQUEST_CLASSES);
-    assertEquals(0, s.traffic(15, "a"));
-    s.applySettings(BalancerFixture.RETRIES, false, BalancerFixture.REQUEST_CLASSES);
-    assertEquals(0, s.traffic(10, "a"));
+  void keepsEjectionsWhenSettingsChange() {
+    BalancerFixture fixture = withEjectedEndpoint();
+
+    fixture.applySettings(
+        fixture.newSettings().retries(new RetryPolicy(3, false, true)).dynamicWeights(true));
+    assertEquals(0, fixture.sendSequentially(15, "a"));
+
+    fixture.applySettings(fixture.newSettings());
+    assertEquals(0, fixture.sendSequentially(10, "a"));
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/RemovalGraceTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/RemovalGraceTest.java
@@ -4,67 +4,75 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Covers how long endpoints stay in use that discovery removed without draining them first; see
+ * {@link RemovalGrace}.
+ */
 class RemovalGraceTest {
   private static BalancerFixture keepingRemoved(String... endpoints) {
-    BalancerFixture s = new BalancerFixture(BalancerFixture.RETRIES, true, true, "east", 0, 3);
-    s.updateList(true, endpoints);
-    return s;
+    return BalancerFixture.withSettings(
+        new SettingsBuilder().pollRequired().keepRemoved(), endpoints);
   }
 
-  /**
-   * A list that calls every endpoint gone while they serve left nothing to attempt to: 93% of a
-   * day's requests were rejected.
-   */
+  /** A faulty update that removes every endpoint must not have all requests rejected. */
   @ParameterizedTest
   @CsvSource({"true, false", "false, false", "true, true", "false, true"})
-  void anEmptyListStopsNothingWhereOnlyDrainsBind(boolean complete, boolean drained) {
-    BalancerFixture s = keepingRemoved("a", "b");
-    s.traffic(5, "a");
-    s.updateList(false, drained ? "a:DRAINING" : "a");
-    s.updateList(complete, complete ? new String[0] : new String[] {"a:REMOVED", "b:REMOVED"});
-    assertEquals(drained, s.traffic(30, "a") == 0);
-    assertTrue(s.traffic(10, "b") > 0);
-    s.updateList(false, "a");
-    assertTrue(s.traffic(30, "a") > 0, "the list names it again");
+  void usesRemovedEndpointsUnlessTheyWereDrained(boolean complete, boolean drained) {
+    BalancerFixture fixture = keepingRemoved("a", "b");
+    fixture.sendSequentially(5, "a");
+
+    fixture.updateEndpoints(false, drained ? "a:DRAINING" : "a");
+    fixture.updateEndpoints(
+        complete, complete ? new String[0] : new String[] {"a:REMOVED", "b:REMOVED"});
+
+    assertEquals(drained, fixture.sendSequentially(30, "a") == 0);
+    assertTrue(fixture.sendSequentially(10, "b") > 0);
+    fixture.updateEndpoints(false, "a");
+    assertTrue(fixture.sendSequentially(30, "a") > 0, "the endpoint list names it again");
   }
 
-  /** Where the list was right, its endpoint refuses once and is out, with no five failures. */
+  /** A removed endpoint needs one refused connection, not consecutive failures. */
   @ParameterizedTest
   @CsvSource({"CONNECT_FAILED, true", "RESET, true", "ERROR, false"})
-  void aRemovedEndpointThatRefusesIsEjected(AttemptOutcome outcome, boolean inFlight) {
-    BalancerFixture s = keepingRemoved("a", "b");
-    s.traffic(5, "a");
-    s.updateList(false, "a:REMOVED");
-    while (s.inFlight.isEmpty()) {
-      SentAttempt p = s.lastAttemptOf(s.arrive("once"));
-      s.pass(10);
-      s.endAttempt(p, p.endpoint().equals("a") ? outcome : AttemptOutcome.SUCCEEDED);
-      if (p.endpoint().equals("a")) {
+  void ejectsRemovedEndpointAfterOneBrokenConnection(AttemptOutcome outcome, boolean ejected) {
+    BalancerFixture fixture = keepingRemoved("a", "b");
+    fixture.sendSequentially(5, "a");
+    fixture.updateEndpoints(false, "a:REMOVED");
+
+    while (fixture.inFlight.isEmpty()) {
+      SentAttempt attempt = fixture.lastAttemptOf(fixture.startRequest("once"));
+      boolean toRemoved = attempt.endpoint().equals("a");
+      fixture.advance(10);
+      fixture.endAttempt(attempt, toRemoved ? outcome : AttemptOutcome.SUCCEEDED);
+      if (toRemoved) {
         break;
       }
     }
-    assertEquals(inFlight, s.traffic(30, "a") == 0);
+
+    assertEquals(ejected, fixture.sendSequentially(30, "a") == 0);
   }
 
-  /** Nothing is kept for good of what the list dropped. */
   @Test
-  void removedEndpointsAreForgottenAMinuteAfterTheirLastAnswer() {
-    BalancerFixture s = keepingRemoved("a", "b");
-    s.updateList(false, "a:REMOVED", "b:REMOVED");
+  void forgetsRemovedEndpointsOneMinuteAfterLastResponse() {
+    BalancerFixture fixture = keepingRemoved("a", "b");
+    fixture.updateEndpoints(false, "a:REMOVED", "b:REMOVED");
     for (int i = 0; i < 9; i++) {
-      s.pass(10_000);
-      s.traffic(1, "a");
+      fixture.advance(10_000);
+      fixture.sendSequentially(1, "a");
     }
-    assertTrue(s.balancer.isListed("a") || s.balancer.isListed("b"), "they answer");
-    s.pass(70_000);
-    s.arrive("read");
-    assertFalse(s.balancer.isListed("a"));
-    assertFalse(s.balancer.isListed("b"));
+    assertTrue(
+        fixture.balancer.isListed("a") || fixture.balancer.isListed("b"), "they still respond");
+
+    fixture.advance(70_000);
+    fixture.startRequest("read");
+
+    assertFalse(fixture.balancer.isListed("a"));
+    assertFalse(fixture.balancer.isListed("b"));
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/RequestRankingTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/RequestRankingTest.java
@@ -8,77 +8,85 @@
 import dillcross.model.RequestClass;
 import dillcross.model.Tenant;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Covers who waits first when attempts in flight are limited; see {@link RequestRanking}. */
 class RequestRankingTest {
-  /**
-   * Where two tenants have like quotas and one floods, the other's requests are the ones that get
-   * through.
-   */
+  private static final int TIMEOUT_MS = 2000;
+
+  /** Two tenants with the same quota, one of which sends seven times as much as the other. */
   @Test
-  void aTenantsBurstWaitsBehindTheOthers() {
-    BalancerFixture s =
-        new BalancerFixture(
-            BalancerFixture.RETRIES, false, new Tenant("loud", 50), new Tenant("calm", 50));
-    s.updateList(true, "a", "b");
-    int[] arrived = new int[2];
-    int[] sent = new int[2];
-    Map<Long, Integer> whose = new HashMap<>();
+  void prefersTenantWithinItsQuota() {
+    SettingsBuilder settings =
+        new SettingsBuilder().tenants(new Tenant("loud", 50), new Tenant("calm", 50));
+    BalancerFixture fixture = BalancerFixture.withSettings(settings, "a", "b");
+
+    Set<Long> calm = new HashSet<>();
+    Set<Long> loud = new HashSet<>();
     for (int i = 0; i < 2000; i++) {
-      int who = i % 8 == 0 ? 1 : 0;
-      whose.put(s.arrive("read", who == 1 ? "calm" : "loud", 2000), who);
-      arrived[who]++;
-      s.pass(5);
+      boolean isCalm = i % 8 == 0;
+      long request = fixture.startRequest("read", isCalm ? "calm" : "loud", TIMEOUT_MS);
+      (isCalm ? calm : loud).add(request);
+      fixture.advance(5);
       if (i % 4 == 2) {
-        s.inFlight.stream()
-            .filter(p -> p.atMs() < s.nowMs - 40)
+        fixture.inFlight.stream()
+            .filter(attempt -> attempt.sentMs() < fixture.nowMs - 40)
             .findFirst()
-            .ifPresent(p -> s.endAttempt(p, AttemptOutcome.SUCCEEDED));
+            .ifPresent(attempt -> fixture.endAttempt(attempt, AttemptOutcome.SUCCEEDED));
       }
     }
-    s.attempts.keySet().forEach(request -> sent[whose.get(request)]++);
-    assertTrue(
-        (double) sent[1] / arrived[1] > 2.0 * sent[0] / arrived[0],
-        sent[1] + " of " + arrived[1] + ", " + sent[0] + " of " + arrived[0]);
+
+    double calmShare = shareSent(fixture, calm);
+    double loudShare = shareSent(fixture, loud);
+    assertTrue(calmShare > 2 * loudShare, "sent: " + calmShare + " and " + loudShare);
+  }
+
+  private static double shareSent(BalancerFixture fixture, Set<Long> requests) {
+    long sent = requests.stream().filter(fixture.attemptedRequests()::contains).count();
+    return (double) sent / requests.size();
   }
 
-  /**
-   * While others are in flight, a request goes out at once more often where it is worth much for
-   * its time.
-   */
   @Test
-  void theLimitIsWiderForHigherPriorityWeights() {
-    int[] atOnce = new int[2];
-    for (int rich = 0; rich < 2; rich++) {
-      BalancerFixture s = BalancerFixture.oneOf(100, 0, TestEndpoints.fleet(12, "UP:1:east"));
-      List<RequestClass> requestClasses = new ArrayList<>(BalancerFixture.REQUEST_CLASSES);
-      requestClasses.add(
-          new RequestClass(
-              "other",
-              Idempotency.NON_IDEMPOTENT,
-              DeduplicationScope.ALL,
-              0,
-              400_000,
-              rich == 1 ? 9 : 0.2,
-              1));
-      s.applySettings(BalancerFixture.RETRIES, false, requestClasses);
-      s.thinTraffic(40, 250);
-      for (int i = 0; i < 60; i++) {
-        s.arrive("read");
-        s.arrive("read");
-        s.pass(10);
-        long request = s.arrive("other");
-        atOnce[rich] += s.inFlight.stream().anyMatch(p -> p.requestId() == request) ? 1 : 0;
-        s.pass(60);
-        s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
-        s.pass(400);
-        s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
-      }
+  void admitsMoreWhereThePriorityWeightIsHigher() {
+    int sentAtLowWeight = countSentAtOnce(0.2);
+    int sentAtHighWeight = countSentAtOnce(9);
+
+    assertTrue(sentAtHighWeight > sentAtLowWeight + 15, sentAtLowWeight + " " + sentAtHighWeight);
+  }
+
+  /** How many of 60 requests of that weight are sent at once while two others are in flight. */
+  private static int countSentAtOnce(double priorityWeight) {
+    BalancerFixture fixture = BalancerFixture.inFleet(100, 0, TestEndpoints.inOneZone(12));
+    List<RequestClass> requestClasses = new ArrayList<>(SettingsBuilder.DEFAULT_CLASSES);
+    requestClasses.add(
+        new RequestClass(
+            "other",
+            Idempotency.NON_IDEMPOTENT,
+            DeduplicationScope.ALL,
+            0,
+            SettingsBuilder.LATENCY_OBJECTIVE_US,
+            priorityWeight,
+            1));
+    fixture.applySettings(fixture.newSettings().requestClasses(requestClasses));
+    fixture.sendAtIntervals(40, 250);
+
+    int sentAtOnce = 0;
+    for (int i = 0; i < 60; i++) {
+      fixture.startRequest("read");
+      fixture.startRequest("read");
+      fixture.advance(10);
+      long request = fixture.startRequest("other");
+      boolean isInFlight =
+          fixture.inFlight.stream().anyMatch(attempt -> attempt.requestId() == request);
+      sentAtOnce += isInFlight ? 1 : 0;
+      fixture.advance(60);
+      fixture.succeedAll();
+      fixture.advance(400);
+      fixture.succeedAll();
     }
-    assertTrue(atOnce[1] > atOnce[0] + 15, Arrays.toString(atOnce));
+    return sentAtOnce;
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/ServiceObjectiveTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/ServiceObjectiveTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.model.AttemptOutcome;
 import dillcross.model.Decision;
 import dillcross.model.DeduplicationScope;
 import dillcross.model.Idempotency;
@@ -13,61 +12,63 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Covers hedging and early rejections where few requests may miss their latency objective; see
+ * {@link dillcross.model.ServiceObjective}, {@link SilenceMonitor} and {@link LoadBalancer}.
+ */
 class ServiceObjectiveTest {
-  /**
-   * Of two endpoints one stands still for as long as the latency objective, at times; nothing is
-   * earned after it.
-   */
-  private static BalancerFixture withTailObjective(double weight, double overdue) {
-    BalancerFixture s =
-        new BalancerFixture(
-            new ServiceObjective(weight, 0.02),
-            List.of(
-                new RequestClass(
-                    "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, overdue),
-                new RequestClass(
-                    "once",
-                    Idempotency.NON_IDEMPOTENT,
-                    DeduplicationScope.ALL,
-                    0,
-                    400_000,
-                    1,
-                    overdue)),
-            BalancerFixture.RETRIES,
-            false,
-            false,
-            "east",
-            0,
-            1);
-    s.honoursAttemptDeadlines = true;
-    s.updateList(true, "a", "b");
+  private static final double TAIL_SLACK = 0.02;
+  private static final int LATENCY_MS = 80;
+  private static final long RETRY_AFTER_US = 1_000_000;
+
+  /** Both endpoints respond within 80 ms so far; both classes have an objective of 400 ms. */
+  private static BalancerFixture withObjective(double tailWeight, double lateValueShare) {
+    SettingsBuilder settings =
+        new SettingsBuilder()
+            .instance("east", 0, 1)
+            .objective(new ServiceObjective(tailWeight, TAIL_SLACK))
+            .requestClasses(
+                List.of(
+                    requestClass("read", Idempotency.IDEMPOTENT, lateValueShare),
+                    requestClass("once", Idempotency.NON_IDEMPOTENT, lateValueShare)));
+    BalancerFixture fixture = new BalancerFixture(settings);
+    fixture.enforceAttemptDeadlines();
+    fixture.updateEndpoints(true, "a", "b");
     for (int i = 0; i < 60; i++) {
-      s.arrive(i % 2 == 0 ? "read" : "once");
-      s.pass(80);
-      s.endAttempts(p -> true, AttemptOutcome.SUCCEEDED);
+      fixture.startRequest(i % 2 == 0 ? "read" : "once");
+      fixture.advance(LATENCY_MS);
+      fixture.succeedAll();
     }
-    return s;
+    return fixture;
+  }
+
+  private static RequestClass requestClass(
+      String name, Idempotency idempotency, double lateValueShare) {
+    return new RequestClass(
+        name,
+        idempotency,
+        DeduplicationScope.ALL,
+        0,
+        SettingsBuilder.LATENCY_OBJECTIVE_US,
+        1,
+        lateValueShare);
   }
 
-  /**
-   * A pause of an endpoint held a request for its whole target: the copy came eight mean latencies
-   * later, or never.
-   */
+  /** An endpoint's pause must not hold a request until its objective has passed. */
   @ParameterizedTest
   @CsvSource({"0.3, read, true", "0, read, false", "0.3, once, false"})
-  void hedgesWhileTheyCanStillBeInTime(double weight, String requestClass, boolean hedged) {
-    BalancerFixture s = withTailObjective(weight, 0);
-    long request = s.arrive(requestClass);
-    s.pass(180);
-    assertEquals(1, s.attempts.get(request), "it is early still");
-    s.pass(100);
-    assertEquals(hedged ? 2 : 1, s.attempts.get(request));
+  void hedgesInTimeForTheLatencyObjective(double tailWeight, String requestClass, boolean hedged) {
+    BalancerFixture fixture = withObjective(tailWeight, 0);
+
+    long request = fixture.startRequest(requestClass);
+
+    fixture.advance(180);
+    assertEquals(1, fixture.attemptCount(request), "too early for a hedge");
+    fixture.advance(100);
+    assertEquals(hedged ? 2 : 1, fixture.attemptCount(request));
   }
 
-  /**
-   * An answer that is worth nothing must not be waited for, nor asked for again at once; what may
-   * not run twice waits.
-   */
+  /** Only where a late response is worth nothing and a retry by the client is harmless. */
   @ParameterizedTest
   @CsvSource({
     "0.3, 0, read, true",
@@ -75,18 +76,20 @@
     "0, 0, read, false",
     "0.3, 0, once, false"
   })
-  void requestsThatCannotBeInTimeAreRejectedWithinTheirObjective(
-      double weight, double overdue, String requestClass, boolean told) {
-    BalancerFixture s = withTailObjective(weight, overdue);
-    long request = s.arrive(requestClass);
-    s.pass(399);
-    assertEquals(told, s.answers.containsKey(request));
-    if (told) {
+  void rejectsRequestsThatWillMissTheirObjective(
+      double tailWeight, double lateValueShare, String requestClass, boolean rejected) {
+    BalancerFixture fixture = withObjective(tailWeight, lateValueShare);
+
+    long request = fixture.startRequest(requestClass);
+    fixture.advance(399);
+
+    assertEquals(rejected, fixture.answers.containsKey(request));
+    if (rejected) {
       assertEquals(
-          new Decision.Reject(request, 1_000_000),
-          s.answers.get(request),
-          "and comes back when it likes, but not now");
-      assertTrue(s.inFlight.isEmpty(), "called back");
+          new Decision.Reject(request, RETRY_AFTER_US),
+          fixture.answers.get(request),
+          "an immediate retry would be late too");
+      assertTrue(fixture.inFlight.isEmpty(), "its attempt is cancelled");
     }
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/SettingsChangeTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/SettingsChangeTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillcross.balancer.BalancerFixture.NextStep;
+import dillcross.balancer.DecisionRecorder.NextStep;
 import dillcross.model.AttemptOutcome;
 import dillcross.model.DeduplicationScope;
 import dillcross.model.Idempotency;
@@ -12,11 +12,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Covers requests that are open while settings change; see {@link LoadBalancer#applySettings}. */
 class SettingsChangeTest {
-  /**
-   * A request that is open over a switch, forth and back, keeps the rules it came in with; a new
-   * one gets the new ones.
-   */
+  private static final RetryPolicy ONE_ATTEMPT = new RetryPolicy(1, false, true);
+
+  /** The classes "read" and "once", each with the idempotency of the other. */
+  private static final List<RequestClass> SWAPPED_CLASSES =
+      List.of(
+          SettingsBuilder.requestClass("read", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
+          SettingsBuilder.requestClass("once", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
+
+  private enum Change {
+    IDEMPOTENT_THEN_ONCE,
+    ONCE_THEN_IDEMPOTENT,
+    FORTH_AND_BACK,
+    FEWER_ATTEMPTS
+  }
+
   @ParameterizedTest
   @CsvSource({
     "IDEMPOTENT_THEN_ONCE, ERROR, SEND",
@@ -26,31 +38,35 @@
     "FEWER_ATTEMPTS, ERROR, SEND",
     "FEWER_ATTEMPTS, CONNECT_FAILED, SEND"
   })
-  void anOpenRequestKeepsItsRules(String how, AttemptOutcome outcome, NextStep then) {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b", "c");
-    s.traffic(40, "a");
-    List<RequestClass> other =
-        List.of(
-            BalancerFixture.requestClass(
-                "read", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
-            BalancerFixture.requestClass("once", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
-    long request = s.arrive(how.startsWith("ONCE") ? "once" : "read");
-    s.applySettings(
-        how.equals("FEWER_ATTEMPTS") ? new RetryPolicy(1, false, true) : BalancerFixture.RETRIES,
-        true,
-        how.equals("FEWER_ATTEMPTS") ? BalancerFixture.REQUEST_CLASSES : other);
-    if (how.equals("FORTH_AND_BACK")) {
-      s.applySettings(BalancerFixture.RETRIES, false, BalancerFixture.REQUEST_CLASSES);
+  void openRequestKeepsRulesInForceWhenItArrived(
+      Change change, AttemptOutcome outcome, NextStep expected) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b", "c");
+    fixture.sendSequentially(40, "a");
+    String requestClass = change == Change.ONCE_THEN_IDEMPOTENT ? "once" : "read";
+    long request = fixture.startRequest(requestClass);
+
+    apply(change, fixture);
+    fixture.endAttempt(fixture.lastAttemptOf(request), outcome);
+
+    assertEquals(expected, fixture.nextStepOrSend(request));
+    assertEquals(expected == NextStep.SEND ? 2 : 1, fixture.attemptCount(request));
+    if (change != Change.FORTH_AND_BACK) {
+      long next = fixture.startRequest(requestClass);
+      fixture.endAttempt(fixture.lastAttemptOf(next), AttemptOutcome.ERROR);
+      int attempts = change == Change.ONCE_THEN_IDEMPOTENT ? 2 : 1;
+      assertEquals(attempts, fixture.attemptCount(next), "a new request has the new rules");
+    }
+  }
+
+  private static void apply(Change change, BalancerFixture fixture) {
+    SettingsBuilder settings = fixture.newSettings().dynamicWeights(true);
+    if (change == Change.FEWER_ATTEMPTS) {
+      fixture.applySettings(settings.retries(ONE_ATTEMPT));
+    } else {
+      fixture.applySettings(settings.requestClasses(SWAPPED_CLASSES));
     }
-    s.endAttempt(s.lastAttemptOf(request), outcome);
-    NextStep step = s.nextStep(request);
-    assertEquals(then, step == NextStep.NONE ? NextStep.SEND : step);
-    assertEquals(then == NextStep.SEND ? 2 : 1, s.attempts.get(request));
-    if (!how.equals("FORTH_AND_BACK")) {
-      long next = s.arrive(how.startsWith("ONCE") ? "once" : "read");
-      s.endAttempt(s.lastAttemptOf(next), AttemptOutcome.ERROR);
-      assertEquals(
-          how.startsWith("ONCE") ? 2 : 1, s.attempts.get(next), "a new op has the new rules");
+    if (change == Change.FORTH_AND_BACK) {
+      fixture.applySettings(fixture.newSettings());
     }
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/SlowStartTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/SlowStartTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillcross.balancer.BalancerFixture.SentAttempt;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
 import java.util.List;
 import java.util.Map;
@@ -12,63 +12,76 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Covers how much a starting endpoint gets until it has warmed up; see {@link SlowStart}. */
 class SlowStartTest {
-  /**
-   * A fresh endpoint has one request in flight until it answers, and never more than its window
-   * allows.
-   */
+  private static final int WINDOW_MS = 1500;
+  private static final double WINDOW_S = 1.5;
+  private static final double WARM_UP_S = 8;
+  private static final double INITIAL_CAPACITY_SHARE = 0.3;
+  private static final double OVERLOAD_MULTIPLE = 3;
+  private static final double REQUESTS_PER_SECOND = 4;
+
+  private static long countInFlightToNew(BalancerFixture fixture) {
+    return fixture.inFlight.stream().filter(attempt -> attempt.endpoint().equals("new")).count();
+  }
+
   @Test
-  void slowStartIsNotOverrun() {
-    BalancerFixture s = BalancerFixture.withEndpoints("a", "b");
-    s.traffic(100, "a");
-    s.updateList(false, "new:UP:1:east:" + s.nowMs);
+  void sendsOneRequestAtATimeUntilNewEndpointResponds() {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
+    fixture.sendSequentially(100, "a");
+
+    fixture.updateEndpoints(false, "new:UP:1:east:" + fixture.nowMs);
     for (int i = 0; i < 12; i++) {
-      s.arrive("read");
+      fixture.startRequest("read");
     }
-    assertEquals(1, s.inFlight.stream().filter(p -> p.endpoint().equals("new")).count());
-    s.endAttempts(p -> p.endpoint().equals("new"), AttemptOutcome.TIMED_OUT);
-    long sent = 0;
-    for (SentAttempt p : List.copyOf(s.inFlight)) {
-      s.endAttempt(p, AttemptOutcome.SUCCEEDED);
-      s.arrive("read");
-      sent = s.inFlight.stream().filter(q -> q.endpoint().equals("new")).count();
+    assertEquals(1, countInFlightToNew(fixture));
+
+    fixture.endAttempts(attempt -> attempt.endpoint().equals("new"), AttemptOutcome.TIMED_OUT);
+    long afterTimeout = 0;
+    for (SentAttempt attempt : List.copyOf(fixture.inFlight)) {
+      fixture.endAttempt(attempt, AttemptOutcome.SUCCEEDED);
+      fixture.startRequest("read");
+      afterTimeout = countInFlightToNew(fixture);
     }
-    assertTrue(sent <= 1, "a push that timed out still weighs on it: " + sent);
-    while (!s.inFlight.isEmpty()) {
-      s.endAttempt(s.inFlight.get(0), AttemptOutcome.SUCCEEDED);
+    assertTrue(afterTimeout <= 1, "a timed-out attempt still counts: " + afterTimeout);
+
+    while (!fixture.inFlight.isEmpty()) {
+      fixture.endAttempt(fixture.inFlight.get(0), AttemptOutcome.SUCCEEDED);
     }
-    s.pass(9000);
-    assertTrue(s.traffic(120, "new") > 10);
+    fixture.advance(9000);
+    assertTrue(fixture.sendSequentially(120, "new") > 10, "it has warmed up");
   }
 
-  /**
-   * Floors of an attempt a sidecar add up: all together stay within the warming up rule, and still
-   * warm the endpoint.
-   */
+  /** Each sidecar's share is less than one request, so the minimum per sidecar adds up. */
   @ParameterizedTest
   @ValueSource(ints = {100, 300, 500})
-  void allSidecarsTogetherKeepTheWarmingUpRule(int sidecars) {
-    Map<Long, Integer> windows = new TreeMap<>();
+  void allSidecarsTogetherStayBelowOverloadMultiple(int sidecars) {
+    Map<Long, Integer> sentByWindow = new TreeMap<>();
     int sent = 0;
-    for (int me = 0; me < sidecars; me++) {
-      BalancerFixture s = BalancerFixture.oneOf(sidecars, me, TestEndpoints.fleet(30, "UP"));
-      s.thinTraffic(20, 250);
-      long from = s.nowMs;
-      s.updateList(false, "new:UP:99:" + List.of("east", "west", "north").get(me % 3) + ":" + from);
-      s.thinTraffic(24, 250);
-      for (SentAttempt p : s.sent) {
-        if (p.endpoint().equals("new")) {
-          windows.merge((p.atMs() - from) / 1500, 1, Integer::sum);
+    for (int index = 0; index < sidecars; index++) {
+      BalancerFixture fixture =
+          BalancerFixture.inFleet(sidecars, index, TestEndpoints.inThreeZones(30));
+      fixture.sendAtIntervals(20, 250);
+      long startMs = fixture.nowMs;
+      String zone = TestEndpoints.zoneOf(index);
+      fixture.updateEndpoints(false, "new:UP:99:" + zone + ":" + startMs);
+      fixture.sendAtIntervals(24, 250);
+      for (SentAttempt attempt : fixture.sentAttempts) {
+        if (attempt.endpoint().equals("new")) {
+          sentByWindow.merge((attempt.sentMs() - startMs) / WINDOW_MS, 1, Integer::sum);
           sent++;
         }
       }
     }
-    double perWindow =
-        4.0 * sidecars / 31 * 1.5 * 3; // of a warm endpoint's usual part, times the multiple
-    windows.forEach(
-        (w, n) ->
-            assertTrue(
-                n <= perWindow * (0.3 + 0.7 * w * 1.5 / 8) + 3, windows + " of " + perWindow));
+
+    double overloadPerWindow =
+        REQUESTS_PER_SECOND * sidecars / 31 * WINDOW_S * OVERLOAD_MULTIPLE; // 31 with the new one
+    sentByWindow.forEach(
+        (window, count) -> {
+          double warmed = (1 - INITIAL_CAPACITY_SHARE) * window * WINDOW_S / WARM_UP_S;
+          double limit = overloadPerWindow * (INITIAL_CAPACITY_SHARE + warmed) + 3;
+          assertTrue(count <= limit, sentByWindow + " of " + overloadPerWindow);
+        });
     assertTrue(sent > 0);
   }
 }
--- a/sidecar/src/test/java/dillcross/balancer/TestEndpoints.java
+++ b/sidecar/src/test/java/dillcross/balancer/TestEndpoints.java
@@ -1,24 +1,65 @@
 package dillcross.balancer;
 
+import dillcross.model.Endpoint;
+import dillcross.model.Endpoint.Health;
+import java.util.ArrayList;
 import java.util.List;
+import java.util.function.IntFunction;
 import java.util.stream.IntStream;
 
-/** Endpoint lists for tests. */
+/**
+ * Endpoints for tests, written as {@code id:health:cell:zone:startedMs:weight}. All but the id may
+ * be left out; an endpoint is then up, in cell 1 of zone "east", long started, and of weight 1.
+ */
 final class TestEndpoints {
+  private static final List<String> ZONES = List.of("east", "west", "north");
+  private static final int ENDPOINTS_PER_CELL = 4;
+  private static final long MICROS_PER_MILLI = 1000;
+
   private TestEndpoints() {}
 
-  /** Endpoints e0, e1 ... spread over three zones, with what else each has. */
-  static String[] fleet(int endpoints, String health) {
-    return IntStream.range(0, endpoints)
-        .mapToObj(
-            i ->
-                "e"
-                    + i
-                    + ":"
-                    + health
-                    + (health.contains(":")
-                        ? ""
-                        : ":" + i / 4 + ":" + List.of("east", "west", "north").get(i % 3)))
+  /** The zone of the given member of a fleet that is spread over three zones. */
+  static String zoneOf(int index) {
+    return ZONES.get(index % ZONES.size());
+  }
+
+  /** Endpoints e0, e1, ... spread over three zones, four to a cell and all up. */
+  static String[] inThreeZones(int count) {
+    return generate(count, index -> "UP:" + index / ENDPOINTS_PER_CELL + ":" + zoneOf(index));
+  }
+
+  /** Endpoints e0, e1, ... that are up, in one cell of zone "east". */
+  static String[] inOneZone(int count) {
+    return generate(count, index -> "UP:1:east");
+  }
+
+  /** Endpoints e0, e1, ... with what {@code attributes} says of each. */
+  static String[] generate(int count, IntFunction<String> attributes) {
+    return IntStream.range(0, count)
+        .mapToObj(index -> "e" + index + ":" + attributes.apply(index))
         .toArray(String[]::new);
   }
+
+  /** The number of an endpoint that {@link #generate} named. */
+  static int indexOf(String generatedId) {
+    return Integer.parseInt(generatedId.substring(1));
+  }
+
+  /** Reads endpoints as the class comment describes them. */
+  static List<Endpoint> parse(String... specifications) {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (String specification : specifications) {
+      endpoints.add(parseOne(specification.split(":")));
+    }
+    return endpoints;
+  }
+
+  private static Endpoint parseOne(String[] fields) {
+    Health health = fields.length > 1 ? Health.valueOf(fields[1]) : Health.UP;
+    int cell = fields.length > 2 ? Integer.parseInt(fields[2]) : 1;
+    String zone = fields.length > 3 ? fields[3] : "east";
+    long startedUs = fields.length > 4 ? Long.parseLong(fields[4]) * MICROS_PER_MILLI : 0;
+    double weight = fields.length > 5 ? Double.parseDouble(fields[5]) : 1;
+    return new Endpoint(fields[0], health, startedUs, cell, zone, weight);
+  }
 }
