--- /dev/null
+++ b/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
@@ -0,0 +1,139 @@
+package dillcross.balancer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dillcross.balancer.DecisionRecorder.NextStep;
+import dillcross.balancer.DecisionRecorder.SentAttempt;
+import dillcross.model.AttemptOutcome;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Covers which retries could run a request a second time; see {@link DuplicateGuard}. */
+class DuplicateGuardTest {
+  private static final String[] TWO_ZONES = {"a:UP:1:east", "b:UP:1:east", "c:UP:2:west"};
+
+  private static BalancerFixture withoutHedging(String... endpoints) {
+    return BalancerFixture.withSettings(
+        new SettingsBuilder().retries(SettingsBuilder.WITHOUT_HEDGING), endpoints);
+  }
+
+  /**
+   * After a first attempt to "a" (cell 1, east): whether the request is retried anywhere (SEND),
+   * retried at the endpoint named, or failed.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "read, ERROR, SEND",
+    "read, CONNECT_FAILED, SEND",
+    "cell, ERROR, b",
+    "zone, RESET, b",
+    "any, ERROR, SEND",
+    "cell, CONNECT_FAILED, SEND",
+    "once, CONNECT_FAILED, SEND",
+    "once, OVERLOADED, SEND",
+    "once, ERROR, FAIL",
+    "once, RESET, FAIL",
+    "once, TIMED_OUT, FAIL"
+  })
+  void retriesOnlyWhereRequestCannotRunTwice(
+      String requestClass, AttemptOutcome outcome, String expected) {
+    BalancerFixture fixture = BalancerFixture.withEndpoints("a:UP:1:east");
+    long request = fixture.startRequest(requestClass);
+    fixture.updateEndpoints(true, TWO_ZONES);
+    fixture.advance(5);
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), outcome);
+
+    switch (expected) {
+      case "SEND" ->
+          assertTrue(
+              fixture.lastAttemptOf(request).number() == 1
+                  && !fixture.answers.containsKey(request));
+      case "FAIL" -> assertEquals(NextStep.FAIL, fixture.nextStep(request));
+      default -> assertEquals(expected, fixture.lastAttemptOf(request).endpoint());
+    }
+  }
+
+  /** Endpoints remember an idempotency key for 1 s from the first attempt. */
+  @ParameterizedTest
+  @CsvSource({"zone, 500, SEND", "zone, 1100, FAIL", "any, 1100, REJECT", "read, 1100, SEND"})
+  void doesNotRetryAfterDeduplicationWindow(
+      String requestClass, long firstAttemptMs, NextStep expected) {
+    BalancerFixture fixture = withoutHedging("a", "b");
+    long request = fixture.startRequest(requestClass);
+    fixture.advance(firstAttemptMs);
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), AttemptOutcome.ERROR);
+
+    assertEquals(expected, fixture.nextStepOrSend(request));
+    assertEquals(expected == NextStep.SEND ? 2 : 1, fixture.attemptCount(request));
+  }
+
+  /** A retry that connects or is delivered after the window would run a second time. */
+  @ParameterizedTest
+  @CsvSource({"zone, 700, 900", "zone, 0, 900", "any, 300, 900"})
+  void retryTimesOutBeforeDeduplicationWindowEnds(
+      String requestClass, long firstAttemptMs, long retryLimitMs) {
+    BalancerFixture fixture = withoutHedging("a", "b", "c");
+    long request = fixture.startRequest(requestClass);
+    SentAttempt first = fixture.lastAttemptOf(request);
+    assertTrue(
+        first.deadlineMs() == 0 || first.deadlineMs() > fixture.nowMs + 1900,
+        "the first attempt has all of the request's time");
+
+    fixture.advance(firstAttemptMs);
+    fixture.endAttempt(first, AttemptOutcome.RESET);
+    SentAttempt retry = fixture.lastAttemptOf(request);
+    assertEquals(first.sentMs() + retryLimitMs, retry.deadlineMs());
+
+    fixture.endAttempt(retry, AttemptOutcome.CONNECT_FAILED); // so only the first may have run
+    assertTrue(
+        fixture.inFlight.stream().noneMatch(attempt -> attempt.requestId() == request)
+            || fixture.lastAttemptOf(request).deadlineMs() == first.sentMs() + retryLimitMs);
+  }
+
+  @Test
+  void retryHasFullTimeWhereFirstAttemptNeverRan() {
+    BalancerFixture fixture = withoutHedging("a", "b");
+    long request = fixture.startRequest("zone");
+
+    fixture.endAttempt(fixture.lastAttemptOf(request), AttemptOutcome.CONNECT_FAILED);
+
+    long deadlineMs = fixture.lastAttemptOf(request).deadlineMs();
+    assertTrue(deadlineMs >= fixture.nowMs + 2000, "left: " + (deadlineMs - fixture.nowMs));
+  }
+
+  /**
+   * Where no endpoint of a deduplication scope responds, the network may delay a retry until the
+   * scope has forgotten the key. One endpoint that hangs among others that respond is no such case.
+   */
+  @ParameterizedTest
+  @CsvSource({"true, true", "false, false"})
+  void doesNotRetryInScopeThatDoesNotRespond(boolean othersRespond, boolean retried) {
+    BalancerFixture fixture =
+        BalancerFixture.withEndpoints("a:UP:1:east", "b:UP:1:east", "c:UP:1:east");
+    fixture.sendSequentially(30, "a");
+    fixture.startRequest("once"); // gets no response
+    long request = fixture.startRequest("cell");
+    fixture.advance(150);
+    if (othersRespond) {
+      for (int i = 0; i < 3; i++) {
+        long other = fixture.startRequest("read");
+        fixture.advance(2);
+        fixture.succeed(other);
+      }
+    }
+    fixture.advance(40);
+
+    SentAttempt first =
+        fixture.inFlight.stream()
+            .filter(attempt -> attempt.requestId() == request)
+            .findFirst()
+            .orElseThrow();
+    fixture.endAttempt(first, AttemptOutcome.RESET);
+
+    assertEquals(retried, fixture.attemptCount(request) > 1);
+  }
+}
