--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -36,14 +36,14 @@
       delimiter = '|',
       value = {
         "a refutation that raises nothing | LocalMember | raise(self.boot(), record.incarnation() + 1) | raise(self.boot(), record.incarnation())",
-        "a death that is never declared | Membership | entry.record.state() == MemberState.SUSPECT && now >= entry.deadUs | entry.record.state() == MemberState.SUSPECT && now < 0",
+        "a death that is never declared | MemberEntry | isSuspect() && nowUs >= suspicionDeadlineUs | isSuspect() && nowUs < 0",
         "an older process taken for the newer | MemberRecord | boot > other.boot | boot < other.boot",
-        "a probe that fails and accuses nobody | FailureDetector | merger.merge(entry.record.withState(MemberState.SUSPECT, local.self().name())); | entry.record.withState(MemberState.SUSPECT, local.self().name());",
-        "a pause that is not noticed | Membership | lateUs > settings.timeoutUs() / 2 | lateUs > Long.MAX_VALUE / 2",
-        "helpers that are not asked | FailureDetector | if (probe.isOwn() && !probe.isIndirect && nowUs >= probe.indirectUs) { | if (probe.isOwn() && !probe.isIndirect && nowUs < 0) {",
+        "a probe that fails and accuses nobody | RecordMerger | merge(entry.record().withState(MemberState.SUSPECT, local.self().name()), nowUs); | entry.record().withState(MemberState.SUSPECT, local.self().name());",
+        "a pause that is not noticed | PauseDetector | lateUs > toleranceUs | lateUs > Long.MAX_VALUE / 2",
+        "helpers that are not asked | Probe | isOwn() && !isIndirect && nowUs >= indirectAtUs | isOwn() && !isIndirect && nowUs < 0",
         "a clock gone back that is not made up for | LocalMember | raise(record.boot() + 1, 0) | raise(self.boot(), 0)",
-        "the dead probed and not the living | FailureDetector | if (entry != null && entry.isLive()) { | if (entry != null && !entry.isLive()) {",
-        "a member that never probes | Membership | if (now >= probeUs) { | if (now < 0) {",
+        "the dead probed and not the living | ProbeTargets | if (entry != null && entry.isLive()) { | if (entry != null && !entry.isLive()) {",
+        "a member that never probes | ProtocolSchedule | nowUs >= probeAtUs | nowUs < 0",
         "seeds that are never asked | Reconnector | Math.min(wanted, lost.size()) | 0",
         "a refutation that is not believed | MemberRecord | incarnation > other.incarnation | incarnation < other.incarnation"
       })
--- a/sidecar/src/main/java/dillcross/membership/GossipQueue.java
+++ b/sidecar/src/main/java/dillcross/membership/GossipQueue.java
@@ -8,58 +8,84 @@
 import java.util.TreeSet;
 
 /**
- * What is still to be gossiped, each item some times, the least sent first and of these the newest.
- * A newer item on the same subject takes the older one's place, so there are no more than subjects.
+ * Records and payloads still to be disseminated. Each is sent a number of times, those sent least
+ * first and among them the newest. An item replaces the older one on the same subject, so there are
+ * never more items than subjects.
  */
 final class GossipQueue {
+  private static final int MEMBER_RECORD = -1; // no payload type
+
+  private static final Comparator<Item> LEAST_SENT_FIRST =
+      Comparator.<Item>comparingInt(item -> item.timesSent)
+          .thenComparingLong(item -> -item.sequence);
+
+  private final Map<Subject, Item> bySubject = new HashMap<>();
+  private final TreeSet<Item> queue = new TreeSet<>(LEAST_SENT_FIRST);
+  private long nextSequence;
+
+  /** What was taken from the queue for one packet. */
+  record Batch(List<MemberRecord> records, List<Payload> payloads) {}
+
+  /**
+   * What an item is about.
+   *
+   * @param payloadType {@link #MEMBER_RECORD} for the member's record
+   */
+  private record Subject(String member, int payloadType) {}
+
   /** A record or a payload, and how often it was sent. */
   private static final class Item {
-    final Object subject;
-    final Object content;
-    final int size;
-    final long sequence;
-    int timesSent;
+    private final Subject subject;
+    private final MemberRecord record; // null for a payload
+    private final Payload payload; // null for a record
+    private final long sequence;
+    private int timesSent; // changed only while the item is not in the sorted queue
 
-    Item(Object subject, Object content, int size, long sequence) {
+    Item(Subject subject, MemberRecord record, Payload payload, long sequence) {
       this.subject = subject;
-      this.content = content;
-      this.size = size;
+      this.record = record;
+      this.payload = payload;
       this.sequence = sequence;
     }
-  }
 
-  private static final Comparator<Item> LEAST_SENT_FIRST =
-      Comparator.<Item>comparingInt(item -> item.timesSent)
-          .thenComparingLong(item -> -item.sequence);
+    int size() {
+      return record == null ? payload.size() : record.size();
+    }
 
-  private final Map<Object, Item> bySubject = new HashMap<>();
-  private final TreeSet<Item> queue = new TreeSet<>(LEAST_SENT_FIRST);
-  private long nextSequence;
+    void addTo(Batch batch) {
+      if (record == null) {
+        batch.payloads().add(payload);
+      } else {
+        batch.records().add(record);
+      }
+    }
+  }
 
   void add(MemberRecord record) {
-    put(record.name(), record, record.size());
+    Subject subject = new Subject(record.name(), MEMBER_RECORD);
+    put(new Item(subject, record, null, nextSequence++));
   }
 
   void add(Payload payload) {
-    put(List.of(payload.origin(), payload.type()), payload, payload.size());
+    Subject subject = new Subject(payload.origin(), payload.type());
+    put(new Item(subject, null, payload, nextSequence++));
   }
 
-  private void put(Object subject, Object content, int size) {
-    remove(subject);
-    Item item = new Item(subject, content, size, nextSequence++);
-    bySubject.put(subject, item);
+  private void put(Item item) {
+    remove(item.subject);
+    bySubject.put(item.subject, item);
     queue.add(item);
   }
 
-  /** Drops all that is about a member. */
+  /** Drops all items about a member. */
   void forget(String name) {
-    remove(name);
+    remove(new Subject(name, MEMBER_RECORD));
     for (int type = 0; type < Payload.TYPES; type++) {
-      remove(List.of(name, type));
+      remove(new Subject(name, type));
     }
   }
 
-  private void remove(Object subject) {
+  private void remove(Subject subject) {
     Item item = bySubject.remove(subject);
     if (item != null) {
       queue.remove(item);
@@ -67,36 +93,35 @@
   }
 
   /**
-   * Takes what fits into that many bytes; what was sent often enough is dropped.
+   * Takes the items that fit into that many bytes, and drops those that were sent often enough.
    *
-   * @param times that each item is sent
+   * @param transmissions how often each item is sent in all
    */
-  void take(int bytes, int times, List<MemberRecord> records, List<Payload> payloads) {
+  Batch take(int bytes, int transmissions) {
+    Batch batch = new Batch(new ArrayList<>(), new ArrayList<>());
     for (Item item : select(bytes)) {
       queue.remove(item);
       item.timesSent++;
-      if (item.timesSent < times) {
+      if (item.timesSent < transmissions) {
         queue.add(item);
       } else {
         bySubject.remove(item.subject);
       }
-      if (item.content instanceof MemberRecord record) {
-        records.add(record);
-      } else {
-        payloads.add((Payload) item.content);
-      }
+      item.addTo(batch);
     }
+    return batch;
   }
 
   private List<Item> select(int bytes) {
     int remaining = bytes;
     List<Item> selected = new ArrayList<>();
     for (Item item : queue) {
-      if (remaining < Payload.MAX_BYTES && item.size > remaining && !selected.isEmpty()) {
-        break; // hardly anything fits any more
+      int size = item.size();
+      if (remaining < Payload.MAX_BYTES && size > remaining && !selected.isEmpty()) {
+        break; // the remaining space is too small to search the whole queue for an item that fits
       }
-      if (item.size <= remaining) {
-        remaining -= item.size;
+      if (size <= remaining) {
+        remaining -= size;
         selected.add(item);
       }
     }
--- a/sidecar/src/main/java/dillcross/membership/LocalHealth.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalHealth.java
@@ -1,21 +1,27 @@
 package dillcross.membership;
 
 /**
- * Lifeguard's local health: how well this process hears. 0 is well; each more makes its own
- * verdicts slower by as much again.
+ * Lifeguard's local health multiplier: evidence that this process is slow or that its own network
+ * loses packets. 0 is healthy. It stretches probe intervals, probe timeouts and suspicion timeouts,
+ * so that an unhealthy member suspects others later.
  */
 final class LocalHealth {
-  private static final int MAX = 8;
+  private static final int MAX_MULTIPLIER = 8;
 
   private int multiplier;
 
-  /** 0 is well. */
+  /** 0 where this process is healthy, up to 8. */
   int multiplier() {
     return multiplier;
   }
 
+  /** The factor by which probe intervals and timeouts are stretched; 1 where it is healthy. */
+  int timeoutFactor() {
+    return 1 + multiplier;
+  }
+
   void worsen(int by) {
-    multiplier = Math.min(MAX, multiplier + by);
+    multiplier = Math.min(MAX_MULTIPLIER, multiplier + by);
   }
 
   void improve() {
--- a/sidecar/src/main/java/dillcross/membership/LocalMember.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalMember.java
@@ -1,30 +1,35 @@
 package dillcross.membership;
 
+import java.util.Collection;
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 
-/** This process's own record and payloads, and the refutation of what others say of it. */
+/** This process's own record and payloads, and the refutation of wrong records about it. */
 final class LocalMember {
+  /** What became of a received record with this member's name. */
+  enum Resolution {
+    /** It was refuted, or needs no refutation. */
+    HANDLED,
+    /** It is about another process, to which this member has left the name. */
+    NAME_YIELDED
+  }
+
+  private static final String COLLISION_MARK = "~"; // between the name and its suffix
+  private static final long SUFFIX_MASK = 0xffffffL; // six hexadecimal digits of the boot
+
   private final GossipQueue gossip;
   private final LocalHealth health;
-  private final MembershipCounters counters;
-  private final Consumer<MemberRecord> mergeOther;
-  private final Map<Integer, Payload> payloads = new TreeMap<>();
+  private final MembershipMetrics metrics;
+  private final Map<Integer, Payload> payloads = new TreeMap<>(); // by type
   private MemberRecord self;
 
-  /** {@code mergeOther} merges the record of another process that has our former name. */
   LocalMember(
-      MemberRecord self,
-      GossipQueue gossip,
-      LocalHealth health,
-      MembershipCounters counters,
-      Consumer<MemberRecord> mergeOther) {
+      MemberRecord self, GossipQueue gossip, LocalHealth health, MembershipMetrics metrics) {
     this.self = self;
     this.gossip = gossip;
     this.health = health;
-    this.counters = counters;
-    this.mergeOther = mergeOther;
+    this.metrics = metrics;
     gossip.add(self);
   }
 
@@ -32,11 +37,12 @@
     return self;
   }
 
-  Map<Integer, Payload> payloads() {
-    return payloads;
+  /** Its payloads, in the order of their types. */
+  Collection<Payload> payloads() {
+    return Collections.unmodifiableCollection(payloads.values());
   }
 
-  /** Takes the place of the last payload of that type. */
+  /** Publishes a payload, which replaces the last one of that type. */
   void publish(int type, byte[] bytes) {
     Payload last = payloads.get(type);
     long version = last == null ? 1 : last.version() + 1;
@@ -45,27 +51,30 @@
     gossip.add(next);
   }
 
-  void markLeft() {
-    self = self.withState(MemberState.LEFT, "");
+  /** Marks this member as left. */
+  void leave() {
+    self = self.withState(MemberState.LEFT, MemberRecord.NOT_SUSPECTED);
   }
 
-  /** What is said of our name. */
-  void onRecord(MemberRecord record) {
+  /** Handles a record with this member's name. */
+  Resolution onRecord(MemberRecord record) {
     boolean isSameAddress = record.address().equals(self.address());
     if (record.boot() == self.boot() && isSameAddress) {
       onOwnRecord(record);
     } else if (isOlder(record, isSameAddress)) {
-      gossip.add(self); // it is of the process that had the name before us
+      gossip.add(self); // about an earlier process of this name, which the own record supersedes
     } else if (isSameAddress || !record.state().isLive()) {
-      raise(record.boot() + 1, 0); // ourselves, before the wall clock went back
+      raise(record.boot() + 1, 0); // about this process's predecessor, before the clock went back
     } else {
-      resolveCollision(record);
+      yieldName();
+      return Resolution.NAME_YIELDED;
     }
+    return Resolution.HANDLED;
   }
 
   private void onOwnRecord(MemberRecord record) {
     if (record.state() != MemberState.ALIVE && record.incarnation() >= self.incarnation()) {
-      counters.refutations++;
+      metrics.onRefutation();
       health.worsen(1);
       raise(self.boot(), record.incarnation() + 1);
     } else if (record.incarnation() > self.incarnation()) {
@@ -80,35 +89,32 @@
     return !isSameAddress && record.address().compareTo(self.address()) < 0;
   }
 
-  /** Two processes have the name: who came first, by its own clock, takes another from now on. */
-  private void resolveCollision(MemberRecord record) {
-    counters.collisions++;
-    String suffix = Long.toHexString(self.boot() & 0xffffffL);
-    String name = self.name().replaceAll("~.*", "") + "~" + suffix;
-    self =
-        new MemberRecord(
-            name,
-            self.address(),
-            self.zone(),
-            self.boot(),
-            self.incarnation() + 1,
-            self.state(),
-            "");
-    gossip.add(self);
-    payloads.replaceAll(
-        (type, payload) ->
-            new Payload(name, payload.boot(), type, payload.version(), payload.bytes()));
+  /** Of two processes with one name, the one with the smaller boot continues under another name. */
+  private void yieldName() {
+    metrics.onNameCollision();
+    String suffix = Long.toHexString(self.boot() & SUFFIX_MASK);
+    String baseName = self.name().replaceAll(COLLISION_MARK + ".*", "");
+    String name = baseName + COLLISION_MARK + suffix;
+    replaceSelf(name, self.boot(), self.incarnation() + 1);
     payloads.values().forEach(gossip::add);
-    mergeOther.accept(record);
   }
 
   private void raise(long boot, long incarnation) {
+    replaceSelf(self.name(), boot, incarnation);
+  }
+
+  private void replaceSelf(String name, long boot, long incarnation) {
     self =
         new MemberRecord(
-            self.name(), self.address(), self.zone(), boot, incarnation, self.state(), "");
+            name,
+            self.address(),
+            self.zone(),
+            boot,
+            incarnation,
+            self.state(),
+            MemberRecord.NOT_SUSPECTED);
     payloads.replaceAll(
-        (type, payload) ->
-            new Payload(payload.origin(), boot, type, payload.version(), payload.bytes()));
+        (type, payload) -> new Payload(name, boot, type, payload.version(), payload.bytes()));
     gossip.add(self);
   }
 }
--- a/sidecar/src/main/java/dillcross/membership/Member.java
+++ b/sidecar/src/main/java/dillcross/membership/Member.java
@@ -1,8 +1,9 @@
 package dillcross.membership;
 
 /**
- * A member as it is held here.
+ * Another member, as one {@link Membership} holds it.
  *
- * @param sinceUs when the record came to be held, in microseconds of this instance's clock
+ * @param record its newest record
+ * @param sinceUs when that record came to be held, in microseconds of this instance's clock
  */
 public record Member(MemberRecord record, long sinceUs) {}
--- a/sidecar/src/main/java/dillcross/membership/MemberRecord.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberRecord.java
@@ -1,12 +1,17 @@
 package dillcross.membership;
 
 /**
- * What somebody says of a member.
+ * One member's state as it is gossiped. Of two records of a name the one with the greater boot
+ * holds, then the one with the greater incarnation, then the one with the later state.
  *
- * @param boot tells a process from the one that had its name before: microseconds since 1970 at its
- *     start, raised where that went back
- * @param incarnation raised by the member alone, to refute what is said of it
- * @param suspectedBy who suspects it; empty otherwise
+ * @param name unique within the fleet
+ * @param address numeric address and port where it receives datagrams
+ * @param zone where it runs; empty for none
+ * @param boot identifies one run of the process: microseconds since 1970 at its start, raised where
+ *     the wall clock went back
+ * @param incarnation raised by the member itself alone, to refute a suspicion of it
+ * @param state what is claimed of it
+ * @param suspectedBy the name of the member that suspects it; empty unless it is suspect
  */
 public record MemberRecord(
     String name,
@@ -16,10 +21,13 @@
     long incarnation,
     MemberState state,
     String suspectedBy) {
-  // Two numbers, the state, the marks around them: more than any encoding takes.
+  /** {@code suspectedBy} of a member that is not suspect. */
+  static final String NOT_SUSPECTED = "";
+
+  // An upper bound of the encoding of the two numbers, the state and the framing.
   private static final int FIXED_BYTES = 32;
 
-  /** Whether it tells something newer than the other, of the same name. */
+  /** Whether it replaces the other record of the same name. */
   boolean supersedes(MemberRecord other) {
     if (boot != other.boot) {
       return boot > other.boot;
@@ -35,12 +43,12 @@
     return new MemberRecord(name, address, zone, boot, incarnation, newState, newSuspectedBy);
   }
 
-  /** Whether both speak of the same process in the same incarnation. */
+  /** Whether both are about the same run of the process in the same incarnation. */
   boolean isSameIncarnation(MemberRecord other) {
     return boot == other.boot && incarnation == other.incarnation;
   }
 
-  /** Bytes that it takes in a datagram, at the most. */
+  /** An upper bound of its bytes in a datagram. */
   int size() {
     return FIXED_BYTES + name.length() + address.length() + zone.length() + suspectedBy.length();
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberState.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberState.java
@@ -1,17 +1,20 @@
 package dillcross.membership;
 
-/** What is held of a member; of two records of one incarnation the later state here holds. */
+/**
+ * The state of a member. Of two records of one incarnation, the one whose state comes later in this
+ * order supersedes the other.
+ */
 public enum MemberState {
-  /** It takes part. */
+  /** It answers probes, as far as is known. */
   ALIVE,
-  /** Somebody did not get an answer from it; it may refute that. */
+  /** A probe of it failed; it may refute the suspicion until that times out. */
   SUSPECT,
-  /** It did not refute the suspicion in time. */
+  /** It did not refute a suspicion in time. */
   DEAD,
-  /** It said good-bye. */
+  /** It announced that it shuts down. */
   LEFT;
 
-  /** Whether it takes part, as far as is known. */
+  /** Whether it is a member as far as is known: alive or suspect. */
   public boolean isLive() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberTable.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberTable.java
@@ -1,6 +1,7 @@
 package dillcross.membership;
 
 import java.util.Collection;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -9,30 +10,28 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** All other members that are held, in the order in which they were first heard of. */
+/** All other members that are held, in the order in which they were added; bounded in size. */
 final class MemberTable {
   private final int maxMembers;
-  private final MembershipCounters counters;
-  private final Map<String, MemberEntry> entries = new LinkedHashMap<>();
+  private final Map<String, MemberEntry> entries = new LinkedHashMap<>(); // by name
   private final Set<String> liveAddresses = new HashSet<>();
   private int liveCount;
 
-  MemberTable(int maxMembers, MembershipCounters counters) {
+  MemberTable(int maxMembers) {
     this.maxMembers = maxMembers;
-    this.counters = counters;
   }
 
-  /** The entry of that name; null where there is none. */
-  MemberEntry find(String name) {
-    return entries.get(name);
+  /** The entry of that name; empty where there is none. */
+  Optional<MemberEntry> find(String name) {
+    return Optional.ofNullable(entries.get(name));
   }
 
   Collection<MemberEntry> all() {
-    return entries.values();
+    return Collections.unmodifiableCollection(entries.values());
   }
 
   Collection<String> names() {
-    return entries.keySet();
+    return Collections.unmodifiableCollection(entries.keySet());
   }
 
   int size() {
@@ -40,11 +39,11 @@
   }
 
   void add(MemberEntry entry) {
-    entries.put(entry.record.name(), entry);
+    entries.put(entry.record().name(), entry);
   }
 
   void remove(MemberEntry entry) {
-    entries.remove(entry.record.name());
+    entries.remove(entry.record().name());
   }
 
   /** Whether it holds as many members as it may. */
@@ -52,27 +51,19 @@
     return entries.size() >= maxMembers;
   }
 
-  /** The one that is dead or has left for the longest; empty where all are live, which counts. */
-  Optional<MemberEntry> oldestGone() {
-    Optional<MemberEntry> oldest =
-        entries.values().stream()
-            .filter(entry -> !entry.isLive())
-            .min(Comparator.comparingLong(entry -> entry.sinceUs));
-    if (oldest.isEmpty()) {
-      counters.refusedMembers++;
-    }
-    return oldest;
+  /** The member that has been dead or left for the longest; empty where all are live. */
+  Optional<MemberEntry> longestNotLive() {
+    return entries.values().stream()
+        .filter(entry -> !entry.isLive())
+        .min(Comparator.comparingLong(MemberEntry::sinceUs));
   }
 
   /** The records of live members. */
   List<MemberRecord> liveRecords() {
-    return entries.values().stream()
-        .map(entry -> entry.record)
-        .filter(record -> record.state().isLive())
-        .toList();
+    return entries.values().stream().filter(MemberEntry::isLive).map(MemberEntry::record).toList();
   }
 
-  /** Counts the live members anew. */
+  /** Brings {@link #liveCount} and {@link #hasLiveAddress} up to date with the entries. */
   void recountLive() {
     liveAddresses.clear();
     List<MemberRecord> live = liveRecords();
@@ -88,10 +79,12 @@
     return liveAddresses.contains(address);
   }
 
-  /** What we hold against one who spoke to us, for it to refute; empty where nothing. */
-  Optional<MemberRecord> contradiction(MemberRecord speaker) {
-    MemberEntry entry = entries.get(speaker.name());
-    boolean isNewer = entry != null && entry.record.supersedes(speaker);
-    return isNewer ? Optional.of(entry.record) : Optional.empty();
+  /**
+   * The held record that supersedes a sender's own, for it to refute; empty where there is none.
+   */
+  Optional<MemberRecord> newerThan(MemberRecord senderRecord) {
+    return find(senderRecord.name())
+        .map(MemberEntry::record)
+        .filter(held -> held.supersedes(senderRecord));
   }
 }
--- a/sidecar/src/main/java/dillcross/membership/Membership.java
+++ b/sidecar/src/main/java/dillcross/membership/Membership.java
@@ -1,70 +1,67 @@
 package dillcross.membership;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Random;
 
 /**
- * Which other members live: SWIM's probes, suspicion and incarnations with Lifeguard's local
- * health, without leader or consensus. No I/O, no clock, no threads. Inputs carry the time in
- * microseconds of one clock that never goes back; then pull {@link #next} until it is null and send
- * each packet. {@link #nextDueUs} says when {@link #onTime} is wanted again; called much later, it
- * takes itself for paused. docs/membership.md has the protocol and its bounds.
+ * The members of a fleet by SWIM with Lifeguard's local health: random probes, indirect probes,
+ * suspicions that the accused can refute by a new incarnation, gossip and anti-entropy. There is no
+ * leader and no consensus.
+ *
+ * <p>Performs no I/O, reads no clock, starts no thread and is not thread-safe. Every input carries
+ * the time in microseconds of one clock that never goes back. After an input, take packets by
+ * {@link #next} until it returns null, and send them; call {@link #onTime} at {@link #nextDueUs}.
+ * docs/membership.md describes the protocol and its bounds.
  */
 public final class Membership {
-  private static final int DIGEST_INTERVALS = 10; // between two digests
-  private static final int RECONNECT_INTERVALS = 4; // between two tries to reach one who was lost
-  private static final int DEAD_INTERVALS = 600; // that the dead are remembered
-  private static final double START_JITTER = 0.2; // of an interval: all may start at once
+  private static final int MAX_LEAVE_PACKETS = 6;
 
-  private final MembershipSettings settings;
   private final Random random;
-  private final MembershipCounters counters = new MembershipCounters();
-  private final GossipQueue gossip = new GossipQueue();
+  private final long intervalUs;
+  private final MembershipMetrics metrics = new MembershipMetrics();
   private final LocalHealth health = new LocalHealth();
   private final MemberTable table;
-  private final RecordMerger merger;
   private final LocalMember local;
+  private final RecordMerger merger;
+  private final MemberExpiry expiry;
   private final Outbox outbox;
   private final FailureDetector detector;
   private final AntiEntropy antiEntropy;
   private final Reconnector reconnector;
-  private long now;
-  private long expectedUs = Long.MAX_VALUE; // when we asked to be called
-  private long probeUs;
-  private long digestUs;
-  private long reconnectUs;
+  private final PauseDetector pauseDetector;
+  private final ProtocolSchedule schedule;
+  private long currentUs;
   private boolean hasLeft;
 
   /**
    * A member that knows no others yet.
    *
-   * @param seed of all that is drawn by chance
+   * @param seed of all random choices
+   * @param nowUs the present time, in microseconds
    * @param self its own record, in incarnation 0
+   * @param settings timing and bounds
    */
   public Membership(long seed, long nowUs, MemberRecord self, MembershipSettings settings) {
-    this.settings = settings;
     random = new Random(seed);
-    table = new MemberTable(settings.maxMembers(), counters);
-    ArrayDeque<String> probeRound = new ArrayDeque<>();
-    SuspicionTimeout suspicion = new SuspicionTimeout(settings.intervalUs(), table, health);
-    merger = new RecordMerger(table, gossip, suspicion, probeRound::add);
-    local = new LocalMember(self, gossip, health, counters, merger::merge);
-    merger.setLocal(local);
-    outbox = new Outbox(settings, local::self, table, gossip, counters, nowUs);
-    detector =
-        new FailureDetector(
-            settings, random, table, local, health, merger, outbox, counters, probeRound);
-    antiEntropy = new AntiEntropy(settings, table, local, outbox);
+    intervalUs = settings.intervalUs();
+    currentUs = nowUs;
+    GossipQueue gossip = new GossipQueue();
+    table = new MemberTable(settings.maxMembers());
+    local = new LocalMember(self, gossip, health, metrics);
+    ProbeTargets targets = new ProbeTargets(table, local, random);
+    SuspicionTimeout suspicionTimeout = new SuspicionTimeout(intervalUs, table, health);
+    merger = new RecordMerger(table, local, gossip, suspicionTimeout, metrics, targets::add);
+    expiry = new MemberExpiry(settings, table, merger);
+    outbox = new Outbox(settings, local, table, gossip, metrics, nowUs);
+    detector = new FailureDetector(settings, table, targets, health, merger, outbox, metrics);
+    antiEntropy = new AntiEntropy(settings, random, table, local, outbox);
     reconnector = new Reconnector(settings, random, table, local, outbox);
-    now = nowUs;
-    long intervalUs = settings.intervalUs();
-    probeUs = nowUs + (long) (START_JITTER * intervalUs * random.nextDouble());
-    digestUs = probeUs + DIGEST_INTERVALS * intervalUs;
-    reconnectUs = probeUs;
+    pauseDetector = new PauseDetector(settings.timeoutUs() / 2);
+    schedule = new ProtocolSchedule(intervalUs, random, nowUs);
   }
 
   // Inputs
@@ -72,17 +69,17 @@
   /** A packet has arrived. */
   public void onPacket(long nowUs, Packet packet) {
     advanceTo(nowUs);
-    counters.received++;
+    metrics.onPacketReceived();
     if (hasLeft || isOwnPacket(packet.sender())) {
       return;
     }
     boolean wasAlone = table.liveCount() == 0;
-    merger.merge(packet.sender());
-    packet.records().forEach(merger::merge);
+    merger.merge(packet.sender(), currentUs);
+    packet.records().forEach(record -> merger.merge(record, currentUs));
     packet.payloads().forEach(merger::merge);
     handle(packet);
-    if (wasAlone && table.liveCount() > 0) { // the first that we hear of: we want what it holds
-      outbox.sendDigest(packet.sender().address(), antiEntropy.digest());
+    if (wasAlone && table.liveCount() > 0) { // joined: ask for all members that the sender knows
+      antiEntropy.sendDigest(packet.sender().address());
     }
   }
 
@@ -94,181 +91,152 @@
   }
 
   private void handle(Packet packet) {
-    String sender = packet.sender().address();
     switch (packet.kind()) {
-      case PING -> {
-        Optional<MemberRecord> contradiction = table.contradiction(packet.sender());
-        List<MemberRecord> records = contradiction.map(List::of).orElse(List.of());
-        outbox.reply(sender, Packet.Kind.ACK, packet.sequence(), null, records);
-      }
-      case PING_REQUEST -> detector.onPingRequest(packet, now);
+      case PING -> onPing(packet);
+      case PING_REQUEST -> detector.onPingRequest(packet, currentUs);
       case ACK -> detector.onAck(packet);
       case NACK -> detector.onNack(packet);
-      case DIGEST, DELTA -> antiEntropy.onDigest(sender, packet);
+      case DIGEST, DELTA -> antiEntropy.onDigest(packet);
     }
   }
 
-  /** Time has passed. */
+  /** Answers with what is held against the sender, if anything, so that it can refute that. */
+  private void onPing(Packet packet) {
+    List<MemberRecord> records = table.newerThan(packet.sender()).stream().toList();
+    outbox.replyAck(packet.sender().address(), packet.sequence(), records);
+  }
+
+  /** Time has passed: does the periodic work that is due. */
   public void onTime(long nowUs) {
     advanceTo(nowUs);
     if (hasLeft) {
-      expectedUs = Long.MAX_VALUE;
+      pauseDetector.expectCall(PauseDetector.NO_CALL);
       return;
     }
-    detector.expire(now);
-    expireMembers();
-    long intervalUs = settings.intervalUs();
-    if (now >= probeUs) {
-      double jitter = 0.9 + 0.2 * random.nextDouble();
-      probeUs = now + (long) (intervalUs * (1 + health.multiplier()) * jitter);
-      detector.probeNext(now);
+    detector.expire(currentUs);
+    expiry.expire(currentUs);
+    if (schedule.isProbeDue(currentUs)) {
+      schedule.scheduleProbe(currentUs, health.timeoutFactor());
+      detector.probeNext(currentUs);
     }
-    if (now >= reconnectUs) {
-      int intervals = table.liveCount() == 0 ? 1 : RECONNECT_INTERVALS;
-      reconnectUs = now + (long) (intervalUs * intervals * (0.5 + random.nextDouble()));
-      reconnector.contactLost();
-    }
-    if (now >= digestUs) {
-      digestUs = now + (long) (DIGEST_INTERVALS * intervalUs * (0.5 + random.nextDouble()));
-      sendDigest();
-    }
-    expectedUs = nextTimerUs();
-  }
-
-  private void expireMembers() {
-    for (MemberEntry entry : List.copyOf(table.all())) {
-      if (entry.record.state() == MemberState.SUSPECT && now >= entry.deadUs) {
-        counters.deaths++;
-        merger.update(entry, entry.record.withState(MemberState.DEAD, ""));
-      } else if (!entry.isLive() && now - entry.sinceUs >= deadKeptUs()) {
-        merger.forget(entry);
-      }
+    if (schedule.isReconnectDue(currentUs)) {
+      schedule.scheduleReconnect(currentUs, table.liveCount() == 0);
+      reconnector.pingLost();
     }
-  }
-
-  private long deadKeptUs() {
-    return DEAD_INTERVALS * settings.intervalUs();
-  }
-
-  private void sendDigest() {
-    List<MemberRecord> others = table.liveRecords();
-    if (!others.isEmpty()) {
-      MemberRecord other = others.get(random.nextInt(others.size()));
-      outbox.sendDigest(other.address(), antiEntropy.digest());
+    if (schedule.isDigestDue(currentUs)) {
+      schedule.scheduleDigest(currentUs);
+      antiEntropy.sendDigestToAny();
     }
+    pauseDetector.expectCall(nextTimerUs());
   }
 
-  /** Says good-bye to some, who gossip it. Nothing is answered from here on. */
+  /** Announces to some live members that this one leaves; from then on it answers nothing. */
   public void leave(long nowUs) {
     advanceTo(nowUs);
     if (hasLeft) {
       return;
     }
-    local.markLeft();
+    local.leave();
     List<MemberRecord> others = new ArrayList<>(table.liveRecords());
     Collections.shuffle(others, random);
-    others.stream()
-        .limit(2 * FailureDetector.HELPERS)
-        .forEach(other -> outbox.send(other.address(), Packet.Kind.ACK, 0, null, List.of()));
+    others.stream().limit(MAX_LEAVE_PACKETS).forEach(other -> outbox.sendLeave(other.address()));
     hasLeft = true;
   }
 
   /**
-   * Gossips a message of another part; it takes the place of the last one of its type.
+   * Disseminates a payload of another subsystem to all members; it replaces the last one of its
+   * type.
    *
    * @throws IllegalArgumentException if the type or the size is out of range, see {@link Payload}
    */
   public void publish(long nowUs, int type, byte[] bytes) {
     advanceTo(nowUs);
-    if (type < 0 || type >= Payload.TYPES || bytes.length > Payload.MAX_BYTES) {
-      throw new IllegalArgumentException("type " + type + " of " + bytes.length + " bytes");
+    if (!Payload.isValid(type, bytes.length)) {
+      throw new IllegalArgumentException(
+          "payload out of range: type " + type + ", " + bytes.length + " bytes");
     }
     local.publish(type, bytes);
   }
 
   // Outputs
 
-  /** The next packet to send; null if there is none. */
+  /** Takes the next packet to send; null if there is none. */
   public OutboundPacket next() {
     return outbox.poll();
   }
 
-  /** When {@link #onTime} has to be called at the latest, by the clock of the inputs. */
+  /**
+   * When {@link #onTime} has to be called, in microseconds of the inputs' clock; {@link
+   * Long#MAX_VALUE} where it has left and needs no further call.
+   */
   public long nextDueUs() {
-    boolean isUnscheduled = expectedUs == Long.MAX_VALUE && !hasLeft;
-    return outbox.isEmpty() && !isUnscheduled ? expectedUs : now;
+    long expectedUs = pauseDetector.expectedCallUs();
+    boolean isUnscheduled = expectedUs == PauseDetector.NO_CALL && !hasLeft;
+    return outbox.isEmpty() && !isUnscheduled ? expectedUs : currentUs;
   }
 
-  /** Our own record. */
+  /** This member's own record. */
   public MemberRecord self() {
     return local.self();
   }
 
-  /** All others that are held, in the order in which they were first heard of. */
+  /** All other members that are held, dead ones included, in the order of their first record. */
   public List<Member> members() {
-    return table.all().stream().map(entry -> new Member(entry.record, entry.sinceUs)).toList();
+    return table.all().stream().map(entry -> new Member(entry.record(), entry.sinceUs())).toList();
   }
 
-  /** How many others are alive or suspect. */
+  /** How many other members are alive or suspect. */
   public int liveCount() {
     return table.liveCount();
   }
 
-  /** Whether a live member is at that address. */
+  /** Whether a live member has that numeric address and port. */
   public boolean hasLiveAddress(String address) {
     return table.hasLiveAddress(address);
   }
 
-  /** The newest payload of that type from another; empty where there is none. */
+  /** The newest payload of that type from another member; empty where there is none. */
   public Optional<Payload> payload(String origin, int type) {
-    MemberEntry entry = table.find(origin);
-    return entry == null ? Optional.empty() : Optional.ofNullable(entry.payloads.get(type));
+    return table.find(origin).flatMap(entry -> entry.payload(type));
   }
 
-  /** 0 is well; each more makes our own verdicts slower by as much again. */
+  /** The local health multiplier: 0 is healthy, up to 8; see {@link LocalHealth}. */
   public int localHealth() {
     return health.multiplier();
   }
 
   /** What was counted since the start. */
   public MembershipCounters counters() {
-    return counters;
+    return metrics.snapshot();
   }
 
   // Time
 
   private void advanceTo(long nowUs) {
-    now = Math.max(now, nowUs);
-    merger.setNow(now);
-    long lateUs = expectedUs == Long.MAX_VALUE ? 0 : now - expectedUs;
-    if (lateUs > settings.timeoutUs() / 2) {
-      onPause(lateUs);
-    }
-    outbox.refill(now);
+    currentUs = Math.max(currentUs, nowUs);
+    pauseDetector.pauseUs(currentUs).ifPresent(this::onPause);
+    outbox.refillBudget(currentUs);
   }
 
   /**
-   * A process that was paused or starved finds all its timers run out at once. What it did not hear
-   * meanwhile says nothing of others, so all that waits for an answer waits on, and it judges
-   * slowly for a while. Guards too against a clock that is told late.
+   * After a pause all timers expire at once, and answers may have been lost here. That says nothing
+   * about other members, so own probes end without a verdict, suspicions get more time, and the
+   * local health is worse for a while.
    */
-  private void onPause(long lateUs) {
-    counters.pauses++;
-    health.worsen(1 + (int) (lateUs / settings.intervalUs()));
+  private void onPause(long pauseUs) {
+    metrics.onPause();
+    health.worsen(1 + (int) (pauseUs / intervalUs));
     detector.dropOwnProbes();
-    table.all().forEach(entry -> entry.deadUs += lateUs + settings.intervalUs());
-    probeUs = now + (long) (settings.intervalUs() * random.nextDouble());
-    expectedUs = now;
+    expiry.postponeSuspicions(pauseUs + intervalUs);
+    schedule.scheduleProbeAfterPause(currentUs);
+    pauseDetector.expectCall(currentUs);
   }
 
   private long nextTimerUs() {
-    long dueUs = Math.min(probeUs, Math.min(digestUs, reconnectUs));
-    dueUs = Math.min(dueUs, detector.nextDueUs().orElse(Long.MAX_VALUE));
-    for (MemberEntry entry : table.all()) {
-      if (entry.record.state() == MemberState.SUSPECT) {
-        dueUs = Math.min(dueUs, entry.deadUs);
-      }
-    }
-    return dueUs;
+    long dueUs = schedule.nextDueUs();
+    OptionalLong probeDueUs = detector.nextDueUs();
+    OptionalLong suspicionDueUs = expiry.nextDueUs();
+    dueUs = Math.min(dueUs, probeDueUs.orElse(Long.MAX_VALUE));
+    return Math.min(dueUs, suspicionDueUs.orElse(Long.MAX_VALUE));
   }
 }
--- a/sidecar/src/main/java/dillcross/membership/MembershipSettings.java
+++ b/sidecar/src/main/java/dillcross/membership/MembershipSettings.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * The bounds and times of a membership.
+ * The timing and the bounds of a {@link Membership}.
  *
- * @param seeds addresses that are contacted until somebody answers, and again when nobody there is
- *     known any more
- * @param intervalUs between two probes, in microseconds
- * @param timeoutUs for an answer until others are asked to probe, in microseconds; less than half
- *     the interval
- * @param maxMembers that are kept, the remembered dead among them
- * @param datagramBytes of the largest packet, the name of the fleet not counted
- * @param bytesPerSecond that are sent in the mean, at the most
+ * @param seeds numeric addresses and ports that are pinged in order to join; also later, while no
+ *     live member is known at them
+ * @param intervalUs between two probes of a healthy member, in microseconds
+ * @param timeoutUs from a ping without answer to the indirect probe, in microseconds; less than
+ *     half the interval
+ * @param maxMembers other members that are held, dead ones included
+ * @param datagramBytes of the largest packet, without the name of the fleet
+ * @param bytesPerSecond the byte budget: replies are suppressed above it
  */
 public record MembershipSettings(
     List<String> seeds,
@@ -21,7 +21,7 @@
     int maxMembers,
     int datagramBytes,
     long bytesPerSecond) {
-  /** Copies the list of seeds. */
+  /** Makes an immutable copy of the seeds. */
   public MembershipSettings {
     seeds = List.copyOf(seeds);
   }
--- a/sidecar/src/main/java/dillcross/membership/OutboundPacket.java
+++ b/sidecar/src/main/java/dillcross/membership/OutboundPacket.java
@@ -3,6 +3,7 @@
 /**
  * A packet to send.
  *
- * @param receiver a numeric address and a port
+ * @param receiver numeric address and port
+ * @param packet what to send
  */
 public record OutboundPacket(String receiver, Packet packet) {}
--- a/sidecar/src/main/java/dillcross/membership/Outbox.java
+++ b/sidecar/src/main/java/dillcross/membership/Outbox.java
@@ -3,118 +3,140 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Supplier;
 
-/** Packets to send, within a budget of bytes; gossip rides along on each as far as that goes. */
+/**
+ * Builds packets and queues them for sending. Each carries as much gossip as the datagram size and
+ * the byte budget allow. Replies are suppressed while the budget is overdrawn; other packets are
+ * not.
+ */
 final class Outbox {
-  private static final int GOSSIP_FACTOR =
-      3; // times the logarithm of the size that an item is sent
-  private static final int[] NO_DIGEST = {};
-  private static final double MICROS_PER_SECOND = 1e6;
+  private static final int GOSSIP_FACTOR = 3; // transmissions of an item, per log2 of the members
+  private static final long NO_SEQUENCE = 0;
 
   private final MembershipSettings settings;
-  private final Supplier<MemberRecord> self;
+  private final LocalMember local;
   private final MemberTable table;
   private final GossipQueue gossip;
-  private final MembershipCounters counters;
-  private final ArrayDeque<OutboundPacket> ready = new ArrayDeque<>();
-  private final double bytesPerUs;
-  private double budget;
-  private long refilledUs;
+  private final MembershipMetrics metrics;
+  private final SendBudget budget;
+  private final ArrayDeque<OutboundPacket> queue = new ArrayDeque<>();
 
   Outbox(
       MembershipSettings settings,
-      Supplier<MemberRecord> self,
+      LocalMember local,
       MemberTable table,
       GossipQueue gossip,
-      MembershipCounters counters,
+      MembershipMetrics metrics,
       long nowUs) {
     this.settings = settings;
-    this.self = self;
+    this.local = local;
     this.table = table;
     this.gossip = gossip;
-    this.counters = counters;
-    bytesPerUs = settings.bytesPerSecond() / MICROS_PER_SECOND;
-    budget = settings.bytesPerSecond();
-    refilledUs = nowUs;
+    this.metrics = metrics;
+    budget = new SendBudget(settings.bytesPerSecond(), nowUs);
   }
 
-  /** Adds what has accrued to the budget; one second's worth at the most. */
-  void refill(long nowUs) {
-    double accrued = (nowUs - refilledUs) * bytesPerUs;
-    budget = Math.min(MICROS_PER_SECOND * bytesPerUs, budget + accrued);
-    refilledUs = nowUs;
+  /** Adds what has accrued to the byte budget. */
+  void refillBudget(long nowUs) {
+    budget.refill(nowUs);
   }
 
   boolean hasBudget() {
-    return budget > 0;
+    return budget.availableBytes() > 0;
   }
 
-  /** The next packet to send; null if there is none. */
+  /** Takes the next packet to send; null if there is none. */
   OutboundPacket poll() {
-    return ready.poll();
+    return queue.poll();
   }
 
   boolean isEmpty() {
-    return ready.isEmpty();
-  }
-
-  /**
-   * Sends a reply; suppressed while others make us send more than we may.
-   *
-   * @param about null for nobody
-   */
-  void reply(
-      String receiver,
-      Packet.Kind kind,
-      long sequence,
-      MemberRecord about,
-      List<MemberRecord> records) {
+    return queue.isEmpty();
+  }
+
+  /** Pings a member; {@code records} are those that it may want to refute. */
+  void sendPing(String receiver, long sequence, List<MemberRecord> records) {
+    send(receiver, packet(Packet.Kind.PING, sequence, null, records));
+  }
+
+  /** Asks a helper to probe the target. */
+  void sendPingRequest(String helper, long sequence, MemberRecord target) {
+    send(helper, packet(Packet.Kind.PING_REQUEST, sequence, target, List.of()));
+  }
+
+  /** Announces by the sender's record that this member leaves. */
+  void sendLeave(String receiver) {
+    send(receiver, packet(Packet.Kind.ACK, NO_SEQUENCE, null, List.of()));
+  }
+
+  /** Sends the digest of this member's table. */
+  void sendDigest(String receiver, int[] digest) {
+    MemberRecord self = local.self();
+    send(
+        receiver,
+        new Packet(Packet.Kind.DIGEST, NO_SEQUENCE, self, null, digest, List.of(), List.of()));
+  }
+
+  /** Answers a ping; {@code records} are those that the receiver may want to refute. */
+  void replyAck(String receiver, long sequence, List<MemberRecord> records) {
+    reply(receiver, packet(Packet.Kind.ACK, sequence, null, records));
+  }
+
+  /** Answers a ping request whose target has answered. */
+  void replyRelayedAck(
+      String receiver, long sequence, MemberRecord target, List<MemberRecord> records) {
+    reply(receiver, packet(Packet.Kind.ACK, sequence, target, records));
+  }
+
+  /** Answers a ping request whose target has not answered. */
+  void replyNack(String receiver, long sequence) {
+    reply(receiver, packet(Packet.Kind.NACK, sequence, null, List.of()));
+  }
+
+  private Packet packet(
+      Packet.Kind kind, long sequence, MemberRecord about, List<MemberRecord> records) {
+    return new Packet(kind, sequence, local.self(), about, Packet.NO_DIGEST, records, List.of());
+  }
+
+  private void reply(String receiver, Packet packet) {
     if (hasBudget()) {
-      send(receiver, kind, sequence, about, NO_DIGEST, records);
+      send(receiver, packet);
     } else {
-      counters.suppressedReplies++;
+      metrics.onReplySuppressed();
     }
   }
 
-  /** Sends a packet with no digest. */
-  void send(
-      String receiver,
-      Packet.Kind kind,
-      long sequence,
-      MemberRecord about,
-      List<MemberRecord> records) {
-    send(receiver, kind, sequence, about, NO_DIGEST, records);
+  private void send(String receiver, Packet packet) {
+    double allowed = Math.min(settings.datagramBytes(), Math.max(0, budget.availableBytes()));
+    int space = Math.max(0, (int) allowed - packet.size());
+    GossipQueue.Batch batch = gossip.take(space, transmissionsPerItem());
+    sendWithoutGossip(receiver, withGossip(packet, batch));
   }
 
-  /** Sends our digest. */
-  void sendDigest(String receiver, int[] digest) {
-    send(receiver, Packet.Kind.DIGEST, 0, null, digest, List.of());
-  }
-
-  private void send(
-      String receiver,
-      Packet.Kind kind,
-      long sequence,
-      MemberRecord about,
-      int[] digest,
-      List<MemberRecord> first) {
-    List<MemberRecord> records = new ArrayList<>(first);
-    List<Payload> payloads = new ArrayList<>();
-    Packet bare = new Packet(kind, sequence, self.get(), about, digest, records, payloads);
-    int allowed = (int) Math.min(settings.datagramBytes(), Math.max(0, budget));
-    int space = allowed - bare.size();
-    int times = GOSSIP_FACTOR * (int) Math.ceil(Math.log(table.liveCount() + 2.0) / Math.log(2));
-    gossip.take(Math.max(0, space), times, records, payloads);
-    put(receiver, new Packet(kind, sequence, self.get(), about, digest, records, payloads));
-  }
-
-  /** Sends a packet as it is. */
-  void put(String receiver, Packet packet) {
+  /** SWIM: an item reaches all members with high probability after O(log n) transmissions. */
+  private int transmissionsPerItem() {
+    int members = table.liveCount() + 1;
+    return GOSSIP_FACTOR * (int) Math.ceil(Math.log(members + 1.0) / Math.log(2));
+  }
+
+  private static Packet withGossip(Packet packet, GossipQueue.Batch batch) {
+    List<MemberRecord> records = new ArrayList<>(packet.records());
+    records.addAll(batch.records());
+    return new Packet(
+        packet.kind(),
+        packet.sequence(),
+        packet.sender(),
+        packet.about(),
+        packet.digest(),
+        records,
+        batch.payloads());
+  }
+
+  /** Queues a packet as it is. */
+  void sendWithoutGossip(String receiver, Packet packet) {
     int size = packet.size();
-    budget -= size;
-    counters.sent++;
-    counters.bytes += size;
-    ready.add(new OutboundPacket(receiver, packet));
+    budget.spend(size);
+    metrics.onPacketSent(size);
+    queue.add(new OutboundPacket(receiver, packet));
   }
 }
--- a/sidecar/src/main/java/dillcross/membership/Packet.java
+++ b/sidecar/src/main/java/dillcross/membership/Packet.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * One datagram.
+ * One datagram of the protocol.
  *
- * @param sequence ties an answer to what it answers
+ * @param kind what it asks for or answers
+ * @param sequence number of the probe that it belongs to, chosen by the requester; 0 for none
  * @param sender the sender's own record
- * @param about who is to be pinged, of a {@code PING_REQUEST}, or who answered; null for nobody
- * @param digest of the sender's member table, by bucket; empty for none
- * @param records of members
- * @param payloads of members
+ * @param about the target of a {@code PING_REQUEST}, or the target that answered a relayed probe;
+ *     null in all other packets
+ * @param digest of the sender's member table, one sum a bucket; empty for none; not to be changed
+ * @param records gossiped records of members
+ * @param payloads gossiped payloads of members
  */
 public record Packet(
     Kind kind,
@@ -20,26 +22,29 @@
     int[] digest,
     List<MemberRecord> records,
     List<Payload> payloads) {
-  /** What it asks for, or answers. The order is that of the wire. */
+  /** What a packet asks for or answers. The wire carries the ordinal, so the order is fixed. */
   public enum Kind {
-    /** Answer with ACK. */
+    /** Probes the receiver, which answers with ACK. */
     PING,
-    /** Ping {@code about} for me: ACK if it answers, NACK if it does not. */
+    /** Asks a helper to probe {@code about}: it answers ACK or, without an answer, NACK. */
     PING_REQUEST,
-    /** Answers a PING, or a PING_REQUEST whose ping was answered. */
+    /** Answers a PING, or a PING_REQUEST whose target has answered. */
     ACK,
-    /** Answers a PING_REQUEST whose ping was not answered. */
+    /** Answers a PING_REQUEST whose target has not answered. */
     NACK,
-    /** Here is my digest: send me where yours differs, and yours. */
+    /** Anti-entropy: carries the sender's digest and asks for what differs. */
     DIGEST,
-    /** What differs; with a digest it wants the same back. */
+    /** Anti-entropy: records that differ; with a digest it asks for the same in return. */
     DELTA
   }
 
-  private static final int FIXED_BYTES = 48; // the frame with the name of the fleet
-  private static final int BYTES_PER_BUCKET = 6;
+  /** The digest of a packet that carries none. */
+  static final int[] NO_DIGEST = {};
 
-  /** Bytes that it takes at the most, but for the name of the fleet. */
+  private static final int FIXED_BYTES = 48; // an upper bound of numbers and framing
+  private static final int BYTES_PER_BUCKET = 6; // likewise, of one sum of the digest
+
+  /** An upper bound of its bytes, without the name of the fleet that the codec adds. */
   public int size() {
     return FIXED_BYTES
         + sender.size()
--- a/sidecar/src/main/java/dillcross/membership/Reconnector.java
+++ b/sidecar/src/main/java/dillcross/membership/Reconnector.java
@@ -6,10 +6,14 @@
 import java.util.Random;
 
 /**
- * Contacts those who were lost, as they may be there again and nobody else would ask: a part that
- * was cut off for long, or a seed.
+ * Pings members declared dead and seeds without a live member. This joins a fleet at the start, and
+ * heals a partition that lasted until both sides had declared each other dead.
  */
 final class Reconnector {
+  private static final int MAX_PINGS = 1;
+  private static final int MAX_PINGS_WHILE_ALONE = 6;
+  private static final long NO_SEQUENCE = 0; // the answers end no probe
+
   private final MembershipSettings settings;
   private final Random random;
   private final MemberTable table;
@@ -29,12 +33,12 @@
     this.outbox = outbox;
   }
 
-  /** Pings some that were lost; more while nobody is known. */
-  void contactLost() {
+  /** Pings some of them, chosen at random; more while no live member is known. */
+  void pingLost() {
     List<String> lost = new ArrayList<>();
     for (MemberEntry entry : table.all()) {
-      if (entry.record.state() == MemberState.DEAD) {
-        lost.add(entry.record.address());
+      if (entry.isDead()) {
+        lost.add(entry.record().address());
       }
     }
     for (String seed : settings.seeds()) {
@@ -43,17 +47,18 @@
       }
     }
     Collections.shuffle(lost, random);
-    int wanted = table.liveCount() == 0 ? 2 * FailureDetector.HELPERS : 1;
+    int wanted = table.liveCount() == 0 ? MAX_PINGS_WHILE_ALONE : MAX_PINGS;
     for (String address : lost.subList(0, Math.min(wanted, lost.size()))) {
-      outbox.send(address, Packet.Kind.PING, 0, null, deadRecordAt(address));
+      outbox.sendPing(address, NO_SEQUENCE, deadRecordAt(address));
     }
   }
 
-  /** For it to refute. */
+  /** The record of the dead member at that address, for it to refute; else empty. */
   private List<MemberRecord> deadRecordAt(String address) {
     return table.all().stream()
-        .map(entry -> entry.record)
-        .filter(record -> record.state() == MemberState.DEAD && record.address().equals(address))
+        .filter(MemberEntry::isDead)
+        .map(MemberEntry::record)
+        .filter(record -> record.address().equals(address))
         .limit(1)
         .toList();
   }
--- a/sidecar/src/main/java/dillcross/membership/RecordMerger.java
+++ b/sidecar/src/main/java/dillcross/membership/RecordMerger.java
@@ -3,66 +3,74 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Merges what is heard of members into the table, by SWIM's incarnations and suspicion. */
+/**
+ * Merges received records and payloads into the table by SWIM's rules of incarnations and
+ * suspicion, and queues for gossip what was new.
+ */
 final class RecordMerger {
-  private static final long MAX_COUNTER = 1L << 60; // boots and incarnations beyond are ignored
+  // Records beyond it are ignored, as a member that exceeds them to refute them would overflow.
+  private static final long MAX_BOOT_OR_INCARNATION = 1L << 60;
 
   private final MemberTable table;
+  private final LocalMember local;
   private final GossipQueue gossip;
-  private final SuspicionTimeout suspicion;
+  private final SuspicionTimeout suspicionTimeout;
+  private final MembershipMetrics metrics;
   private final Consumer<String> onJoined;
-  private LocalMember local; // set once, as it merges records too
-  private long now;
 
   /** {@code onJoined} is called with the name of each new member. */
   RecordMerger(
       MemberTable table,
+      LocalMember local,
       GossipQueue gossip,
-      SuspicionTimeout suspicion,
+      SuspicionTimeout suspicionTimeout,
+      MembershipMetrics metrics,
       Consumer<String> onJoined) {
     this.table = table;
+    this.local = local;
     this.gossip = gossip;
-    this.suspicion = suspicion;
+    this.suspicionTimeout = suspicionTimeout;
+    this.metrics = metrics;
     this.onJoined = onJoined;
   }
 
-  void setLocal(LocalMember newLocal) {
-    local = newLocal;
-  }
-
-  void setNow(long nowUs) {
-    now = nowUs;
-  }
-
-  void merge(MemberRecord record) {
-    if (record.boot() > MAX_COUNTER || record.incarnation() > MAX_COUNTER) {
+  /** Merges a record of any member, this one included. */
+  void merge(MemberRecord record, long nowUs) {
+    if (record.boot() > MAX_BOOT_OR_INCARNATION || record.incarnation() > MAX_BOOT_OR_INCARNATION) {
       return;
     }
-    if (record.name().equals(local.self().name())) {
-      local.onRecord(record);
+    if (!record.name().equals(local.self().name())) {
+      mergeOther(record, nowUs);
+    } else if (local.onRecord(record) == LocalMember.Resolution.NAME_YIELDED) {
+      merge(record, nowUs);
+    }
+  }
+
+  private void mergeOther(MemberRecord record, long nowUs) {
+    Optional<MemberEntry> known = table.find(record.name());
+    if (known.isEmpty()) {
+      addNew(record, nowUs);
       return;
     }
-    MemberEntry entry = table.find(record.name());
-    if (entry == null) {
-      addNew(record);
-    } else if (record.supersedes(entry.record)) {
-      if (record.boot() != entry.record.boot()) {
-        entry.payloads.clear();
+    MemberEntry entry = known.get();
+    if (record.supersedes(entry.record())) {
+      if (record.boot() != entry.record().boot()) {
+        entry.clearPayloads();
       }
-      update(entry, record);
-    } else if (isConfirmation(entry, record) && entry.accusers.add(record.suspectedBy())) {
-      entry.deadUs = entry.suspectedUs + suspicion.afterUs(entry.accusers.size() - 1);
+      update(entry, record, nowUs);
+    } else if (isConfirmation(entry, record) && entry.confirmSuspicion(record.suspectedBy())) {
+      entry.changeSuspicionTimeout(suspicionTimeout.timeoutUs(entry.confirmations()));
       gossip.add(record);
     }
   }
 
-  /** Of the dead only those who knew them keep a record. */
-  private void addNew(MemberRecord record) {
+  /** Adds only live members, so that a dead one is remembered only by members that knew it. */
+  private void addNew(MemberRecord record, long nowUs) {
     if (record.state().isLive() && makeSpace()) {
       MemberEntry entry = new MemberEntry(record);
       table.add(entry);
       onJoined.accept(record.name());
-      update(entry, record);
+      update(entry, record, nowUs);
       table.recountLive();
     }
   }
@@ -71,31 +79,54 @@
     if (!table.isFull()) {
       return true;
     }
-    Optional<MemberEntry> oldest = table.oldestGone();
-    oldest.ifPresent(this::forget);
-    return oldest.isPresent();
+    Optional<MemberEntry> evicted = table.longestNotLive();
+    if (evicted.isEmpty()) {
+      metrics.onMemberRefused();
+      return false;
+    }
+    forget(evicted.get());
+    return true;
   }
 
   /** Whether another member suspects a suspect in the same incarnation. */
   private static boolean isConfirmation(MemberEntry entry, MemberRecord record) {
     return record.state() == MemberState.SUSPECT
-        && entry.record.state() == MemberState.SUSPECT
-        && record.isSameIncarnation(entry.record)
-        && entry.accusers.size() <= SuspicionTimeout.MAX_CONFIRMATIONS;
+        && entry.isSuspect()
+        && record.isSameIncarnation(entry.record())
+        && entry.confirmations() < SuspicionTimeout.MAX_CONFIRMATIONS;
   }
 
-  /** The entry holds that record from now on. */
-  void update(MemberEntry entry, MemberRecord record) {
-    MemberRecord before = entry.record;
-    entry.record = record;
-    entry.sinceUs = now;
-    entry.accusers.clear();
+  /**
+   * Suspects a member whose probe has failed, unless a newer record of it arrived meanwhile. Where
+   * another member suspected it before, this confirms that suspicion.
+   */
+  void suspect(MemberRecord target, long nowUs) {
+    Optional<MemberEntry> known = table.find(target.name());
+    if (known.isEmpty()) {
+      return;
+    }
+    MemberEntry entry = known.get();
+    if (entry.isLive() && entry.record().isSameIncarnation(target)) {
+      if (!entry.isSuspect()) {
+        metrics.onSuspicion();
+      }
+      merge(entry.record().withState(MemberState.SUSPECT, local.self().name()), nowUs);
+    }
+  }
+
+  /** Declares a member dead whose suspicion timed out. */
+  void declareDead(MemberEntry entry, long nowUs) {
+    metrics.onDeath();
+    update(entry, entry.record().withState(MemberState.DEAD, MemberRecord.NOT_SUSPECTED), nowUs);
+  }
+
+  private void update(MemberEntry entry, MemberRecord record, long nowUs) {
+    MemberRecord before = entry.record();
+    entry.hold(record, nowUs);
     if (record.state() == MemberState.SUSPECT) {
-      entry.accusers.add(record.suspectedBy());
-      entry.suspectedUs = now;
-      entry.deadUs = now + suspicion.afterUs(0);
+      entry.startSuspicion(nowUs, suspicionTimeout.timeoutUs(0));
     } else if (!record.state().isLive()) {
-      entry.payloads.clear();
+      entry.clearPayloads();
     }
     gossip.add(record);
     boolean changesLive = before.state().isLive() != record.state().isLive();
@@ -104,24 +135,25 @@
     }
   }
 
+  /** Merges a payload of another member; one of an unknown member or another boot is ignored. */
   void merge(Payload payload) {
-    MemberEntry entry = table.find(payload.origin());
-    boolean isValid =
-        payload.type() >= 0
-            && payload.type() < Payload.TYPES
-            && payload.bytes().length <= Payload.MAX_BYTES;
-    if (entry == null || !isValid || payload.boot() != entry.record.boot()) {
+    if (!payload.isValid()) {
       return;
     }
-    Payload last = entry.payloads.get(payload.type());
-    if (last == null || payload.supersedes(last)) {
-      entry.payloads.put(payload.type(), payload);
-      gossip.add(payload);
-    }
+    table
+        .find(payload.origin())
+        .filter(entry -> entry.record().boot() == payload.boot())
+        .filter(entry -> entry.payload(payload.type()).map(payload::supersedes).orElse(true))
+        .ifPresent(
+            entry -> {
+              entry.putPayload(payload);
+              gossip.add(payload);
+            });
   }
 
+  /** Removes a member with all that is to be gossiped of it. */
   void forget(MemberEntry entry) {
     table.remove(entry);
-    gossip.forget(entry.record.name());
+    gossip.forget(entry.record().name());
   }
 }
--- a/sidecar/src/main/java/dillcross/membership/SuspicionTimeout.java
+++ b/sidecar/src/main/java/dillcross/membership/SuspicionTimeout.java
@@ -1,15 +1,17 @@
 package dillcross.membership;
 
 /**
- * How long a member is suspect before it is declared dead: long enough for a refutation to come
- * round, and longer while nobody else confirms it or this process is not well itself.
+ * Lifeguard's suspicion timeout: how long a member is suspect before it is declared dead. It is
+ * long enough for a refutation to spread, shrinks as other members confirm the suspicion, and is
+ * longer while this process is unhealthy itself.
  */
 final class SuspicionTimeout {
-  /** Members that confirm a suspicion until it is at its shortest. */
+  /** Confirmations at which the timeout is at its minimum. */
   static final int MAX_CONFIRMATIONS = 3;
 
-  private static final double INTERVALS = 4; // times the logarithm of the size: the shortest
-  private static final double UNCONFIRMED_FACTOR = 4; // times that, where nobody confirms it
+  // The minimum is this many probe intervals times the decimal logarithm of the number of members.
+  private static final double MIN_TIMEOUT_INTERVALS = 4;
+  private static final double UNCONFIRMED_FACTOR = 4; // of the minimum, without confirmation
 
   private final long intervalUs;
   private final MemberTable table;
@@ -21,13 +23,14 @@
     this.health = health;
   }
 
-  /** The time-out after so many confirmations, in microseconds. */
-  long afterUs(int confirmations) {
-    double min = INTERVALS * intervalUs * Math.max(1, Math.log10(table.liveCount() + 1.0));
+  /** The timeout after that many confirmations, in microseconds from the start of the suspicion. */
+  long timeoutUs(int confirmations) {
+    double memberScale = Math.max(1, Math.log10(table.liveCount() + 1.0));
+    double minUs = MIN_TIMEOUT_INTERVALS * intervalUs * memberScale;
     double counted = Math.min(MAX_CONFIRMATIONS, confirmations);
-    double share = Math.log(counted + 1.0) / Math.log(MAX_CONFIRMATIONS + 1.0);
-    double max = UNCONFIRMED_FACTOR * min;
-    double timeoutUs = max - (UNCONFIRMED_FACTOR - 1) * min * share;
+    double confirmedShare = Math.log(counted + 1.0) / Math.log(MAX_CONFIRMATIONS + 1.0);
+    double maxUs = UNCONFIRMED_FACTOR * minUs;
+    double timeoutUs = maxUs - (UNCONFIRMED_FACTOR - 1) * minUs * confirmedShare;
     return (long) (timeoutUs * (1 + Math.min(1, health.multiplier())));
   }
 }
