--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -163,7 +163,7 @@
         fault(
             "a rejection that is held back",
             "balancer/RequestQueue.java",
-            "return request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);",
+            "return request.arrivalUs + (long) waitUs;",
             "return request.deadlineUs - 20_000;",
             "NOT_HELD",
             "overload.toml"),
--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -93,8 +93,8 @@
     if (objective.tailWeight() == 0) {
       return Long.MAX_VALUE / 2;
     }
-    double meanUs = request.classState.meanLatencyUs();
-    double latestUs = request.requestClass.latencyObjectiveUs() - 2 * meanUs;
-    return (long) Math.max(1.5 * meanUs, latestUs);
+    LatencyEstimate latency = request.classState.latency;
+    double latestUs = request.requestClass.latencyObjectiveUs() - latency.ampleUs();
+    return (long) Math.max(latency.pessimisticUs(), latestUs);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/ClassState.java
+++ b/sidecar/src/main/java/dillcross/balancer/ClassState.java
@@ -2,57 +2,37 @@
 
 import dillcross.model.RequestClass;
 
-/** A request class and what has been measured of it. */
+/** Keeps a request class and what has been measured of it: demand, latency and lateness. */
 final class ClassState {
-  private static final int MIN_SAMPLES = 10;
   private static final double LATE_SAMPLE_WEIGHT = 0.2;
 
-  /** As the newest settings describe it. */
-  RequestClass requestClass;
-
   final DemandCounter demand = new DemandCounter(1);
-  private double meanLatencyUs;
-  private double baselineLatencyUs;
-  private int successes;
-  private double lateShare;
+  final LatencyEstimate latency;
+  private RequestClass requestClass;
+  private double lateFraction;
 
   ClassState(RequestClass requestClass) {
     this.requestClass = requestClass;
-    meanLatencyUs = requestClass.latencyObjectiveUs() / 4.0; // until the first answer
-  }
-
-  /** Smoothed latency of its answers, in microseconds. */
-  double meanLatencyUs() {
-    return meanLatencyUs;
-  }
-
-  /** The lowest that the mean was, slowly rising: what a request takes without a queue. */
-  double baselineLatencyUs() {
-    return baselineLatencyUs;
+    latency = new LatencyEstimate(requestClass.latencyObjectiveUs());
   }
 
-  /** Successful answers so far. */
-  int successes() {
-    return successes;
+  /** The class as the newest settings describe it. */
+  RequestClass requestClass() {
+    return requestClass;
   }
 
-  /** Smoothed share of late attempts, at endpoints that answered others meanwhile. */
-  double lateShare() {
-    return lateShare;
+  /** Takes new settings; what was measured stays. */
+  void configure(RequestClass newRequestClass) {
+    requestClass = newRequestClass;
   }
 
-  /**
-   * Takes a new latency in; the baseline rises towards a higher mean by {@code rise} of the way.
-   */
-  void recordLatency(double latencyUs, double rise) {
-    successes++;
-    meanLatencyUs += (latencyUs - meanLatencyUs) * Math.max(0.02, 1.0 / successes);
-    boolean isLowest = successes < MIN_SAMPLES || meanLatencyUs < baselineLatencyUs;
-    baselineLatencyUs =
-        isLowest ? meanLatencyUs : baselineLatencyUs + rise * (meanLatencyUs - baselineLatencyUs);
+  /** Smoothed fraction of late attempts, of those whose endpoint answered others meanwhile. */
+  double lateFraction() {
+    return lateFraction;
   }
 
+  /** Counts an attempt as late or in time. */
   void recordLateness(boolean late) {
-    lateShare += LATE_SAMPLE_WEIGHT * ((late ? 1 : 0) - lateShare);
+    lateFraction += LATE_SAMPLE_WEIGHT * ((late ? 1 : 0) - lateFraction);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
@@ -2,6 +2,8 @@
 
 /** Recent requests of one tenant or request class, and how many of them were sent. Both fade. */
 final class DemandCounter {
+  private static final double MIN_REQUESTS = 0.2; // keeps the ratio of small counts moderate
+
   /** Of all requests, the part within its quota: 0 to 1. */
   double quotaShare;
 
@@ -27,7 +29,7 @@
 
   /** Above 1 where fewer requests were sent than its quota of what arrived. */
   double need(double total) {
-    return Math.max(0.2, entitled(total)) / Math.max(0.2, sent);
+    return Math.max(MIN_REQUESTS, entitled(total)) / Math.max(MIN_REQUESTS, sent);
   }
 
   void fade(double remaining) {
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -9,6 +9,7 @@
 /** Counts recent requests by class and tenant, and how many of them were sent. */
 final class DemandTracker {
   private static final double FADE_US = 4_000_000;
+  private static final double MIN_REQUESTS = 0.1; // bounds the time where nothing arrived
 
   private final Collection<ClassState> classes;
   private Map<String, DemandCounter> tenants = new HashMap<>();
@@ -60,11 +61,11 @@
 
   /** How long it takes at the present rate until {@code count} requests have arrived. */
   double timeForRequestsUs(double count) {
-    return count / Math.max(0.1, arrived) * FADE_US;
+    return count / Math.max(MIN_REQUESTS, arrived) * FADE_US;
   }
 
   double requestsPerSecond() {
-    return arrived * 1e6 / FADE_US;
+    return arrived * Units.MICROS_PER_SECOND / FADE_US;
   }
 
   /** Counts the request; above 1 where its class and tenant are behind what they may get. */
--- a/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
+++ b/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
@@ -8,6 +8,8 @@
   private static final double START_SPREAD_PER_SIDECAR_US = 10_000;
   private static final long FIRST_BACKOFF_US = 500_000;
   private static final int MAX_DOUBLINGS = 3;
+  private static final int POLL_DIVISOR = 3; // leaves time for two more calls
+  private static final double MIN_JITTER_FACTOR = 0.5; // the largest is 1 more
 
   private final Random random;
   private DiscoveryPolicy policy;
@@ -21,7 +23,9 @@
   void configure(long nowUs, DiscoveryPolicy newPolicy, int instances, boolean hasEndpoints) {
     if (newPolicy.pollRequired() && (policy == null || !policy.pollRequired())) {
       double spread =
-          Math.min(newPolicy.pollWithinUs() / 3.0, START_SPREAD_PER_SIDECAR_US * instances);
+          Math.min(
+              (double) newPolicy.pollWithinUs() / POLL_DIVISOR,
+              START_SPREAD_PER_SIDECAR_US * instances);
       long delayUs = (long) (spread * random.nextDouble());
       dueUs = hasEndpoints ? nowUs + delayUs : -1 - delayUs; // then it counts from the first list
     }
@@ -41,9 +45,13 @@
   /** Backs off with jitter, within the time in which changes must be learned. */
   void onFailure(long nowUs, long maxDelayUs) {
     long backoffUs =
-        Math.min(policy.pollWithinUs() / 3, FIRST_BACKOFF_US << Math.min(failures, MAX_DOUBLINGS));
+        Math.min(
+            policy.pollWithinUs() / POLL_DIVISOR,
+            FIRST_BACKOFF_US << Math.min(failures, MAX_DOUBLINGS));
     failures++;
-    dueUs = nowUs + (long) (Math.min(backoffUs, maxDelayUs) * (0.5 + random.nextDouble()));
+    dueUs =
+        nowUs
+            + (long) (Math.min(backoffUs, maxDelayUs) * (MIN_JITTER_FACTOR + random.nextDouble()));
   }
 
   /** Whether to subscribe now; true once for each time that it is due. */
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -10,6 +10,8 @@
 
 /** The endpoints as the endpoint list has them. */
 final class EndpointDirectory {
+  private static final double MIN_WEIGHT = 1e-9; // prevents a division by zero
+
   private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
   private final SlowStart slowStart;
   private final RemovalGrace removal;
@@ -107,9 +109,9 @@
 
   private double measureCrowding() {
     double localLoad = 0;
-    double localSize = 1e-9;
+    double localSize = MIN_WEIGHT;
     double remoteLoad = 0;
-    double remoteSize = 1e-9;
+    double remoteSize = MIN_WEIGHT;
     for (EndpointState state : endpoints.values()) {
       double load = state.isListed ? state.nominalWeight() * state.occupancy() : 0;
       double size = state.isListed ? state.nominalWeight() : 0;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
@@ -10,7 +10,9 @@
   private static final double CROSS_ZONE_FACTOR = 20; // what the price of leaving the zone weighs
   private static final double MAX_LIMIT_SHARES = 1.5; // of the limit, that one endpoint may hold
   private static final double REPORT_WEIGHT = 0.1; // of a new load report in their mean
+  private static final double LOAD_OFFSET = 0.5; // keeps the ratio of small loads moderate
   private static final int MAX_DRAWS = 5;
+  private static final double MIN_JITTER_FACTOR = 0.5; // the largest is 1 more
   private static final int MAX_OVERLOAD_DOUBLINGS = 6;
   private static final double OVERLOADED_LATENCY_RATIO = 8; // its queue is full
 
@@ -51,7 +53,7 @@
   void recordOverload(EndpointState endpoint, double meanLatencyUs, long nowUs) {
     int doublings = Math.min(endpoint.consecutiveOverloads, MAX_OVERLOAD_DOUBLINGS);
     endpoint.consecutiveOverloads++;
-    double factor = (0.5 + random.nextDouble()) * (1 << doublings);
+    double factor = (MIN_JITTER_FACTOR + random.nextDouble()) * (1 << doublings);
     endpoint.retryAfterUs = nowUs + (long) (meanLatencyUs * factor);
     endpoint.latencyRatio = Math.max(endpoint.latencyRatio, OVERLOADED_LATENCY_RATIO);
   }
@@ -118,14 +120,15 @@
 
   private double cost(EndpointState endpoint, long nowUs) {
     // Damped, or all sidecars would herd to the one that reports the least.
-    double reported = Math.sqrt((endpoint.reportedLoad + 0.5) / (meanReportedLoad + 0.5));
+    double reported =
+        Math.sqrt((endpoint.reportedLoad + LOAD_OFFSET) / (meanReportedLoad + LOAD_OFFSET));
     double ratio = endpoint.latencyRatio * reported;
     double age = (double) (nowUs - endpoint.lastOutcomeUs) / FORGET_US;
     double freshness = ratio > 1 ? Math.max(0, 1 - age) : 1;
     double latency = 1 + (ratio - 1) * freshness;
     Attempt oldest = endpoint.inFlight.peekFirst();
     if (oldest != null) { // an old attempt says more than answers from before it
-      double waited = (nowUs - oldest.sentUs) / oldest.request.classState.meanLatencyUs();
+      double waited = oldest.request.classState.latency.ratioToMean(nowUs - oldest.sentUs);
       latency = Math.max(latency, waited);
     }
     boolean isLocal = endpoint.endpoint.zone().equals(zone);
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -93,6 +93,11 @@
     latencySamples = 0;
   }
 
+  /** The latency ratio, at least 1 and at most {@code max}. */
+  double boundedLatencyRatio(double max) {
+    return Clamp.between(1, latencyRatio, max);
+  }
+
   /** Takes a new ratio in; the first ones weigh more. */
   void recordLatencyRatio(double ratio) {
     double weight = Math.max(LATENCY_SAMPLE_WEIGHT, 1.0 / (2 + latencySamples));
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -17,6 +17,11 @@
   private static final double MIN_SIZE = 1.5; // mean endpoint sizes of a zone
   private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25; // so that each is heard in time
   private static final int MIN_WARM_ENDPOINTS = 2; // to choose between
+  private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
+  private static final double KEEP_ALL_FRACTION = 0.7; // of the rate from which all are used
+  private static final double GROW_FACTOR = 1.2;
+  private static final double SHRINK_FACTOR = 0.6;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final EndpointDirectory directory;
   private final EndpointSets sets;
@@ -32,8 +37,8 @@
 
   void configure(BalancerSettings settings) {
     zone = settings.zone();
-    // Multiples of the golden ratio lie evenly.
-    position = Math.abs(settings.instanceIndex() * (Math.sqrt(5) - 1) / 2) % 1;
+    // The fractions of multiples of the golden ratio are spread evenly.
+    position = Math.abs(settings.instanceIndex() * GOLDEN_RATIO) % 1;
     isStale = true;
   }
 
@@ -45,12 +50,12 @@
   /** Fits the size to the traffic; not to chance alone, as moving loses what was measured. */
   void resize(double requestsPerSecond) {
     int known = directory.all().size();
-    double threshold = known * (targetSize < known ? 1 : 0.7);
+    double threshold = known * (targetSize < known ? 1 : KEEP_ALL_FRACTION);
     double wanted =
         requestsPerSecond > threshold
             ? known + 1
             : Math.max(MIN_SIZE, SIZE_PER_REQUEST_PER_SECOND * requestsPerSecond);
-    if (wanted > 1.2 * targetSize || wanted < 0.6 * targetSize) {
+    if (wanted > GROW_FACTOR * targetSize || wanted < SHRINK_FACTOR * targetSize) {
       targetSize = wanted;
       isStale = true;
     }
@@ -103,7 +108,7 @@
     double missing = targetSize * total / candidates.size();
     int warm = 0;
     for (int i = 0; i < candidates.size(); i++) {
-      if (missing <= 1e-9 * total && warm >= MIN_WARM_ENDPOINTS) {
+      if (missing <= ROUNDING_TOLERANCE * total && warm >= MIN_WARM_ENDPOINTS) {
         return;
       }
       EndpointState state = candidates.get((start + i) % candidates.size());
--- a/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
+++ b/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
@@ -13,6 +13,9 @@
  * late answer has no value, because a retry would only add load.
  */
 final class FinalAnswer {
+  private static final double MIN_RETRY_AFTER_FRACTION = 0.1; // of the latency objective
+  private static final double RETRY_AFTER_SPREAD_FRACTION = 0.2; // of the latency objective
+
   private final Random random;
   private final DuplicateGuard duplicates;
   private final RequestTable requests;
@@ -42,12 +45,13 @@
 
   private long retryAfterUs(Request request, long nowUs) {
     long objectiveUs = request.requestClass.latencyObjectiveUs();
-    double expectedUs = nowUs + 1.5 * request.classState.meanLatencyUs();
+    double expectedUs = nowUs + request.classState.latency.pessimisticUs();
     boolean isTooLate = request.arrivalUs + objectiveUs < expectedUs;
     if (isTooLate && request.requestClass.lateValueShare() == 0) {
       return maxRetryAfterUs;
     }
-    long soonUs = (long) (objectiveUs * (0.1 + 0.2 * random.nextDouble()));
+    double fraction = MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_SPREAD_FRACTION * random.nextDouble();
+    long soonUs = (long) (objectiveUs * fraction);
     return Math.min(maxRetryAfterUs, soonUs);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -35,6 +35,7 @@
  */
 public final class LoadBalancer {
   private static final double MIN_REQUESTS_IN_SPAN = 10; // over which means are taken
+  private static final double DEFAULT_OBJECTIVE_US = 1e6; // where there is no request class
 
   private final Map<String, ClassState> classes = new HashMap<>();
   private final ArrayDeque<Decision> decisions = new ArrayDeque<>();
@@ -124,12 +125,15 @@
   private void configureClasses(List<RequestClass> configured) {
     meanObjectiveUs =
         (long)
-            configured.stream().mapToLong(RequestClass::latencyObjectiveUs).average().orElse(1e6);
+            configured.stream()
+                .mapToLong(RequestClass::latencyObjectiveUs)
+                .average()
+                .orElse(DEFAULT_OBJECTIVE_US);
     traffic.widenSpan((double) meanObjectiveUs);
     for (RequestClass requestClass : configured) {
       ClassState state =
           classes.computeIfAbsent(requestClass.name(), name -> new ClassState(requestClass));
-      state.requestClass = requestClass;
+      state.configure(requestClass);
     }
   }
 
@@ -185,7 +189,7 @@
   }
 
   private Request newRequest(long id, ClassState classState, long timeoutUs) {
-    RequestClass requestClass = classState.requestClass;
+    RequestClass requestClass = classState.requestClass();
     boolean isEarly = requestDeadlines.isEarly(requestClass);
     long deadlineUs = now + requestDeadlines.timeoutUs(requestClass, timeoutUs);
     return new Request(id, classState, retryPolicy, now, deadlineUs, isEarly, nextSequence++);
--- a/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
@@ -4,8 +4,6 @@
 
 /** Measures endpoints and request classes by how attempts end. */
 final class OutcomeRecorder {
-  private static final double TIMEOUT_PATIENCE = 3; // expected latencies before one is a failure
-  private static final double MAX_LATENCY_RATIO = 20;
   private static final long STALE_LATENCY_US = 5_000_000;
   private static final double BASELINE_RISE_IDLE = 0.05; // less load would not make it faster
   private static final double BASELINE_RISE = 0.0001;
@@ -43,7 +41,7 @@
     } else if (attempt.outcome.isFailure) {
       recordFailure(attempt, tookUs, nowUs);
     } else if (attempt.outcome == AttemptOutcome.OVERLOADED) {
-      picker.recordOverload(endpoint, attempt.request.classState.meanLatencyUs(), nowUs);
+      picker.recordOverload(endpoint, attempt.request.classState.latency.meanUs(), nowUs);
     }
     ejection.endProbation(attempt);
   }
@@ -51,7 +49,7 @@
   /** Notes whether it was late though its endpoint answered others meanwhile. */
   private static void recordLateness(Attempt attempt, long tookUs) {
     ClassState classState = attempt.request.classState;
-    boolean isLate = tookUs > classState.requestClass.latencyObjectiveUs();
+    boolean isLate = tookUs > classState.requestClass().latencyObjectiveUs();
     boolean counts =
         isLate
             ? attempt.endpoint.lastSuccessUs > attempt.sentUs
@@ -68,12 +66,12 @@
     endpoint.lastSuccessUs = nowUs;
     endpoint.lastAnsweredSentUs = Math.max(endpoint.lastAnsweredSentUs, attempt.sentUs);
     boolean isIdle = admission.isNearlyIdle();
-    classState.recordLatency((double) tookUs, isIdle ? BASELINE_RISE_IDLE : BASELINE_RISE);
-    double ratio = tookUs / classState.meanLatencyUs();
-    endpoint.recordLatencyRatio(Math.min(MAX_LATENCY_RATIO, ratio));
+    LatencyEstimate latency = classState.latency;
+    latency.record((double) tookUs, isIdle ? BASELINE_RISE_IDLE : BASELINE_RISE);
+    endpoint.recordLatencyRatio(latency.boundedRatioToMean(tookUs));
     endpoint.consecutiveOverloads = 0;
     slowdown.record(attempt, tookUs, nowUs);
-    traffic.recordSuccess(classState.baselineLatencyUs(), nowUs);
+    traffic.recordSuccess(latency.baselineUs(), nowUs);
     endpoint.slowStart.successes++;
     ejection.recordSuccess(attempt, nowUs);
   }
@@ -81,14 +79,14 @@
   private void recordFailure(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     boolean isTimeout = attempt.outcome == AttemptOutcome.TIMED_OUT;
-    double meanUs = attempt.request.classState.meanLatencyUs();
+    LatencyEstimate latency = attempt.request.classState.latency;
     // One time-out says as much as many slow answers; with little traffic there are no more.
     boolean saysNothing = attempt.isConnectionSuspect || attempt.request.isBodyIncomplete;
-    double ratio = saysNothing ? 0 : Math.min(MAX_LATENCY_RATIO, tookUs / meanUs);
+    double ratio = saysNothing ? 0 : latency.boundedRatioToMean(tookUs);
     endpoint.latencyRatio = Math.max(endpoint.latencyRatio, ratio);
     // A client that gives up before an answer could be expected says nothing of the endpoint.
     boolean isProbation = endpoint.ejection.probation == attempt;
-    if (!isTimeout || tookUs > TIMEOUT_PATIENCE * meanUs || isProbation) {
+    if (!isTimeout || latency.isTimeoutFailure(tookUs) || isProbation) {
       ejection.recordFailure(attempt, nowUs);
     }
     if (isTimeout && !endpoint.ejection.isEjected && !attempt.isConnectionSuspect) {
--- a/sidecar/src/main/java/dillcross/balancer/Request.java
+++ b/sidecar/src/main/java/dillcross/balancer/Request.java
@@ -60,7 +60,7 @@
       long sequence) {
     this.id = id;
     this.classState = classState;
-    this.requestClass = classState.requestClass;
+    this.requestClass = classState.requestClass();
     this.retryPolicy = retryPolicy;
     this.arrivalUs = arrivalUs;
     this.deadlineUs = deadlineUs;
--- a/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
@@ -8,7 +8,8 @@
  * at once.
  */
 final class RequestQueue {
-  private static final double QUEUE_SHARE = 0.3; // of the latency objective, at the least
+  private static final double QUEUE_FRACTION = 0.3; // of the latency objective, at least
+  private static final double SPARE_FRACTION = 0.8; // of what an answer leaves of the objective
 
   private final RequestTable requests;
   private final EndpointSets endpoints;
@@ -49,8 +50,9 @@
 
   private static long waitUntilUs(Request request) {
     long objectiveUs = request.requestClass.latencyObjectiveUs();
-    double spareUs = objectiveUs - 1.5 * request.classState.meanLatencyUs();
-    return request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);
+    double spareUs = objectiveUs - request.classState.latency.pessimisticUs();
+    double waitUs = Math.max(QUEUE_FRACTION * objectiveUs, SPARE_FRACTION * spareUs);
+    return request.arrivalUs + (long) waitUs;
   }
 
   private void expire(Request request, long nowUs) {
@@ -64,7 +66,7 @@
    * timeout.
    */
   void shed(double successesPerUs, long meanObjectiveUs, long nowUs) {
-    while (requests.waiting.size() > 1 + successesPerUs * QUEUE_SHARE * meanObjectiveUs) {
+    while (requests.waiting.size() > 1 + successesPerUs * QUEUE_FRACTION * meanObjectiveUs) {
       finalAnswer.giveUp(requests.waiting.last(), nowUs);
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
@@ -3,6 +3,8 @@
 /** Ranks requests by priority weight for their time, and by how far class and tenant are behind. */
 final class RequestRanking {
   private static final double REPEAT_SHARE = 0.4; // of a first try's value, for a client's repeat
+  private static final double MIN_SAMPLE_WEIGHT = 0.02;
+  private static final double MIN_VALUE_RATE = 1e-9; // prevents a division by zero
 
   private double usualValueRate;
   private long requests;
@@ -18,15 +20,15 @@
    * answer can come.
    */
   void rank(Request request, double need, long timeoutUs, boolean isRepeat) {
-    double meanUs = request.classState.meanLatencyUs();
-    double minUs = 0.2 * request.requestClass.latencyObjectiveUs();
-    double time = weightPerWork ? 1 : Math.max(meanUs, minUs);
-    double patience = Math.min(1, timeoutUs / (2 * meanUs));
-    double valueRate = Math.sqrt(request.requestClass.priorityWeight() / time) * patience;
+    LatencyEstimate latency = request.classState.latency;
+    long objectiveUs = request.requestClass.latencyObjectiveUs();
+    double work = weightPerWork ? 1 : latency.workUs(objectiveUs);
+    double patience = Math.min(1, timeoutUs / latency.ampleUs());
+    double valueRate = Math.sqrt(request.requestClass.priorityWeight() / work) * patience;
     requests++;
-    usualValueRate += Math.max(0.02, 1.0 / requests) * (valueRate - usualValueRate);
+    usualValueRate += Math.max(MIN_SAMPLE_WEIGHT, 1.0 / requests) * (valueRate - usualValueRate);
     double repeatShare = isRepeat ? REPEAT_SHARE : 1;
-    double relativeValue = valueRate / Math.max(1e-9, usualValueRate) * repeatShare;
+    double relativeValue = valueRate / Math.max(MIN_VALUE_RATE, usualValueRate) * repeatShare;
     request.relativeValue = relativeValue;
     request.rank = need * valueRate * repeatShare;
   }
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -7,7 +7,7 @@
  * before its deadline, and a hedge may help.
  */
 final class SilenceMonitor {
-  private static final double OVERDUE_FACTOR = 8; // times the expected latency
+  private static final double MAX_LATENCY_RATIO = 4; // a slow endpoint must not hide its silence
 
   private final CheckQueue checks;
   private final InFlightTracker inFlight;
@@ -37,8 +37,8 @@
 
   /** After how long an attempt is overdue, in microseconds. */
   long overdueAfterUs(Attempt attempt) {
-    double slowness = Math.max(1, Math.min(4, attempt.endpoint.latencyRatio));
-    return (long) (OVERDUE_FACTOR * attempt.request.classState.meanLatencyUs() * slowness);
+    double latencyRatio = attempt.endpoint.boundedLatencyRatio(MAX_LATENCY_RATIO);
+    return attempt.request.classState.latency.overdueAfterUs(latencyRatio);
   }
 
   private void check(Attempt attempt, long nowUs) {
--- a/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
@@ -6,6 +6,9 @@
 final class SlowdownEstimator {
   private static final double MAX_SAMPLE = 2; // few that hang are no queue
   private static final double MIN_SAMPLE = 0.6;
+  private static final double MAX_USUAL_RATIO = 5;
+  private static final double MIN_SAMPLE_WEIGHT = 0.06;
+  private static final double RATE_OFFSET_PER_SECOND = 4; // bounds the weight of one sample
   private static final int MIN_SUCCESSES_TO_COMPARE = 3;
 
   private final TrafficMeter traffic;
@@ -32,11 +35,11 @@
     }
     long objectiveUs = attempt.request.requestClass.latencyObjectiveUs();
     ClassState classState = attempt.request.classState;
-    double baselineUs =
-        Math.max(0.2 * objectiveUs, Math.min(0.33 * objectiveUs, classState.baselineLatencyUs()));
-    double usualRatio = Math.max(1, Math.min(5, attempt.endpoint.latencyRatio));
-    double sample = Math.max(MIN_SAMPLE, Math.min(MAX_SAMPLE, tookUs / usualRatio / baselineUs));
-    double weight = Math.max(0.06, 1 / (4 + 1e6 * traffic.successesPerUs(nowUs)));
+    double baselineUs = classState.latency.boundedBaselineUs(objectiveUs);
+    double usualRatio = attempt.endpoint.boundedLatencyRatio(MAX_USUAL_RATIO);
+    double sample = Clamp.between(MIN_SAMPLE, tookUs / usualRatio / baselineUs, MAX_SAMPLE);
+    double successesPerSecond = Units.MICROS_PER_SECOND * traffic.successesPerUs(nowUs);
+    double weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / (RATE_OFFSET_PER_SECOND + successesPerSecond));
     slowdown += weight * (1 - excessLateness(classState)) * (sample - slowdown);
   }
 
@@ -46,12 +49,12 @@
    * generous objective hides a queue that a short one shows: the limit then falls later.
    */
   private double excessLateness(ClassState classState) {
-    double least =
+    double lowest =
         classes.stream()
-            .filter(other -> other.successes() > MIN_SUCCESSES_TO_COMPARE)
-            .mapToDouble(ClassState::lateShare)
+            .filter(other -> other.latency.samples() > MIN_SUCCESSES_TO_COMPARE)
+            .mapToDouble(ClassState::lateFraction)
             .min()
             .orElse(1);
-    return Math.max(0, classState.lateShare() - least);
+    return Math.max(0, classState.lateFraction() - lowest);
   }
 }
