--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -40,7 +40,7 @@
         fault(
             "a retry into another deduplication scope",
             "balancer/DuplicateGuard.java",
-            "case ZONE -> earlier.endpoint.zone().equals(endpoint.endpoint.zone());",
+            "case ZONE -> earlier.zone().equals(endpoint.zone());",
             "case ZONE -> true;",
             "NO_EFFECT_TWICE"),
         fault(
@@ -53,8 +53,8 @@
         fault(
             "an attempt to a draining endpoint",
             "balancer/EndpointDirectory.java",
-            "state.isListed = isUp || isKept;",
-            "state.isListed = isUp || isKept || state.isListed && entry.health() == Endpoint.Health.DRAINING;",
+            "state.updateListing(isUp || isRetained);",
+            "state.updateListing(isUp || isRetained || state.isListed() && entry.health() == Endpoint.Health.DRAINING);",
             "DRAIN_KEPT"),
         fault(
             "a watch that falls silent unnoticed",
@@ -80,8 +80,8 @@
         fault(
             "an endpoint in slow start overrun",
             "balancer/SlowStart.java",
-            "return endpoint.inFlightCount() < 1 + state.successes && state.sentInWindow + 1 <= budget + state.rounding;",
-            "return state.sentInWindow < budget + 1e9;",
+            "return endpoint.inFlightCount() < 1 + state.successes() && state.sentInWindow() + 1 <= budget + state.rounding();",
+            "return state.sentInWindow() < budget + 1e9;",
             "COLD_KEPT",
             "cold.toml"),
         fault(
@@ -112,8 +112,8 @@
         fault(
             "an attempt too many",
             "balancer/AttemptPolicy.java",
-            "return request.isBodyReleased ? 1 : request.retryPolicy.maxAttempts();",
-            "return request.isBodyReleased ? 1 : request.retryPolicy.maxAttempts() + 1;",
+            "return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts();",
+            "return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts() + 1;",
             "PUSH_LIMIT"),
         fault(
             "a rejection of what may have run",
--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -48,7 +48,7 @@
     double coverage = traffic.coverage(nowUs);
     double baseline = traffic.baselineConcurrency(nowUs) / Math.max(MIN_COVERAGE, coverage);
     double perEndpoint = coverage < KNOWN_COVERAGE ? INITIAL_LIMIT_PER_ENDPOINT : 1;
-    double floor = perEndpoint * endpoints.available.size() / instances;
+    double floor = perEndpoint * endpoints.available().size() / instances;
     double queue = QUEUE_FACTOR / Math.pow(Math.max(1, slowdown.value()), SLOWDOWN_EXPONENT);
     return Math.max(floor, queue * baseline);
   }
@@ -71,12 +71,12 @@
    * hardly ever has two requests waiting, so their ranks alone would not prefer valuable ones.
    */
   private static double limitFactor(Request request) {
-    return Clamp.between(MIN_LIMIT_FACTOR, request.relativeValue, MAX_LIMIT_FACTOR);
+    return Clamp.between(MIN_LIMIT_FACTOR, request.relativeValue(), MAX_LIMIT_FACTOR);
   }
 
   /** Whether so little is in flight that latency is no queue of ours. */
   boolean isNearlyIdle() {
     return inFlight.total()
-        <= Math.max(1, IDLE_PER_ENDPOINT * endpoints.available.size() / instances);
+        <= Math.max(1, IDLE_PER_ENDPOINT * endpoints.available().size() / instances);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/Attempt.java
+++ b/sidecar/src/main/java/dillcross/balancer/Attempt.java
@@ -2,27 +2,18 @@
 
 import dillcross.model.AttemptOutcome;
 
-/** One attempt of a request at one endpoint. Plain state. */
+/**
+ * Keeps one attempt of a request at one endpoint. {@link InFlightTracker} changes what it counts
+ * as, and its request ends it.
+ */
 final class Attempt {
   final Request request;
   final EndpointState endpoint;
-
-  /** When it was sent; where the request's body came later, when that was complete. */
-  long sentUs;
-
-  /** Null while in flight. */
-  AttemptOutcome outcome;
-
-  /**
-   * Whether it counts as in flight: not while its body arrives, its answer streams, or it ended.
-   */
-  boolean countsAsLoad;
-
-  /** Whether its silence was counted as a failure. */
-  boolean isSilent;
-
-  /** Whether its connection seems dead, so that it is no load on its endpoint. */
-  boolean isConnectionSuspect;
+  private long sentUs;
+  private AttemptOutcome outcome;
+  private boolean countsAsLoad;
+  private boolean isSilent;
+  private boolean isConnectionSuspect;
 
   Attempt(Request request, EndpointState endpoint, long sentUs) {
     this.request = request;
@@ -30,6 +21,16 @@
     this.sentUs = sentUs;
   }
 
+  /** When it was sent; where the request's body was complete later, when that was. */
+  long sentUs() {
+    return sentUs;
+  }
+
+  /** How it ended; null while in flight. */
+  AttemptOutcome outcome() {
+    return outcome;
+  }
+
   boolean isInFlight() {
     return outcome == null;
   }
@@ -38,4 +39,45 @@
   boolean mayHaveRun() {
     return outcome == null || outcome.mayHaveRun;
   }
+
+  /**
+   * Whether it counts as in flight at its endpoint: not while the request's body arrives, nor once
+   * its response streams or it has ended.
+   */
+  boolean countsAsLoad() {
+    return countsAsLoad;
+  }
+
+  /** Whether its silence was counted as a failure of the endpoint. */
+  boolean isSilent() {
+    return isSilent;
+  }
+
+  /** Whether its connection seems dead, so that it is no load on its endpoint. */
+  boolean isConnectionSuspect() {
+    return isConnectionSuspect;
+  }
+
+  /** The endpoint has the complete request from now on. */
+  void startLoad(long nowUs) {
+    countsAsLoad = true;
+    sentUs = nowUs;
+  }
+
+  /** The endpoint no longer works for it. */
+  void endLoad() {
+    countsAsLoad = false;
+  }
+
+  void markSilent() {
+    isSilent = true;
+  }
+
+  void markConnectionSuspect() {
+    isConnectionSuspect = true;
+  }
+
+  void end(AttemptOutcome newOutcome) {
+    outcome = newOutcome;
+  }
 }
--- a/sidecar/src/main/java/dillcross/balancer/AttemptCanceller.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptCanceller.java
@@ -28,9 +28,9 @@
   }
 
   private void cancelAttempts(Request request) {
-    for (int number = 0; number < request.attempts.size(); number++) {
-      Attempt attempt = request.attempts.get(number);
-      if (attempt.isInFlight() && attempt != request.streaming) {
+    for (int number = 0; number < request.attempts().size(); number++) {
+      Attempt attempt = request.attempts().get(number);
+      if (attempt.isInFlight() && attempt != request.streaming()) {
         decisions.add(new Decision.CancelAttempt(request.id, number));
       }
     }
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
@@ -23,8 +23,8 @@
     if (!isFirst && request.hasIdempotencyKey()) {
       return duplicates.memoryEndsUs(request, attempt);
     }
-    boolean isEarly = request.hasEarlyDeadline && !request.isBodyIncomplete;
-    long deadlineUs = isEarly ? request.deadlineUs : NONE;
+    boolean isEarly = request.hasEarlyDeadline && !request.isBodyIncomplete();
+    long deadlineUs = isEarly ? request.deadlineUs() : NONE;
     return mustEndWhenOverdue(request)
         ? Math.min(deadlineUs, nowUs + silence.overdueAfterUs(attempt))
         : deadlineUs;
@@ -35,7 +35,7 @@
    */
   private static boolean mustEndWhenOverdue(Request request) {
     return !request.retryPolicy.hedgingAllowed()
-        && request.attempts.size() < request.retryPolicy.maxAttempts()
+        && request.attempts().size() < request.retryPolicy.maxAttempts()
         && request.isIdempotent();
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -35,7 +35,7 @@
 
   /** Every rule that an attempt has to satisfy: whether the request may go to the endpoint now. */
   boolean permits(Request request, EndpointState endpoint, long nowUs) {
-    return endpoint.isListed // graceful shutdown: nothing to what is draining or removed
+    return endpoint.isListed() // graceful shutdown: nothing to what is draining or removed
         && attempts.permits(request, endpoint, nowUs)
         && slowStart.hasBudget(endpoint, nowUs);
   }
@@ -45,17 +45,15 @@
     if (endpoint == null || !permits(request, endpoint, nowUs)) {
       return false;
     }
-    boolean isFirst = request.attempts.isEmpty();
+    boolean isFirst = request.attempts().isEmpty();
     Attempt attempt = new Attempt(request, endpoint, nowUs);
-    request.attempts.add(attempt);
-    request.attemptsInFlight++;
-    endpoint.lastAttemptUs = nowUs;
-    endpoint.slowStart.sentInWindow++;
-    if (!request.isBodyIncomplete) { // before that it is no load, and its silence tells nothing
+    request.addAttempt(attempt);
+    endpoint.recordSent(nowUs);
+    if (!request.isBodyIncomplete()) { // before that it is no load, and its silence tells nothing
       countAsLoad(attempt, nowUs);
     }
     if (onProbation) {
-      endpoint.ejection.probation = attempt;
+      endpoint.ejection.startProbation(attempt);
     }
     if (isFirst) {
       attempts.recordFirstAttempt(demand.recentRequests());
@@ -64,7 +62,7 @@
     long deadlineUs = deadlines.deadlineUs(attempt, isFirst, nowUs);
     decisions.add(
         new Decision.SendAttempt(
-            request.id, endpoint.endpoint.id(), deadlineUs == Long.MAX_VALUE ? 0 : deadlineUs));
+            request.id, endpoint.id(), deadlineUs == Long.MAX_VALUE ? 0 : deadlineUs));
     return true;
   }
 
--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -33,36 +33,36 @@
    */
   boolean permits(Request request, EndpointState endpoint, long nowUs) {
     return isUnanswered(request, nowUs)
-        && request.attempts.size() < maxAttempts(request)
-        && (request.attemptsInFlight == 0 || request.retryPolicy.hedgingAllowed())
+        && request.attempts().size() < maxAttempts(request)
+        && (request.attemptsInFlight() == 0 || request.retryPolicy.hedgingAllowed())
         && duplicates.isHarmless(request, endpoint, nowUs);
   }
 
   /** The client gets one final answer, within the deadline. */
   private static boolean isUnanswered(Request request, long nowUs) {
-    return !request.isOver
-        && request.streaming == null
-        && (request.isBodyIncomplete || nowUs < request.deadlineUs);
+    return !request.isOver()
+        && request.streaming() == null
+        && (request.isBodyIncomplete() || nowUs < request.deadlineUs());
   }
 
   /** Attempts that the request may have in all; one that was partly released can't be repeated. */
   private static int maxAttempts(Request request) {
-    return request.isBodyReleased ? 1 : request.retryPolicy.maxAttempts();
+    return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts();
   }
 
   /** Whether a request with nothing in flight may get its first attempt or a retry. */
   boolean allowsNext(Request request) {
-    boolean isFirst = request.attempts.isEmpty();
-    return budget.allows(price(request)) && (isFirst || !request.isBodyReleased);
+    boolean isFirst = request.attempts().isEmpty();
+    return budget.allows(price(request)) && (isFirst || !request.isBodyReleased());
   }
 
   /** What the next attempt of a request with nothing in flight costs; the first is free. */
   double price(Request request) {
-    if (request.attempts.isEmpty()) {
+    if (request.attempts().isEmpty()) {
       return 0;
     }
-    Attempt last = request.attempts.get(request.attempts.size() - 1);
-    return last.outcome.mayHaveRun ? RETRY_PRICE : NEVER_RAN_PRICE;
+    Attempt last = request.attempts().get(request.attempts().size() - 1);
+    return last.outcome().mayHaveRun ? RETRY_PRICE : NEVER_RAN_PRICE;
   }
 
   /** Pays for an attempt that was sent. */
@@ -72,7 +72,7 @@
 
   /** Whether a hedge may go beside the request's one attempt in flight. */
   boolean allowsHedge(Request request) {
-    return !request.isOver && request.attemptsInFlight == 1 && budget.allows(HEDGE_PRICE);
+    return !request.isOver() && request.attemptsInFlight() == 1 && budget.allows(HEDGE_PRICE);
   }
 
   /** Pays for a hedge that was sent. */
--- a/sidecar/src/main/java/dillcross/balancer/AttemptRouter.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptRouter.java
@@ -23,7 +23,7 @@
 
   /** Sends the request to an ejected endpoint whose penalty is over; whether there was one. */
   boolean sendOnProbation(Request request, long nowUs) {
-    for (EndpointState endpoint : endpoints.ejected) {
+    for (EndpointState endpoint : endpoints.ejected()) {
       boolean isDue = ejection.isProbationDue(endpoint, request, nowUs);
       if (isDue && dispatcher.send(request, endpoint, true, nowUs)) {
         return true;
--- a/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
@@ -1,17 +1,20 @@
 package dillcross.balancer;
 
-/** Recent requests of one tenant or request class, and how many of them were sent. Both fade. */
+/** Counts recent requests of one tenant or request class, and how many were sent; both decay. */
 final class DemandCounter {
   private static final double MIN_REQUESTS = 0.2; // keeps the ratio of small counts moderate
 
-  /** Of all requests, the part within its quota: 0 to 1. */
-  double quotaShare;
-
+  private double quotaFraction;
   private double arrived;
   private double sent;
 
-  DemandCounter(double quotaShare) {
-    this.quotaShare = quotaShare;
+  /** A counter for what has a quota of {@code quotaFraction} of all requests, 0 to 1. */
+  DemandCounter(double quotaFraction) {
+    this.quotaFraction = quotaFraction;
+  }
+
+  void updateQuota(double newQuotaFraction) {
+    quotaFraction = newQuotaFraction;
   }
 
   void recordArrival() {
@@ -24,15 +27,16 @@
 
   /** Recent requests that are within the quota, of {@code total} by all. */
   double entitled(double total) {
-    return Math.min(arrived, quotaShare * total);
+    return Math.min(arrived, quotaFraction * total);
   }
 
-  /** Above 1 where fewer requests were sent than its quota of what arrived. */
+  /** Requests within the quota over requests sent: above 1 where it got less than its quota. */
   double need(double total) {
     return Math.max(MIN_REQUESTS, entitled(total)) / Math.max(MIN_REQUESTS, sent);
   }
 
-  void fade(double remaining) {
+  /** Keeps that part of both counts, 0 to 1. */
+  void decay(double remaining) {
     arrived *= remaining;
     sent *= remaining;
   }
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -29,7 +29,7 @@
     for (Tenant tenant : configured) {
       if (tenant.quotaPerSecond() > 0) {
         DemandCounter counter = before.getOrDefault(tenant.name(), new DemandCounter(0));
-        counter.quotaShare = tenant.quotaPerSecond() / quotas;
+        counter.updateQuota(tenant.quotaPerSecond() / quotas);
         tenants.put(tenant.name(), counter);
       }
     }
@@ -41,8 +41,8 @@
       return false;
     }
     double remaining = Math.exp((fadedUs - nowUs) / FADE_US);
-    tenants.values().forEach(tenant -> tenant.fade(remaining));
-    classes.forEach(requestClass -> requestClass.demand.fade(remaining));
+    tenants.values().forEach(tenant -> tenant.decay(remaining));
+    classes.forEach(requestClass -> requestClass.demand.decay(remaining));
     arrived *= remaining;
     entitled = tenants.isEmpty() ? arrived : 0;
     tenants.values().forEach(tenant -> entitled += tenant.entitled(arrived));
@@ -71,20 +71,20 @@
   /** Counts the request; above 1 where its class and tenant are behind what they may get. */
   double recordArrival(Request request, String tenant) {
     arrived++;
-    request.tenant = tenants.get(tenant);
+    request.assignTenant(tenants.get(tenant));
     request.classState.demand.recordArrival();
     double need = request.classState.demand.need(arrived);
-    if (request.tenant != null) {
-      request.tenant.recordArrival();
-      need *= request.tenant.need(entitled); // a burst must not raise the quota it is held to
+    if (request.tenant() != null) {
+      request.tenant().recordArrival();
+      need *= request.tenant().need(entitled); // a burst must not raise the quota it is held to
     }
     return need;
   }
 
   void recordSent(Request request) {
     request.classState.demand.recordSent();
-    if (request.tenant != null) {
-      request.tenant.recordSent();
+    if (request.tenant() != null) {
+      request.tenant().recordSent();
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -21,7 +21,7 @@
     if (request.isIdempotent()) {
       return true;
     }
-    for (Attempt earlier : request.attempts) {
+    for (Attempt earlier : request.attempts()) {
       if (earlier.mayHaveRun() && !isRecognised(request, earlier, endpoint, nowUs)) {
         return false;
       }
@@ -38,8 +38,8 @@
       return false;
     }
     // One endpoint that hangs among others that answer is no sign of a slow path.
-    long owedUs = directory.unansweredUs(endpoint.endpoint.zone(), nowUs);
-    return nowUs - earlier.sentUs + PATH_DELAY_FACTOR * owedUs
+    long owedUs = directory.unansweredUs(endpoint.zone(), nowUs);
+    return nowUs - earlier.sentUs() + PATH_DELAY_FACTOR * owedUs
         < WINDOW_SHARE * requestClass.deduplicationWindowUs();
   }
 
@@ -47,8 +47,8 @@
       DeduplicationScope scope, EndpointState earlier, EndpointState endpoint) {
     return switch (scope) {
       case ALL -> true;
-      case ZONE -> earlier.endpoint.zone().equals(endpoint.endpoint.zone());
-      case CELL -> earlier.endpoint.cell() == endpoint.endpoint.cell();
+      case ZONE -> earlier.zone().equals(endpoint.zone());
+      case CELL -> earlier.cell() == endpoint.cell();
     };
   }
 
@@ -57,12 +57,12 @@
    */
   long memoryEndsUs(Request request, Attempt repeat) {
     long firstSentUs = Long.MAX_VALUE;
-    for (Attempt earlier : request.attempts) {
+    for (Attempt earlier : request.attempts()) {
       if (earlier != repeat && earlier.mayHaveRun()) {
-        firstSentUs = Math.min(firstSentUs, earlier.sentUs);
+        firstSentUs = Math.min(firstSentUs, earlier.sentUs());
       }
     }
-    long fromUs = firstSentUs == Long.MAX_VALUE ? request.deadlineUs : firstSentUs;
+    long fromUs = firstSentUs == Long.MAX_VALUE ? request.deadlineUs() : firstSentUs;
     return (long) (WINDOW_SHARE * request.requestClass.deduplicationWindowUs()) + fromUs;
   }
 
--- a/sidecar/src/main/java/dillcross/balancer/EjectionState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EjectionState.java
@@ -1,22 +1,88 @@
 package dillcross.balancer;
 
-/** What {@link OutlierEjection} keeps of one endpoint. Plain state. */
+/**
+ * Keeps the failures and the ejection of one endpoint. {@link OutlierEjection} decides by it and
+ * alone changes it. Times are in microseconds.
+ */
 final class EjectionState {
-  int consecutiveFailures;
+  private static final double SAMPLE_WEIGHT = 0.1; // of a new outcome in the failure fraction
 
-  /** Smoothed share of failures, 0 to 1. */
-  double failureShare;
+  private int consecutiveFailures;
+  private double failureFraction;
+  private boolean isEjected;
+  private boolean isEjectedBySilence;
+  private long untilUs;
+  private long penaltyUs;
+  private Attempt probation;
 
-  boolean isEjected;
+  int consecutiveFailures() {
+    return consecutiveFailures;
+  }
+
+  /** Smoothed fraction of failures, 0 to 1. */
+  double failureFraction() {
+    return failureFraction;
+  }
+
+  boolean isEjected() {
+    return isEjected;
+  }
 
   /** Whether silence alone ejected it, with no failed answer. */
-  boolean isEjectedBySilence;
+  boolean isEjectedBySilence() {
+    return isEjectedBySilence;
+  }
+
+  /** When the latest penalty ends or ended. */
+  long untilUs() {
+    return untilUs;
+  }
+
+  /** The latest penalty before jitter; 0 if there was none. */
+  long penaltyUs() {
+    return penaltyUs;
+  }
+
+  /** Whether an attempt is on probation. */
+  boolean hasProbation() {
+    return probation != null;
+  }
+
+  /** Whether that attempt is the one on probation. */
+  boolean isProbation(Attempt attempt) {
+    return probation == attempt;
+  }
+
+  void recordFailure() {
+    consecutiveFailures++;
+    failureFraction += SAMPLE_WEIGHT * (1 - failureFraction);
+  }
+
+  void recordSuccess() {
+    consecutiveFailures = 0;
+    failureFraction *= 1 - SAMPLE_WEIGHT;
+  }
+
+  /** Ejects the endpoint until {@code newUntilUs}, by silence alone or by failed answers. */
+  void eject(long newPenaltyUs, long newUntilUs, boolean bySilence) {
+    penaltyUs = newPenaltyUs;
+    untilUs = newUntilUs;
+    isEjectedBySilence = bySilence;
+    isEjected = true;
+    probation = null;
+  }
 
-  /** When the penalty ends. */
-  long untilUs;
+  /** Ends the ejection, with the failure fraction to go on from. */
+  void readmit(double newFailureFraction) {
+    isEjected = false;
+    failureFraction = newFailureFraction;
+  }
 
-  long penaltyUs;
+  void startProbation(Attempt attempt) {
+    probation = attempt;
+  }
 
-  /** The one attempt on probation; null while there is none. */
-  Attempt probation;
+  void endProbation() {
+    probation = null;
+  }
 }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -30,7 +30,7 @@
     policy = settings.discovery();
     for (EndpointState state : endpoints.values()) { // as known, until the list renews the weights
       boolean isDynamic = policy.dynamicWeights() && state.occupancy() > 0;
-      state.updateWeight(state.endpoint.weight(), isDynamic);
+      state.updateWeight(state.entry().weight(), isDynamic);
     }
   }
 
@@ -49,7 +49,7 @@
   /** Whether attempts may be sent to the endpoint of that id. */
   boolean isListed(String id) {
     EndpointState state = endpoints.get(id);
-    return state != null && state.isListed;
+    return state != null && state.isListed();
   }
 
   /** Above 1 where the other zones are more crowded than our own, by the weights of the list. */
@@ -71,19 +71,19 @@
   @SuppressWarnings("ReferenceEquality") // the very object: the state was made with it just now
   private void applyEntry(Endpoint entry, long nowUs) {
     EndpointState state = endpoints.computeIfAbsent(entry.id(), id -> new EndpointState(entry));
-    Endpoint before = state.endpoint;
+    Endpoint before = state.entry();
     boolean isNew = before == entry;
     boolean isUp = entry.health() == Endpoint.Health.UP;
-    boolean isKept = entry.health() == Endpoint.Health.REMOVED && remove(state, nowUs);
-    changed |= isNew || (isUp || isKept) != state.isListed || differs(before, entry);
+    boolean isRetained = entry.health() == Endpoint.Health.REMOVED && remove(state, nowUs);
+    changed |= isNew || (isUp || isRetained) != state.isListed() || differs(before, entry);
     if (isNew || entry.startedUs() > before.startedUs()) { // a new process: nothing old holds
       state.forgetLatency();
       slowStart.begin(state, entry.startedUs(), nowUs);
     }
-    state.endpoint = entry;
-    state.isListed = isUp || isKept;
+    state.updateEntry(entry);
+    state.updateListing(isUp || isRetained);
     if (isUp) {
-      state.removedUs = 0;
+      state.clearRemoval();
     }
     state.updateWeight(entry.weight(), policy.dynamicWeights());
   }
@@ -98,13 +98,13 @@
 
   /** The list names it no more, or as removed; whether it may be used all the same. */
   private boolean remove(EndpointState state, long nowUs) {
-    boolean isKept = removal.keeps(state);
-    if (isKept && state.removedUs == 0) {
-      state.removedUs = nowUs;
+    boolean isRetained = removal.retains(state);
+    if (isRetained) {
+      state.markRemoved(nowUs);
     }
-    changed |= state.isListed != isKept;
-    state.isListed = isKept;
-    return isKept;
+    changed |= state.isListed() != isRetained;
+    state.updateListing(isRetained);
+    return isRetained;
   }
 
   private double measureCrowding() {
@@ -113,9 +113,9 @@
     double remoteLoad = 0;
     double remoteSize = MIN_WEIGHT;
     for (EndpointState state : endpoints.values()) {
-      double load = state.isListed ? state.nominalWeight() * state.occupancy() : 0;
-      double size = state.isListed ? state.nominalWeight() : 0;
-      if (state.endpoint.zone().equals(zone)) {
+      double load = state.isListed() ? state.nominalWeight() * state.occupancy() : 0;
+      double size = state.isListed() ? state.nominalWeight() : 0;
+      if (state.zone().equals(zone)) {
         localLoad += load;
         localSize += size;
       } else {
@@ -131,29 +131,29 @@
     boolean isAnyUnlisted = false;
     for (EndpointState state : endpoints.values()) {
       if (removal.isExpired(state, nowUs)) {
-        state.isListed = false;
+        state.updateListing(false);
       }
-      isAnyUnlisted |= !state.isListed;
+      isAnyUnlisted |= !state.isListed();
     }
     return isAnyUnlisted;
   }
 
   /** Forgets what is unlisted and has nothing in flight. */
   void forgetUnlisted() {
-    endpoints.values().removeIf(state -> !state.isListed && state.inFlightCount() == 0);
+    endpoints.values().removeIf(state -> !state.isListed() && state.inFlightCount() == 0);
   }
 
   /** How long the zone owes an answer to what it was sent after all that it answered; in us. */
   long unansweredUs(String zoneName, long nowUs) {
     long lastAnsweredSentUs = 0;
     for (EndpointState state : endpoints.values()) {
-      if (state.endpoint.zone().equals(zoneName)) {
-        lastAnsweredSentUs = Math.max(lastAnsweredSentUs, state.lastAnsweredSentUs);
+      if (state.zone().equals(zoneName)) {
+        lastAnsweredSentUs = Math.max(lastAnsweredSentUs, state.lastAnsweredSentUs());
       }
     }
     long longestUs = 0;
     for (EndpointState state : endpoints.values()) {
-      if (state.endpoint.zone().equals(zoneName)) {
+      if (state.zone().equals(zoneName)) {
         longestUs = Math.max(longestUs, state.longestWaitUs(lastAnsweredSentUs, nowUs));
       }
     }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
@@ -45,31 +45,30 @@
 
   /** The endpoint reports that many requests in flight. */
   void recordLoadReport(EndpointState endpoint, double inFlight) {
-    endpoint.reportedLoad = inFlight / endpoint.effectiveWeight();
-    meanReportedLoad += REPORT_WEIGHT * (endpoint.reportedLoad - meanReportedLoad);
+    endpoint.recordReportedLoad(inFlight / endpoint.effectiveWeight());
+    meanReportedLoad += REPORT_WEIGHT * (endpoint.reportedLoad() - meanReportedLoad);
   }
 
   /** Others send there too, or it hangs behind a full queue: back off, longer each time. */
   void recordOverload(EndpointState endpoint, double meanLatencyUs, long nowUs) {
-    int doublings = Math.min(endpoint.consecutiveOverloads, MAX_OVERLOAD_DOUBLINGS);
-    endpoint.consecutiveOverloads++;
+    int doublings = Math.min(endpoint.consecutiveOverloads(), MAX_OVERLOAD_DOUBLINGS);
     double factor = (MIN_JITTER_FACTOR + random.nextDouble()) * (1 << doublings);
-    endpoint.retryAfterUs = nowUs + (long) (meanLatencyUs * factor);
-    endpoint.latencyRatio = Math.max(endpoint.latencyRatio, OVERLOADED_LATENCY_RATIO);
+    endpoint.recordOverload(nowUs + (long) (meanLatencyUs * factor));
+    endpoint.raiseLatencyRatio(OVERLOADED_LATENCY_RATIO);
   }
 
   /** The endpoint for the request's next attempt; null if none may take it. */
   EndpointState pick(Request request, long nowUs) {
     if (request.isIdempotent() || !request.mayHaveRun()) { // else draws would miss the few that may
-      EndpointState localChoice = pickOfTwo(request, endpoints.local, nowUs);
-      EndpointState remoteChoice = pickOfTwo(request, endpoints.remote, nowUs);
+      EndpointState localChoice = pickOfTwo(request, endpoints.local(), nowUs);
+      EndpointState remoteChoice = pickOfTwo(request, endpoints.remote(), nowUs);
       EndpointState choice = cheaper(localChoice, remoteChoice, nowUs);
       if (choice != null) {
         return choice;
       }
     }
     EndpointState best = null;
-    for (EndpointState candidate : endpoints.available) {
+    for (EndpointState candidate : endpoints.available()) {
       if (isUsable(request, candidate, nowUs)) {
         best = cheaper(best, candidate, nowUs);
       }
@@ -91,7 +90,7 @@
       boolean drawAgain =
           drawn == null
               || drawn == excluded
-              || random.nextDouble() * endpoints.largestWeight > drawn.effectiveWeight();
+              || random.nextDouble() * endpoints.largestWeight() > drawn.effectiveWeight();
       if (drawAgain) {
         drawn = candidates.get(random.nextInt(candidates.size()));
       }
@@ -108,10 +107,10 @@
   }
 
   private boolean isUsable(Request request, EndpointState endpoint, long nowUs) {
-    return nowUs >= endpoint.retryAfterUs
+    return nowUs >= endpoint.retryAfterUs()
         && endpoint.inFlightCount() < maxInFlight(nowUs)
         && dispatcher.permits(request, endpoint, nowUs)
-        && request.attempts.stream().noneMatch(attempt -> attempt.endpoint == endpoint);
+        && request.attempts().stream().noneMatch(attempt -> attempt.endpoint == endpoint);
   }
 
   private double maxInFlight(long nowUs) {
@@ -121,17 +120,17 @@
   private double cost(EndpointState endpoint, long nowUs) {
     // Damped, or all sidecars would herd to the one that reports the least.
     double reported =
-        Math.sqrt((endpoint.reportedLoad + LOAD_OFFSET) / (meanReportedLoad + LOAD_OFFSET));
-    double ratio = endpoint.latencyRatio * reported;
-    double age = (double) (nowUs - endpoint.lastOutcomeUs) / FORGET_US;
+        Math.sqrt((endpoint.reportedLoad() + LOAD_OFFSET) / (meanReportedLoad + LOAD_OFFSET));
+    double ratio = endpoint.latencyRatio() * reported;
+    double age = (double) (nowUs - endpoint.lastOutcomeUs()) / FORGET_US;
     double freshness = ratio > 1 ? Math.max(0, 1 - age) : 1;
     double latency = 1 + (ratio - 1) * freshness;
-    Attempt oldest = endpoint.inFlight.peekFirst();
+    Attempt oldest = endpoint.oldestInFlight();
     if (oldest != null) { // an old attempt says more than answers from before it
-      double waited = oldest.request.classState.latency.ratioToMean(nowUs - oldest.sentUs);
+      double waited = oldest.request.classState.latency.ratioToMean(nowUs - oldest.sentUs());
       latency = Math.max(latency, waited);
     }
-    boolean isLocal = endpoint.endpoint.zone().equals(zone);
+    boolean isLocal = endpoint.zone().equals(zone);
     double zoneCost = isLocal ? 1 : crossZoneCost * directory.remoteCrowding();
     return latency * (endpoint.inFlightCount() + 1) * zoneCost;
   }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSets.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSets.java
@@ -1,24 +1,44 @@
 package dillcross.balancer;
 
-import java.util.ArrayList;
 import java.util.List;
 
-/** What {@link EndpointSubset} has selected. Plain state. */
+/** Keeps the endpoints that {@link EndpointSubset} selected last, which alone replaces them. */
 final class EndpointSets {
-  /** Not ejected, from this sidecar's position on; all that are listed where all are ejected. */
-  final List<EndpointState> available = new ArrayList<>();
+  private List<EndpointState> available = List.of();
+  private List<EndpointState> ejected = List.of();
+  private List<EndpointState> local = List.of();
+  private List<EndpointState> remote = List.of();
+  private double largestWeight;
+
+  /**
+   * Listed endpoints that are not ejected, from this sidecar's ring position on; all listed ones
+   * where all are ejected.
+   */
+  List<EndpointState> available() {
+    return available;
+  }
 
-  final List<EndpointState> ejected = new ArrayList<>();
+  /** Listed endpoints that are ejected, in ring order. */
+  List<EndpointState> ejected() {
+    return ejected;
+  }
 
-  /** In use, of our own zone. */
-  final List<EndpointState> local = new ArrayList<>();
+  /** The part of the subset in this sidecar's zone. */
+  List<EndpointState> local() {
+    return local;
+  }
 
-  /** In use, of the next zones. */
-  final List<EndpointState> remote = new ArrayList<>();
+  /** The part of the subset in other zones. */
+  List<EndpointState> remote() {
+    return remote;
+  }
 
-  double largestWeight;
+  /** The largest effective weight of a listed endpoint. */
+  double largestWeight() {
+    return largestWeight;
+  }
 
-  /** How many endpoints are in use. */
+  /** How many endpoints are in the subset. */
   int inUse() {
     return local.size() + remote.size();
   }
@@ -27,10 +47,15 @@
     return local.contains(endpoint) || remote.contains(endpoint);
   }
 
-  void clear() {
-    available.clear();
-    ejected.clear();
-    local.clear();
-    remote.clear();
+  void replaceHealth(List<EndpointState> newAvailable, List<EndpointState> newEjected) {
+    available = List.copyOf(newAvailable);
+    ejected = List.copyOf(newEjected);
+  }
+
+  void replaceSubset(
+      List<EndpointState> newLocal, List<EndpointState> newRemote, double newLargestWeight) {
+    local = List.copyOf(newLocal);
+    remote = List.copyOf(newRemote);
+    largestWeight = newLargestWeight;
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -4,93 +4,199 @@
 import java.util.ArrayDeque;
 
 /**
- * What is known of one endpoint. Plain state and statistics; each group names who decides by it.
+ * Keeps what is known of one endpoint: its entry in the endpoint list, the attempts in flight, and
+ * what its answers have shown. Times and latencies are in microseconds.
  */
 final class EndpointState {
-  private static final double WEIGHT_RENEWAL_SHARE = 0.2;
+  private static final double WEIGHT_SAMPLE_WEIGHT = 0.2;
   private static final double LATENCY_SAMPLE_WEIGHT = 0.15;
   private static final long HASH_SEED = 17;
   private static final long HASH_FACTOR = 0x9E3779B97F4A7C15L;
 
-  Endpoint endpoint;
   final EjectionState ejection = new EjectionState();
   final SlowStartState slowStart = new SlowStartState();
 
-  // EndpointDirectory
-
-  /** Whether attempts may be sent to it. */
-  boolean isListed;
-
-  /** Since when the list leaves it out though it did not drain; 0 while it is named. */
-  long removedUs;
+  /** Place on the ring by which subsets are chosen; the same at all sidecars. */
+  final long ringPosition;
 
+  private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
+  private Endpoint entry;
+  private boolean isListed;
+  private long removedUs;
   private double nominalWeight;
   private double occupancy;
+  private long lastAttemptUs;
+  private long lastSuccessUs;
+  private long lastAnsweredSentUs;
+  private long lastOutcomeUs;
+  private double latencyRatio = 1;
+  private int latencySamples;
+  private long retryAfterUs;
+  private int consecutiveOverloads;
+  private double reportedLoad;
 
-  // EndpointSubset
+  EndpointState(Endpoint entry) {
+    this.entry = entry;
+    long position = HASH_SEED;
+    for (char letter : entry.id().toCharArray()) {
+      position = (position ^ letter) * HASH_FACTOR;
+    }
+    ringPosition = position;
+  }
 
-  /** The same at all sidecars. */
-  final long ringPosition;
+  // Its entry in the endpoint list
 
-  /** 0 where its connections were released since. */
-  long lastAttemptUs;
+  /** The newest entry of the endpoint list. */
+  Endpoint entry() {
+    return entry;
+  }
 
-  // AdmissionControl and SilenceMonitor
+  String id() {
+    return entry.id();
+  }
 
-  /** Attempts that count as load, by their time. */
-  final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
+  String zone() {
+    return entry.zone();
+  }
 
-  long lastSuccessUs;
+  int cell() {
+    return entry.cell();
+  }
 
-  /** When the latest attempt was sent that it answered. */
-  long lastAnsweredSentUs;
+  void updateEntry(Endpoint newEntry) {
+    entry = newEntry;
+  }
 
-  // EndpointPicker
+  /** Whether attempts may be sent to it. */
+  boolean isListed() {
+    return isListed;
+  }
 
-  /** Smoothed latency over the mean of the request class. */
-  double latencyRatio = 1;
+  void updateListing(boolean newListed) {
+    isListed = newListed;
+  }
 
-  private int latencySamples;
+  /** Since when the list leaves it out although it did not drain; 0 while it is named. */
+  long removedUs() {
+    return removedUs;
+  }
 
-  /** When an attempt last ended. */
-  long lastOutcomeUs;
+  /** The list leaves it out; an earlier removal counts on. */
+  void markRemoved(long nowUs) {
+    removedUs = removedUs == 0 ? nowUs : removedUs;
+  }
 
-  /** It said that it is overloaded: nothing goes there before. */
-  long retryAfterUs;
+  /** The list names it as up. */
+  void clearRemoval() {
+    removedUs = 0;
+  }
 
-  int consecutiveOverloads;
+  /**
+   * Takes the weight from the endpoint list. Where weights fall with load, the largest seen is the
+   * nominal weight and the rest is occupancy, smoothed so that sidecars that all see the same
+   * delayed figure do not move together.
+   */
+  void updateWeight(double weight, boolean dynamic) {
+    nominalWeight = dynamic ? Math.max(nominalWeight, weight) : weight;
+    double sample = nominalWeight / weight - 1 - occupancy;
+    occupancy = dynamic ? occupancy + WEIGHT_SAMPLE_WEIGHT * sample : 0;
+  }
 
-  /** Requests that it reported in flight, for its weight. */
-  double reportedLoad;
+  /** Its weight without load. */
+  double nominalWeight() {
+    return nominalWeight;
+  }
 
-  EndpointState(Endpoint endpoint) {
-    this.endpoint = endpoint;
-    long position = HASH_SEED;
-    for (char letter : endpoint.id().toCharArray()) {
-      position = (position ^ letter) * HASH_FACTOR;
-    }
-    ringPosition = position;
+  /** Requests in flight per unit of weight, as its weights show; smoothed. */
+  double occupancy() {
+    return occupancy;
   }
 
+  /** Its weight, less the part that is occupied. */
+  double effectiveWeight() {
+    return nominalWeight / (1 + occupancy);
+  }
+
+  // Attempts
+
+  /** Attempts of this sidecar that count as load. */
   int inFlightCount() {
     return inFlight.size();
   }
 
-  /** How long the oldest attempt has waited of those sent after that time; 0 if there is none. */
+  /** The one of them that was sent first; null if there is none. */
+  Attempt oldestInFlight() {
+    return inFlight.peekFirst();
+  }
+
+  /** How long the oldest of them has waited that was sent after that time; 0 if there is none. */
   long longestWaitUs(long sentAfterUs, long nowUs) {
     long longestUs = 0;
     for (Attempt attempt : inFlight) {
-      if (attempt.sentUs > sentAfterUs) {
-        longestUs = Math.max(longestUs, nowUs - attempt.sentUs);
+      if (attempt.sentUs() > sentAfterUs) {
+        longestUs = Math.max(longestUs, nowUs - attempt.sentUs());
       }
     }
     return longestUs;
   }
 
-  /** A new process at its place: no measured latency holds. */
-  void forgetLatency() {
-    latencyRatio = 1;
-    latencySamples = 0;
+  void addInFlight(Attempt attempt) {
+    inFlight.addLast(attempt);
+  }
+
+  void removeInFlight(Attempt attempt) {
+    inFlight.remove(attempt);
+  }
+
+  /** When the latest attempt was sent; 0 where its connections were released since. */
+  long lastAttemptUs() {
+    return lastAttemptUs;
+  }
+
+  void recordSent(long nowUs) {
+    lastAttemptUs = nowUs;
+    slowStart.recordSent();
+  }
+
+  void recordConnectionsReleased() {
+    lastAttemptUs = 0;
+  }
+
+  // What its answers have shown
+
+  long lastSuccessUs() {
+    return lastSuccessUs;
+  }
+
+  /** The latest time at which an attempt was sent that it has answered. */
+  long lastAnsweredSentUs() {
+    return lastAnsweredSentUs;
+  }
+
+  /** It has answered an attempt that was sent at that time successfully. */
+  void recordSuccess(long sentUs, long nowUs) {
+    lastSuccessUs = nowUs;
+    lastAnsweredSentUs = Math.max(lastAnsweredSentUs, sentUs);
+    consecutiveOverloads = 0;
+    slowStart.recordSuccess();
+  }
+
+  /** When an attempt last ended. */
+  long lastOutcomeUs() {
+    return lastOutcomeUs;
+  }
+
+  /** An attempt has ended; a high latency from before {@code staleAfterUs} is forgotten. */
+  void recordOutcome(long nowUs, long staleAfterUs) {
+    if (nowUs - lastOutcomeUs > staleAfterUs) {
+      latencyRatio = Math.min(1, latencyRatio);
+    }
+    lastOutcomeUs = nowUs;
+  }
+
+  /** Smoothed latency as a multiple of the mean of the request class. */
+  double latencyRatio() {
+    return latencyRatio;
   }
 
   /** The latency ratio, at least 1 and at most {@code max}. */
@@ -105,28 +211,38 @@
     latencyRatio += weight * (ratio - latencyRatio);
   }
 
-  /**
-   * Takes the list's weight. Where weights fall with load the largest seen is the size, and the
-   * rest is occupancy, smoothed: sidecars that all follow one late figure would herd.
-   */
-  void updateWeight(double weight, boolean dynamic) {
-    nominalWeight = dynamic ? Math.max(nominalWeight, weight) : weight;
-    double sample = nominalWeight / weight - 1 - occupancy;
-    occupancy = dynamic ? occupancy + WEIGHT_RENEWAL_SHARE * sample : 0;
+  /** Has the latency ratio be no lower than {@code ratio}. */
+  void raiseLatencyRatio(double ratio) {
+    latencyRatio = Math.max(latencyRatio, ratio);
   }
 
-  /** Its size with no load. */
-  double nominalWeight() {
-    return nominalWeight;
+  /** It is a new process: what was measured of the old one does not hold. */
+  void forgetLatency() {
+    latencyRatio = 1;
+    latencySamples = 0;
   }
 
-  /** Requests in flight per unit of size, as its weights tell; smoothed. */
-  double occupancy() {
-    return occupancy;
+  /** It answered that it is overloaded: nothing is sent there before this time. */
+  long retryAfterUs() {
+    return retryAfterUs;
   }
 
-  /** Its size, less what it has in flight. */
-  double effectiveWeight() {
-    return nominalWeight / (1 + occupancy);
+  /** Such answers since its last success. */
+  int consecutiveOverloads() {
+    return consecutiveOverloads;
+  }
+
+  void recordOverload(long newRetryAfterUs) {
+    consecutiveOverloads++;
+    retryAfterUs = newRetryAfterUs;
+  }
+
+  /** Requests that it reported in flight, per unit of weight. */
+  double reportedLoad() {
+    return reportedLoad;
+  }
+
+  void recordReportedLoad(double load) {
+    reportedLoad = load;
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -67,35 +67,45 @@
       return false;
     }
     isStale = false;
-    sets.clear();
     directory.forgetUnlisted();
     List<EndpointState> ring =
         directory.all().stream()
-            .filter(state -> state.isListed)
+            .filter(EndpointState::isListed)
             .sorted(Comparator.comparingLong(state -> state.ringPosition))
             .toList();
-    ring.forEach(state -> (state.ejection.isEjected ? sets.ejected : sets.available).add(state));
-    if (sets.available.isEmpty()) {
-      sets.available.addAll(sets.ejected); // the design: all ejected is as none
-    }
-    // Or all sidecars whose own endpoints are full would turn to the same one.
-    Collections.rotate(sets.available, -(int) (position * sets.available.size()));
-    selectZones(ring);
-    sets.largestWeight = ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
+    selectByHealth(ring);
+    selectByZone(ring);
     return true;
   }
 
-  private void selectZones(List<EndpointState> ring) {
+  private void selectByHealth(List<EndpointState> ring) {
+    List<EndpointState> available = new ArrayList<>();
+    List<EndpointState> ejected = new ArrayList<>();
+    ring.forEach(state -> (state.ejection.isEjected() ? ejected : available).add(state));
+    if (available.isEmpty()) {
+      available.addAll(ejected); // with every endpoint ejected, the ejection tells nothing
+    }
+    // Starts at this sidecar's ring position so that sidecars overflow to different endpoints.
+    Collections.rotate(available, -(int) (position * available.size()));
+    sets.replaceHealth(available, ejected);
+  }
+
+  private void selectByZone(List<EndpointState> ring) {
     Map<String, List<EndpointState>> zones = new HashMap<>();
     for (EndpointState state : ring) {
-      zones.computeIfAbsent(state.endpoint.zone(), name -> new ArrayList<>()).add(state);
+      zones.computeIfAbsent(state.zone(), name -> new ArrayList<>()).add(state);
     }
-    select(zones.remove(zone), sets.local);
+    List<EndpointState> local = new ArrayList<>();
+    select(zones.remove(zone), local);
+    List<EndpointState> remote = new ArrayList<>();
     int start = (int) (position * ring.size());
-    for (int i = 0; i < ring.size() && sets.remote.size() < targetSize; i++) {
+    for (int i = 0; i < ring.size() && remote.size() < targetSize; i++) {
       EndpointState state = ring.get((start + i) % ring.size());
-      select(zones.remove(state.endpoint.zone()), sets.remote);
+      select(zones.remove(state.zone()), remote);
     }
+    double largestWeight =
+        ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
+    sets.replaceSubset(local, remote, largestWeight);
   }
 
   /** Ejected and warming endpoints do not count; when all that is used is full others help. */
@@ -107,15 +117,16 @@
     int start = startIndex(candidates, position * total);
     double missing = targetSize * total / candidates.size();
     int warm = 0;
+    boolean isAllEjected = sets.available().get(0).ejection.isEjected();
     for (int i = 0; i < candidates.size(); i++) {
       if (missing <= ROUNDING_TOLERANCE * total && warm >= MIN_WARM_ENDPOINTS) {
         return;
       }
       EndpointState state = candidates.get((start + i) % candidates.size());
-      boolean isUsable = !state.ejection.isEjected || sets.available.get(0).ejection.isEjected;
+      boolean isUsable = !state.ejection.isEjected() || isAllEjected;
       if (isUsable) {
         selected.add(state);
-        boolean isWarm = state.slowStart.startUs == 0;
+        boolean isWarm = state.slowStart.isWarm();
         missing -= isWarm ? state.nominalWeight() : 0;
         warm += isWarm ? 1 : 0;
       }
--- a/sidecar/src/main/java/dillcross/balancer/IdleConnections.java
+++ b/sidecar/src/main/java/dillcross/balancer/IdleConnections.java
@@ -24,10 +24,10 @@
   /** Releases the connections of endpoints that are unused at {@code nowUs}. */
   void releaseUnused(long nowUs) {
     for (EndpointState endpoint : directory.all()) {
-      boolean isIdle = endpoint.lastAttemptUs > 0 && endpoint.inFlightCount() == 0;
-      if (isIdle && nowUs - endpoint.lastAttemptUs > UNUSED_US && !endpoints.isInUse(endpoint)) {
-        endpoint.lastAttemptUs = 0;
-        decisions.add(new Decision.ReleaseConnections(endpoint.endpoint.id()));
+      boolean isIdle = endpoint.lastAttemptUs() > 0 && endpoint.inFlightCount() == 0;
+      if (isIdle && nowUs - endpoint.lastAttemptUs() > UNUSED_US && !endpoints.isInUse(endpoint)) {
+        endpoint.recordConnectionsReleased();
+        decisions.add(new Decision.ReleaseConnections(endpoint.id()));
       }
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
@@ -31,35 +31,34 @@
   /** From now on the endpoint works for the attempt. */
   void start(Attempt attempt, long nowUs) {
     meanResponsive(nowUs);
-    attempt.countsAsLoad = true;
-    attempt.sentUs = nowUs;
+    attempt.startLoad(nowUs);
     total++;
-    attempt.endpoint.inFlight.addLast(attempt);
+    attempt.endpoint.addInFlight(attempt);
   }
 
   /** The attempt is no load any more. */
   void release(Attempt attempt, long nowUs) {
-    if (attempt.countsAsLoad) {
+    if (attempt.countsAsLoad()) {
       meanResponsive(nowUs);
-      unresponsive -= attempt.isSilent || attempt.isConnectionSuspect ? 1 : 0;
+      unresponsive -= attempt.isSilent() || attempt.isConnectionSuspect() ? 1 : 0;
       total--;
-      attempt.endpoint.inFlight.remove(attempt);
-      attempt.countsAsLoad = false;
+      attempt.endpoint.removeInFlight(attempt);
+      attempt.endLoad();
     }
     capacityChanged = true;
   }
 
   /** Its silence must not use up the limit of a sidecar with little traffic. */
   void markSilent(Attempt attempt) {
-    unresponsive += attempt.isConnectionSuspect ? 0 : 1;
-    attempt.isSilent = true;
+    unresponsive += attempt.isConnectionSuspect() ? 0 : 1;
+    attempt.markSilent();
   }
 
   /** Dead connections alone would hold all of the limit until their requests end. */
   void markConnectionSuspect(Attempt attempt) {
-    attempt.isConnectionSuspect = true;
+    attempt.markConnectionSuspect();
     unresponsive++;
-    attempt.endpoint.inFlight.remove(attempt);
+    attempt.endpoint.removeInFlight(attempt);
     capacityChanged = true;
   }
 
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -207,11 +207,9 @@
     if (request == null) {
       return;
     }
-    request.isBodyIncomplete = !complete;
-    request.isBodyReleased = !replayable;
+    request.updateBody(complete, replayable, now);
     if (complete) {
-      request.deadlineUs += now - request.arrivalUs;
-      request.attempts.stream()
+      request.attempts().stream()
           .filter(Attempt::isInFlight)
           .forEach(attempt -> dispatcher.countAsLoad(attempt, now));
     }
@@ -221,11 +219,11 @@
   public void onResponseStarted(long nowUs, long id, int attemptNumber) {
     now = nowUs;
     Request request = requests.find(id);
-    if (request != null && attemptNumber < request.attempts.size()) {
-      Attempt attempt = request.attempts.get(attemptNumber);
-      request.streaming = attempt;
+    if (request != null && attemptNumber < request.attempts().size()) {
+      Attempt attempt = request.attempts().get(attemptNumber);
+      request.startStreaming(attempt);
       inFlight.release(attempt, now); // how long it streams is its client's doing as well
-      outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs), now);
+      outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs()), now);
       requests.cancelOthers(request);
     }
   }
@@ -246,18 +244,17 @@
       boolean requestOver) {
     now = nowUs;
     Request request = requests.find(id);
-    boolean isKnown = request != null && attemptNumber < request.attempts.size();
-    if (!isKnown || !request.attempts.get(attemptNumber).isInFlight()) {
+    boolean isKnown = request != null && attemptNumber < request.attempts().size();
+    if (!isKnown || !request.attempts().get(attemptNumber).isInFlight()) {
       return;
     }
-    Attempt attempt = request.attempts.get(attemptNumber);
-    attempt.outcome = outcome;
-    request.attemptsInFlight--;
+    Attempt attempt = request.attempts().get(attemptNumber);
+    request.endAttempt(attempt, outcome);
     inFlight.release(attempt, now);
     long tookUs = Math.max(1, elapsedUs); // an answer within the clock's step takes time as well
     outcomes.recordOutcome(attempt, tookUs, now);
     requests.settle(request, requestOver);
-    if (!request.isOver && request.attemptsInFlight == 0) {
+    if (!request.isOver() && request.attemptsInFlight() == 0) {
       requests.placeAgain(request);
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
@@ -30,17 +30,14 @@
   /** The attempt has ended after {@code tookUs}. */
   void recordOutcome(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
-    if (nowUs - endpoint.lastOutcomeUs > STALE_LATENCY_US) {
-      endpoint.latencyRatio = Math.min(1, endpoint.latencyRatio);
-    }
-    endpoint.lastOutcomeUs = nowUs;
+    endpoint.recordOutcome(nowUs, STALE_LATENCY_US);
     recordLateness(attempt, tookUs);
-    boolean succeeded = attempt.outcome == AttemptOutcome.SUCCEEDED;
-    if (succeeded && attempt.request.streaming != attempt) {
+    boolean succeeded = attempt.outcome() == AttemptOutcome.SUCCEEDED;
+    if (succeeded && attempt.request.streaming() != attempt) {
       recordSuccess(attempt, tookUs, nowUs);
-    } else if (attempt.outcome.isFailure) {
+    } else if (attempt.outcome().isFailure) {
       recordFailure(attempt, tookUs, nowUs);
-    } else if (attempt.outcome == AttemptOutcome.OVERLOADED) {
+    } else if (attempt.outcome() == AttemptOutcome.OVERLOADED) {
       picker.recordOverload(endpoint, attempt.request.classState.latency.meanUs(), nowUs);
     }
     ejection.endProbation(attempt);
@@ -52,8 +49,8 @@
     boolean isLate = tookUs > classState.requestClass().latencyObjectiveUs();
     boolean counts =
         isLate
-            ? attempt.endpoint.lastSuccessUs > attempt.sentUs
-            : attempt.outcome == AttemptOutcome.SUCCEEDED;
+            ? attempt.endpoint.lastSuccessUs() > attempt.sentUs()
+            : attempt.outcome() == AttemptOutcome.SUCCEEDED;
     if (counts) {
       classState.recordLateness(isLate);
     }
@@ -63,33 +60,30 @@
   void recordSuccess(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     ClassState classState = attempt.request.classState;
-    endpoint.lastSuccessUs = nowUs;
-    endpoint.lastAnsweredSentUs = Math.max(endpoint.lastAnsweredSentUs, attempt.sentUs);
+    endpoint.recordSuccess(attempt.sentUs(), nowUs);
     boolean isIdle = admission.isNearlyIdle();
     LatencyEstimate latency = classState.latency;
     latency.record((double) tookUs, isIdle ? BASELINE_RISE_IDLE : BASELINE_RISE);
     endpoint.recordLatencyRatio(latency.boundedRatioToMean(tookUs));
-    endpoint.consecutiveOverloads = 0;
     slowdown.record(attempt, tookUs, nowUs);
     traffic.recordSuccess(latency.baselineUs(), nowUs);
-    endpoint.slowStart.successes++;
     ejection.recordSuccess(attempt, nowUs);
   }
 
   private void recordFailure(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
-    boolean isTimeout = attempt.outcome == AttemptOutcome.TIMED_OUT;
+    boolean isTimeout = attempt.outcome() == AttemptOutcome.TIMED_OUT;
     LatencyEstimate latency = attempt.request.classState.latency;
     // One time-out says as much as many slow answers; with little traffic there are no more.
-    boolean saysNothing = attempt.isConnectionSuspect || attempt.request.isBodyIncomplete;
+    boolean saysNothing = attempt.isConnectionSuspect() || attempt.request.isBodyIncomplete();
     double ratio = saysNothing ? 0 : latency.boundedRatioToMean(tookUs);
-    endpoint.latencyRatio = Math.max(endpoint.latencyRatio, ratio);
+    endpoint.raiseLatencyRatio(ratio);
     // A client that gives up before an answer could be expected says nothing of the endpoint.
-    boolean isProbation = endpoint.ejection.probation == attempt;
+    boolean isProbation = endpoint.ejection.isProbation(attempt);
     if (!isTimeout || latency.isTimeoutFailure(tookUs) || isProbation) {
       ejection.recordFailure(attempt, nowUs);
     }
-    if (isTimeout && !endpoint.ejection.isEjected && !attempt.isConnectionSuspect) {
+    if (isTimeout && !endpoint.ejection.isEjected() && !attempt.isConnectionSuspect()) {
       slowdown.record(attempt, tookUs, nowUs); // a jam answers nothing, and must tell
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -9,8 +9,7 @@
  */
 final class OutlierEjection {
   private static final int CONSECUTIVE_FAILURES = 5; // the design's threshold
-  private static final double FAILURE_SHARE = 0.4; // five failures in a row cross it too
-  private static final double FAILURE_SAMPLE_WEIGHT = 0.1;
+  private static final double FAILURE_FRACTION = 0.4; // five failures in a row cross it too
   private static final long MAX_PENALTY_US = 60_000_000; // the design's ceiling
   private static final long FIRST_PENALTY_US = 1_000_000; // short, so that a pause costs little
   private static final double JITTER = 0.2; // of a penalty
@@ -28,13 +27,12 @@
   /** Notes a failure once, whether its silence or its end tells it. */
   void recordFailure(Attempt attempt, long nowUs) {
     EjectionState state = attempt.endpoint.ejection;
-    if (!attempt.isSilent) {
-      state.consecutiveFailures++;
-      state.failureShare += FAILURE_SAMPLE_WEIGHT * (1 - state.failureShare);
+    if (!attempt.isSilent()) {
+      state.recordFailure();
     }
-    boolean isOutlier = !attempt.isSilent && !state.isEjected && isOutlier(attempt);
-    if (isOutlier || state.probation == attempt) {
-      boolean bySilence = attempt.isInFlight() && (isOutlier || state.isEjectedBySilence);
+    boolean isOutlier = !attempt.isSilent() && !state.isEjected() && isOutlier(attempt);
+    if (isOutlier || state.isProbation(attempt)) {
+      boolean bySilence = attempt.isInFlight() && (isOutlier || state.isEjectedBySilence());
       eject(state, bySilence, nowUs);
     }
   }
@@ -42,22 +40,21 @@
   private static boolean isOutlier(Attempt attempt) {
     EjectionState state = attempt.endpoint.ejection;
     boolean isUnreachable =
-        attempt.outcome == AttemptOutcome.CONNECT_FAILED || attempt.outcome == AttemptOutcome.RESET;
-    return state.consecutiveFailures >= CONSECUTIVE_FAILURES
-        || state.failureShare > FAILURE_SHARE
-        || (isUnreachable && attempt.endpoint.removedUs > 0);
+        attempt.outcome() == AttemptOutcome.CONNECT_FAILED
+            || attempt.outcome() == AttemptOutcome.RESET;
+    return state.consecutiveFailures() >= CONSECUTIVE_FAILURES
+        || state.failureFraction() > FAILURE_FRACTION
+        || (isUnreachable && attempt.endpoint.removedUs() > 0);
   }
 
   private void eject(EjectionState state, boolean bySilence, long nowUs) {
     // It doubles soon after the last, too: who fails half of its requests may pass probation.
     boolean isRepeated =
-        state.penaltyUs > 0 && nowUs < state.untilUs + 2 * state.penaltyUs + FIRST_PENALTY_US;
-    state.penaltyUs = isRepeated ? Math.min(MAX_PENALTY_US, 2 * state.penaltyUs) : FIRST_PENALTY_US;
+        state.penaltyUs() > 0 && nowUs < state.untilUs() + 2 * state.penaltyUs() + FIRST_PENALTY_US;
+    long penaltyUs =
+        isRepeated ? Math.min(MAX_PENALTY_US, 2 * state.penaltyUs()) : FIRST_PENALTY_US;
     double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
-    state.untilUs = nowUs + (long) (state.penaltyUs * jitter);
-    state.isEjectedBySilence = bySilence;
-    state.isEjected = true;
-    state.probation = null;
+    state.eject(penaltyUs, nowUs + (long) (penaltyUs * jitter), bySilence);
     subset.invalidate();
   }
 
@@ -65,14 +62,12 @@
   void recordSuccess(Attempt attempt, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     EjectionState state = endpoint.ejection;
-    state.consecutiveFailures = 0;
-    state.failureShare *= 1 - FAILURE_SAMPLE_WEIGHT;
-    boolean isOnProbation = state.probation == attempt;
-    if (state.isEjected && (isOnProbation || state.isEjectedBySilence)) {
-      state.isEjected = false;
-      state.failureShare = FAILURE_SHARE / 2;
+    state.recordSuccess();
+    boolean isOnProbation = state.isProbation(attempt);
+    if (state.isEjected() && (isOnProbation || state.isEjectedBySilence())) {
+      state.readmit(FAILURE_FRACTION / 2);
       subset.invalidate();
-      slowStart.begin(endpoint, isOnProbation ? nowUs : endpoint.slowStart.startUs, nowUs);
+      slowStart.begin(endpoint, isOnProbation ? nowUs : endpoint.slowStart.startUs(), nowUs);
     }
   }
 
@@ -80,18 +75,18 @@
   boolean isProbationDue(EndpointState endpoint, Request request, long nowUs) {
     EjectionState state = endpoint.ejection;
     long extraUs =
-        request.isIdempotent() ? 0 : state.penaltyUs; // it could not be retried elsewhere
-    return state.isEjected
-        && state.probation == null
-        && nowUs >= endpoint.retryAfterUs
-        && nowUs >= state.untilUs + extraUs;
+        request.isIdempotent() ? 0 : state.penaltyUs(); // it could not be retried elsewhere
+    return state.isEjected()
+        && !state.hasProbation()
+        && nowUs >= endpoint.retryAfterUs()
+        && nowUs >= state.untilUs() + extraUs;
   }
 
   /** The attempt has ended; another may be on probation. */
   void endProbation(Attempt attempt) {
     EjectionState state = attempt.endpoint.ejection;
-    if (state.probation == attempt) {
-      state.probation = null;
+    if (state.isProbation(attempt)) {
+      state.endProbation();
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
+++ b/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
@@ -9,7 +9,7 @@
  * dies as it leaves the list.
  */
 final class RemovalGrace {
-  private static final long MAX_KEPT_US = 60_000_000; // after removal and last answer
+  private static final long MAX_RETENTION_US = 60_000_000; // after removal and last answer
 
   private DiscoveryPolicy policy;
 
@@ -18,12 +18,12 @@
   }
 
   /** Whether the endpoint, removed now, is used on. */
-  boolean keeps(EndpointState endpoint) {
-    return policy.keepRemoved() && endpoint.isListed;
+  boolean retains(EndpointState endpoint) {
+    return policy.keepRemoved() && endpoint.isListed();
   }
 
   boolean isExpired(EndpointState endpoint, long nowUs) {
-    long sinceUs = Math.max(endpoint.removedUs, endpoint.lastSuccessUs);
-    return endpoint.removedUs != 0 && nowUs - sinceUs >= MAX_KEPT_US;
+    long sinceUs = Math.max(endpoint.removedUs(), endpoint.lastSuccessUs());
+    return endpoint.removedUs() != 0 && nowUs - sinceUs >= MAX_RETENTION_US;
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
@@ -38,9 +38,9 @@
     long untilUs = waitUntilUs(request);
     // A retry waits only for the limit: where no endpoint may take it, waiting changes nothing.
     boolean mayWait = isFirst || (!admission.admits(request, nowUs) && !request.mayHaveRun());
-    boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs;
-    if (mayWait && isInTime && !endpoints.available.isEmpty()) {
-      requests.waiting.add(request);
+    boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs();
+    if (mayWait && isInTime && !endpoints.available().isEmpty()) {
+      requests.addWaiting(request);
       inFlight.signalCapacity();
       checks.schedule(untilUs, checkUs -> expire(request, checkUs));
     } else {
@@ -56,7 +56,7 @@
   }
 
   private void expire(Request request, long nowUs) {
-    if (!request.isOver && requests.waiting.remove(request)) {
+    if (!request.isOver() && requests.removeWaiting(request)) {
       finalAnswer.giveUp(request, nowUs);
     }
   }
@@ -66,8 +66,8 @@
    * timeout.
    */
   void shed(double successesPerUs, long meanObjectiveUs, long nowUs) {
-    while (requests.waiting.size() > 1 + successesPerUs * QUEUE_FRACTION * meanObjectiveUs) {
-      finalAnswer.giveUp(requests.waiting.last(), nowUs);
+    while (requests.waitingCount() > 1 + successesPerUs * QUEUE_FRACTION * meanObjectiveUs) {
+      finalAnswer.giveUp(requests.lowestWaiting(), nowUs);
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
@@ -29,7 +29,6 @@
     usualValueRate += Math.max(MIN_SAMPLE_WEIGHT, 1.0 / requests) * (valueRate - usualValueRate);
     double repeatShare = isRepeat ? REPEAT_SHARE : 1;
     double relativeValue = valueRate / Math.max(MIN_VALUE_RATE, usualValueRate) * repeatShare;
-    request.relativeValue = relativeValue;
-    request.rank = need * valueRate * repeatShare;
+    request.updateRank(need * valueRate * repeatShare, relativeValue);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
@@ -37,7 +37,7 @@
   }
 
   private void place(Request request, long nowUs) {
-    boolean isFirst = request.attempts.isEmpty();
+    boolean isFirst = request.attempts().isEmpty();
     if (isFirst && router.sendOnProbation(request, nowUs)) {
       return;
     }
@@ -46,7 +46,7 @@
       return;
     }
     double price = attempts.price(request);
-    boolean mustQueue = isFirst && !requests.waiting.isEmpty();
+    boolean mustQueue = isFirst && requests.hasWaiting();
     if (!mustQueue && admission.admits(request, nowUs) && router.sendToPicked(request, nowUs)) {
       attempts.charge(price);
     } else {
@@ -56,11 +56,11 @@
 
   /** Sends waiting requests, the highest rank first, as far as the concurrency limit allows. */
   void placeWaiting(long nowUs) {
-    while (!requests.waiting.isEmpty() && admission.admits(requests.waiting.first(), nowUs)) {
-      Request request = requests.waiting.first();
+    while (requests.hasWaiting() && admission.admits(requests.highestWaiting(), nowUs)) {
+      Request request = requests.highestWaiting();
       if (router.sendToPicked(request, nowUs)) {
-        requests.waiting.remove(request);
-      } else if (request.attempts.isEmpty()) {
+        requests.removeWaiting(request);
+      } else if (request.attempts().isEmpty()) {
         return;
       } else {
         finalAnswer.giveUp(request, nowUs); // a retry with no endpoint left must not block the rest
--- a/sidecar/src/main/java/dillcross/balancer/RequestTable.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestTable.java
@@ -6,19 +6,17 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The requests of one sidecar, and what is to be done with them next. */
+/** Keeps the requests of one sidecar, and which of them need an attempt, capacity or an end. */
 final class RequestTable {
   private static final Comparator<Request> BY_RANK =
-      Comparator.<Request>comparingDouble(request -> request.rank)
+      Comparator.comparingDouble(Request::rank)
           .reversed()
           .thenComparingLong(request -> request.sequence);
 
-  /** Waiting for capacity, the highest rank first. */
-  final TreeSet<Request> waiting = new TreeSet<>(BY_RANK);
-
   private final Map<Long, Request> requests = new HashMap<>();
   private final ArrayDeque<Request> toPlace = new ArrayDeque<>();
   private final ArrayDeque<Request> toCancel = new ArrayDeque<>();
+  private final TreeSet<Request> waiting = new TreeSet<>(BY_RANK);
 
   /** The request of that id; null where it is over and has nothing in flight. */
   Request find(long id) {
@@ -35,7 +33,7 @@
     toPlace.add(request);
   }
 
-  /** It has an answer or needs none: attempts in flight have nothing to give. */
+  /** It has an answer or needs none, so its other attempts in flight are unneeded. */
   void cancelOthers(Request request) {
     toCancel.add(request);
   }
@@ -43,25 +41,59 @@
   /** The next request with nothing in flight that needs an attempt or an answer; null if none. */
   Request nextToPlace() {
     Request request = toPlace.poll();
-    while (request != null && (request.isOver || request.attemptsInFlight > 0)) {
+    while (request != null && (request.isOver() || request.attemptsInFlight() > 0)) {
       request = toPlace.poll();
     }
     return request;
   }
 
-  /** The next request whose attempts in flight have nothing to give; null if none. */
+  /** The next request whose attempts in flight are unneeded; null if none. */
   Request nextToCancel() {
     return toCancel.poll();
   }
 
-  /** Keeps a request that is over only while an attempt is in flight, and has that cancelled. */
+  // Waiting for capacity, the highest rank first
+
+  boolean hasWaiting() {
+    return !waiting.isEmpty();
+  }
+
+  int waitingCount() {
+    return waiting.size();
+  }
+
+  Request highestWaiting() {
+    return waiting.first();
+  }
+
+  Request lowestWaiting() {
+    return waiting.last();
+  }
+
+  void addWaiting(Request request) {
+    waiting.add(request);
+  }
+
+  /** Whether the request was waiting. */
+  boolean removeWaiting(Request request) {
+    return waiting.remove(request);
+  }
+
+  /**
+   * Updates the table after a change of the request. One that is over is kept only while an attempt
+   * is in flight, which is cancelled.
+   *
+   * @param ends whether the request is over with this change
+   */
   void settle(Request request, boolean ends) {
     waiting.remove(request);
-    if (ends && !request.isOver && request.streaming == null) {
+    if (ends && !request.isOver() && request.streaming() == null) {
       toCancel.add(request);
     }
-    request.isOver |= ends;
-    if (request.isOver && request.attemptsInFlight == 0) {
+    if (ends) {
+      request.end();
+    }
+    if (request.isOver() && request.attemptsInFlight() == 0) {
       requests.remove(request.id);
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -43,21 +43,21 @@
 
   private void check(Attempt attempt, long nowUs) {
     Request request = attempt.request;
-    if (!attempt.isInFlight() || attempt.isSilent || request.streaming != null) {
+    if (!attempt.isInFlight() || attempt.isSilent() || request.streaming() != null) {
       return;
     }
     long overdueUs = overdueAfterUs(attempt);
-    long elapsedUs = nowUs - attempt.sentUs;
+    long elapsedUs = nowUs - attempt.sentUs();
     boolean isOverdue = elapsedUs >= overdueUs;
-    long silentSinceUs = Math.max(attempt.sentUs, nowUs - overdueUs);
-    if (isOverdue && attempt.endpoint.lastSuccessUs <= silentSinceUs) {
+    long silentSinceUs = Math.max(attempt.sentUs(), nowUs - overdueUs);
+    if (isOverdue && attempt.endpoint.lastSuccessUs() <= silentSinceUs) {
       ejection.recordFailure(attempt, nowUs);
       inFlight.markSilent(attempt);
     } else { // it answers others: check again, it may fall silent yet
       long hedgeUs = attempts.hedgeAfterUs(request);
       long nextUs = elapsedUs < hedgeUs ? hedgeUs - elapsedUs : overdueUs / 2;
       checks.schedule(nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
-      if (isOverdue && !attempt.isConnectionSuspect) {
+      if (isOverdue && !attempt.isConnectionSuspect()) {
         inFlight.markConnectionSuspect(attempt);
       }
     }
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -31,16 +31,15 @@
   /** Has the endpoint warm up from {@code startUs} on; 0, or long ago, counts as warm. */
   void begin(EndpointState endpoint, long startUs, long nowUs) {
     boolean isWarm = startUs == 0 || nowUs - startUs > policy.warmUpUs();
-    endpoint.slowStart.startUs = isWarm ? 0 : startUs;
-    endpoint.slowStart.successes = 0;
+    endpoint.slowStart.begin(isWarm ? 0 : startUs);
   }
 
   /** Whether the endpoint may get one more attempt now. */
   boolean hasBudget(EndpointState endpoint, long nowUs) {
     SlowStartState state = endpoint.slowStart;
-    long elapsedUs = nowUs - state.startUs;
-    if (state.startUs == 0 || elapsedUs >= policy.warmUpUs()) {
-      state.startUs = 0;
+    long elapsedUs = nowUs - state.startUs();
+    if (state.isWarm() || elapsedUs >= policy.warmUpUs()) {
+      state.end();
       return true;
     }
     double initialShare = policy.initialCapacityShare();
@@ -52,16 +51,14 @@
     double budget =
         BUDGET_SHARE * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
     openWindow(state, nowUs / policy.windowUs());
-    return endpoint.inFlightCount() < 1 + state.successes
-        && state.sentInWindow + 1 <= budget + state.rounding;
+    return endpoint.inFlightCount() < 1 + state.successes()
+        && state.sentInWindow() + 1 <= budget + state.rounding();
   }
 
   private void openWindow(SlowStartState state, long window) {
-    if (window != state.window) {
-      state.window = window;
-      state.sentInWindow = 0;
+    if (window != state.window()) {
       // A floor of one attempt a sidecar would add up over hundreds of them.
-      state.rounding = random.nextDouble();
+      state.openWindow(window, random.nextDouble());
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
@@ -30,7 +30,7 @@
    * limit of the rest must not fall for it. A baseline learned under load is kept in bounds.
    */
   void record(Attempt attempt, long tookUs, long nowUs) {
-    if (attempt.endpoint.slowStart.startUs != 0) {
+    if (!attempt.endpoint.slowStart.isWarm()) {
       return; // it is slow without a queue
     }
     long objectiveUs = attempt.request.requestClass.latencyObjectiveUs();
