--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -17,6 +17,11 @@
   private static final double MIN_SIZE = 1.5; // mean endpoint sizes of a zone
   private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25; // so that each is heard in time
   private static final int MIN_WARM_ENDPOINTS = 2; // to choose between
+  private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
+  private static final double KEEP_ALL_FRACTION = 0.7; // of the rate from which all are used
+  private static final double GROW_FACTOR = 1.2;
+  private static final double SHRINK_FACTOR = 0.6;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final EndpointDirectory directory;
   private final EndpointSets sets;
@@ -32,8 +37,8 @@
 
   void configure(BalancerSettings settings) {
     zone = settings.zone();
-    // Multiples of the golden ratio lie evenly.
-    position = Math.abs(settings.instanceIndex() * (Math.sqrt(5) - 1) / 2) % 1;
+    // The fractions of multiples of the golden ratio are spread evenly.
+    position = Math.abs(settings.instanceIndex() * GOLDEN_RATIO) % 1;
     isStale = true;
   }
 
@@ -45,12 +50,12 @@
   /** Fits the size to the traffic; not to chance alone, as moving loses what was measured. */
   void resize(double requestsPerSecond) {
     int known = directory.all().size();
-    double threshold = known * (targetSize < known ? 1 : 0.7);
+    double threshold = known * (targetSize < known ? 1 : KEEP_ALL_FRACTION);
     double wanted =
         requestsPerSecond > threshold
             ? known + 1
             : Math.max(MIN_SIZE, SIZE_PER_REQUEST_PER_SECOND * requestsPerSecond);
-    if (wanted > 1.2 * targetSize || wanted < 0.6 * targetSize) {
+    if (wanted > GROW_FACTOR * targetSize || wanted < SHRINK_FACTOR * targetSize) {
       targetSize = wanted;
       isStale = true;
     }
@@ -62,35 +67,45 @@
       return false;
     }
     isStale = false;
-    sets.clear();
     directory.forgetUnlisted();
     List<EndpointState> ring =
         directory.all().stream()
-            .filter(state -> state.isListed)
+            .filter(EndpointState::isListed)
             .sorted(Comparator.comparingLong(state -> state.ringPosition))
             .toList();
-    ring.forEach(state -> (state.ejection.isEjected ? sets.ejected : sets.available).add(state));
-    if (sets.available.isEmpty()) {
-      sets.available.addAll(sets.ejected); // the design: all ejected is as none
-    }
-    // Or all sidecars whose own endpoints are full would turn to the same one.
-    Collections.rotate(sets.available, -(int) (position * sets.available.size()));
-    selectZones(ring);
-    sets.largestWeight = ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
+    selectByHealth(ring);
+    selectByZone(ring);
     return true;
   }
 
-  private void selectZones(List<EndpointState> ring) {
+  private void selectByHealth(List<EndpointState> ring) {
+    List<EndpointState> available = new ArrayList<>();
+    List<EndpointState> ejected = new ArrayList<>();
+    ring.forEach(state -> (state.ejection.isEjected() ? ejected : available).add(state));
+    if (available.isEmpty()) {
+      available.addAll(ejected); // with every endpoint ejected, the ejection tells nothing
+    }
+    // Starts at this sidecar's ring position so that sidecars overflow to different endpoints.
+    Collections.rotate(available, -(int) (position * available.size()));
+    sets.replaceHealth(available, ejected);
+  }
+
+  private void selectByZone(List<EndpointState> ring) {
     Map<String, List<EndpointState>> zones = new HashMap<>();
     for (EndpointState state : ring) {
-      zones.computeIfAbsent(state.endpoint.zone(), name -> new ArrayList<>()).add(state);
+      zones.computeIfAbsent(state.zone(), name -> new ArrayList<>()).add(state);
     }
-    select(zones.remove(zone), sets.local);
+    List<EndpointState> local = new ArrayList<>();
+    select(zones.remove(zone), local);
+    List<EndpointState> remote = new ArrayList<>();
     int start = (int) (position * ring.size());
-    for (int i = 0; i < ring.size() && sets.remote.size() < targetSize; i++) {
+    for (int i = 0; i < ring.size() && remote.size() < targetSize; i++) {
       EndpointState state = ring.get((start + i) % ring.size());
-      select(zones.remove(state.endpoint.zone()), sets.remote);
+      select(zones.remove(state.zone()), remote);
     }
+    double largestWeight =
+        ring.stream().mapToDouble(EndpointState::effectiveWeight).max().orElse(1);
+    sets.replaceSubset(local, remote, largestWeight);
   }
 
   /** Ejected and warming endpoints do not count; when all that is used is full others help. */
@@ -102,15 +117,16 @@
     int start = startIndex(candidates, position * total);
     double missing = targetSize * total / candidates.size();
     int warm = 0;
+    boolean isAllEjected = sets.available().get(0).ejection.isEjected();
     for (int i = 0; i < candidates.size(); i++) {
-      if (missing <= 1e-9 * total && warm >= MIN_WARM_ENDPOINTS) {
+      if (missing <= ROUNDING_TOLERANCE * total && warm >= MIN_WARM_ENDPOINTS) {
         return;
       }
       EndpointState state = candidates.get((start + i) % candidates.size());
-      boolean isUsable = !state.ejection.isEjected || sets.available.get(0).ejection.isEjected;
+      boolean isUsable = !state.ejection.isEjected() || isAllEjected;
       if (isUsable) {
         selected.add(state);
-        boolean isWarm = state.slowStart.startUs == 0;
+        boolean isWarm = state.slowStart.isWarm();
         missing -= isWarm ? state.nominalWeight() : 0;
         warm += isWarm ? 1 : 0;
       }
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -35,6 +35,7 @@
  */
 public final class LoadBalancer {
   private static final double MIN_REQUESTS_IN_SPAN = 10; // over which means are taken
+  private static final double DEFAULT_OBJECTIVE_US = 1e6; // where there is no request class
 
   private final Map<String, ClassState> classes = new HashMap<>();
   private final ArrayDeque<Decision> decisions = new ArrayDeque<>();
@@ -124,12 +125,15 @@
   private void configureClasses(List<RequestClass> configured) {
     meanObjectiveUs =
         (long)
-            configured.stream().mapToLong(RequestClass::latencyObjectiveUs).average().orElse(1e6);
+            configured.stream()
+                .mapToLong(RequestClass::latencyObjectiveUs)
+                .average()
+                .orElse(DEFAULT_OBJECTIVE_US);
     traffic.widenSpan((double) meanObjectiveUs);
     for (RequestClass requestClass : configured) {
       ClassState state =
           classes.computeIfAbsent(requestClass.name(), name -> new ClassState(requestClass));
-      state.requestClass = requestClass;
+      state.configure(requestClass);
     }
   }
 
@@ -185,7 +189,7 @@
   }
 
   private Request newRequest(long id, ClassState classState, long timeoutUs) {
-    RequestClass requestClass = classState.requestClass;
+    RequestClass requestClass = classState.requestClass();
     boolean isEarly = requestDeadlines.isEarly(requestClass);
     long deadlineUs = now + requestDeadlines.timeoutUs(requestClass, timeoutUs);
     return new Request(id, classState, retryPolicy, now, deadlineUs, isEarly, nextSequence++);
@@ -203,11 +207,9 @@
     if (request == null) {
       return;
     }
-    request.isBodyIncomplete = !complete;
-    request.isBodyReleased = !replayable;
+    request.updateBody(complete, replayable, now);
     if (complete) {
-      request.deadlineUs += now - request.arrivalUs;
-      request.attempts.stream()
+      request.attempts().stream()
           .filter(Attempt::isInFlight)
           .forEach(attempt -> dispatcher.countAsLoad(attempt, now));
     }
@@ -217,11 +219,11 @@
   public void onResponseStarted(long nowUs, long id, int attemptNumber) {
     now = nowUs;
     Request request = requests.find(id);
-    if (request != null && attemptNumber < request.attempts.size()) {
-      Attempt attempt = request.attempts.get(attemptNumber);
-      request.streaming = attempt;
+    if (request != null && attemptNumber < request.attempts().size()) {
+      Attempt attempt = request.attempts().get(attemptNumber);
+      request.startStreaming(attempt);
       inFlight.release(attempt, now); // how long it streams is its client's doing as well
-      outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs), now);
+      outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs()), now);
       requests.cancelOthers(request);
     }
   }
@@ -242,18 +244,17 @@
       boolean requestOver) {
     now = nowUs;
     Request request = requests.find(id);
-    boolean isKnown = request != null && attemptNumber < request.attempts.size();
-    if (!isKnown || !request.attempts.get(attemptNumber).isInFlight()) {
+    boolean isKnown = request != null && attemptNumber < request.attempts().size();
+    if (!isKnown || !request.attempts().get(attemptNumber).isInFlight()) {
       return;
     }
-    Attempt attempt = request.attempts.get(attemptNumber);
-    attempt.outcome = outcome;
-    request.attemptsInFlight--;
+    Attempt attempt = request.attempts().get(attemptNumber);
+    request.endAttempt(attempt, outcome);
     inFlight.release(attempt, now);
     long tookUs = Math.max(1, elapsedUs); // an answer within the clock's step takes time as well
     outcomes.recordOutcome(attempt, tookUs, now);
     requests.settle(request, requestOver);
-    if (!request.isOver && request.attemptsInFlight == 0) {
+    if (!request.isOver() && request.attemptsInFlight() == 0) {
       requests.placeAgain(request);
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
@@ -8,7 +8,8 @@
  * at once.
  */
 final class RequestQueue {
-  private static final double QUEUE_SHARE = 0.3; // of the latency objective, at the least
+  private static final double QUEUE_FRACTION = 0.3; // of the latency objective, at least
+  private static final double SPARE_FRACTION = 0.8; // of what an answer leaves of the objective
 
   private final RequestTable requests;
   private final EndpointSets endpoints;
@@ -37,9 +38,9 @@
     long untilUs = waitUntilUs(request);
     // A retry waits only for the limit: where no endpoint may take it, waiting changes nothing.
     boolean mayWait = isFirst || (!admission.admits(request, nowUs) && !request.mayHaveRun());
-    boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs;
-    if (mayWait && isInTime && !endpoints.available.isEmpty()) {
-      requests.waiting.add(request);
+    boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs();
+    if (mayWait && isInTime && !endpoints.available().isEmpty()) {
+      requests.addWaiting(request);
       inFlight.signalCapacity();
       checks.schedule(untilUs, checkUs -> expire(request, checkUs));
     } else {
@@ -49,12 +50,13 @@
 
   private static long waitUntilUs(Request request) {
     long objectiveUs = request.requestClass.latencyObjectiveUs();
-    double spareUs = objectiveUs - 1.5 * request.classState.meanLatencyUs();
-    return request.arrivalUs + (long) Math.max(QUEUE_SHARE * objectiveUs, 0.8 * spareUs);
+    double spareUs = objectiveUs - request.classState.latency.pessimisticUs();
+    double waitUs = Math.max(QUEUE_FRACTION * objectiveUs, SPARE_FRACTION * spareUs);
+    return request.arrivalUs + (long) waitUs;
   }
 
   private void expire(Request request, long nowUs) {
-    if (!request.isOver && requests.waiting.remove(request)) {
+    if (!request.isOver() && requests.removeWaiting(request)) {
       finalAnswer.giveUp(request, nowUs);
     }
   }
@@ -64,8 +66,8 @@
    * timeout.
    */
   void shed(double successesPerUs, long meanObjectiveUs, long nowUs) {
-    while (requests.waiting.size() > 1 + successesPerUs * QUEUE_SHARE * meanObjectiveUs) {
-      finalAnswer.giveUp(requests.waiting.last(), nowUs);
+    while (requests.waitingCount() > 1 + successesPerUs * QUEUE_FRACTION * meanObjectiveUs) {
+      finalAnswer.giveUp(requests.lowestWaiting(), nowUs);
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -7,7 +7,7 @@
  * before its deadline, and a hedge may help.
  */
 final class SilenceMonitor {
-  private static final double OVERDUE_FACTOR = 8; // times the expected latency
+  private static final double MAX_LATENCY_RATIO = 4; // a slow endpoint must not hide its silence
 
   private final CheckQueue checks;
   private final InFlightTracker inFlight;
@@ -37,27 +37,27 @@
 
   /** After how long an attempt is overdue, in microseconds. */
   long overdueAfterUs(Attempt attempt) {
-    double slowness = Math.max(1, Math.min(4, attempt.endpoint.latencyRatio));
-    return (long) (OVERDUE_FACTOR * attempt.request.classState.meanLatencyUs() * slowness);
+    double latencyRatio = attempt.endpoint.boundedLatencyRatio(MAX_LATENCY_RATIO);
+    return attempt.request.classState.latency.overdueAfterUs(latencyRatio);
   }
 
   private void check(Attempt attempt, long nowUs) {
     Request request = attempt.request;
-    if (!attempt.isInFlight() || attempt.isSilent || request.streaming != null) {
+    if (!attempt.isInFlight() || attempt.isSilent() || request.streaming() != null) {
       return;
     }
     long overdueUs = overdueAfterUs(attempt);
-    long elapsedUs = nowUs - attempt.sentUs;
+    long elapsedUs = nowUs - attempt.sentUs();
     boolean isOverdue = elapsedUs >= overdueUs;
-    long silentSinceUs = Math.max(attempt.sentUs, nowUs - overdueUs);
-    if (isOverdue && attempt.endpoint.lastSuccessUs <= silentSinceUs) {
+    long silentSinceUs = Math.max(attempt.sentUs(), nowUs - overdueUs);
+    if (isOverdue && attempt.endpoint.lastSuccessUs() <= silentSinceUs) {
       ejection.recordFailure(attempt, nowUs);
       inFlight.markSilent(attempt);
     } else { // it answers others: check again, it may fall silent yet
       long hedgeUs = attempts.hedgeAfterUs(request);
       long nextUs = elapsedUs < hedgeUs ? hedgeUs - elapsedUs : overdueUs / 2;
       checks.schedule(nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
-      if (isOverdue && !attempt.isConnectionSuspect) {
+      if (isOverdue && !attempt.isConnectionSuspect()) {
         inFlight.markConnectionSuspect(attempt);
       }
     }
