--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -59,8 +59,8 @@
         fault(
             "a watch that falls silent unnoticed",
             "net/discovery/DiscoveryClient.java",
-            "nowUs + WatchTimings.WATCH_US + WatchTimings.GRACE_US;",
-            "nowUs + WatchTimings.WATCH_US + 20 * WatchTimings.GRACE_US;",
+            "nowUs + WatchTimings.WATCH_US + WatchTimings.GRACE_US);",
+            "nowUs + WatchTimings.WATCH_US + 20 * WatchTimings.GRACE_US);",
             "DRAIN_KEPT",
             "news.toml"),
         fault(
@@ -124,14 +124,14 @@
         fault(
             "a request that is never over",
             "net/client/ClientListener.java",
-            "caller.connection().attachment = null; openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));",
-            "caller.connection().attachment = null;",
+            "caller.connection().endExchange(); openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));",
+            "caller.connection().endExchange();",
             "BACK_TO_REST"),
         fault(
             "a body that loses a byte",
             "net/connection/BodyRelay.java",
             "out.moveFrom(source.in(), count);",
-            "out.moveFrom(source.in(), count); out.skip(target.requestCount > 0 && out.size() > 20_000 ? 1 : 0);",
+            "out.moveFrom(source.in(), count); out.skip(target.activity().requestCount() > 0 && out.size() > 20_000 ? 1 : 0);",
             "TRUE_CONTENT ONE_ANSWER"),
         fault(
             "an abandoned attempt whose bytes are still sent",
--- a/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
@@ -56,7 +56,7 @@
     int maxBytes = HttpMessageParser.MAX_BUFFERED_BODY_BYTES;
     Connection connection = new Connection(channel, this, true, maxBytes, maxBytes, budget);
     connection.markConnected();
-    connection.idleSinceUs = clock.getAsLong();
+    connection.activity().markIdle(clock.getAsLong());
     connections.add(connection);
     if (connections.size() > MAX_CONNECTIONS) {
       connections.iterator().next().close();
@@ -83,7 +83,7 @@
   /** Also where the end of the call has arrived with it: it was made. */
   private static void respond(Connection connection, HttpResponse response) {
     response.announceClose();
-    connection.isClosing = true;
+    connection.closeAfterNextMessage();
     connection.send(response);
   }
 
@@ -141,7 +141,7 @@
   public void expire(long nowUs) {
     while (!connections.isEmpty()) {
       Connection oldest = connections.iterator().next();
-      if (nowUs - oldest.idleSinceUs <= MAX_CALL_US) {
+      if (nowUs - oldest.activity().idleSinceUs() <= MAX_CALL_US) {
         return;
       }
       connections.remove(oldest);
--- a/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -44,7 +44,7 @@
 
   /** Adds a new connection; at the limit another is closed for the next, or accepting stops. */
   void add(Connection connection) {
-    connection.idleSinceUs = clock.getAsLong();
+    connection.activity().markIdle(clock.getAsLong());
     connections.add(connection);
     if (connections.size() >= maxConnections && !closeOneExcept(connection)) {
       pauseAccepting(); // an accept would fail, and fail again, and spin
@@ -57,8 +57,7 @@
 
   /** From now on it carries nothing: it goes to the end of those that wait to be closed. */
   void markIdle(Connection connection) {
-    connection.idleSinceUs = clock.getAsLong();
-    connection.partialSinceUs = 0; // what comes next is timed from its own first byte
+    connection.activity().markIdle(clock.getAsLong());
     connections.remove(connection);
     connections.add(connection);
   }
@@ -74,22 +73,24 @@
       if (connection == newest || !isWithoutRequest(connection)) {
         continue;
       }
-      if (clock.getAsLong() - connection.idleSinceUs > allowedIdleUs(connection)) {
+      if (clock.getAsLong() - connection.activity().idleSinceUs() > allowedIdleUs(connection)) {
         return closeIfIdle(connection);
       }
       boolean isBetter =
-          candidate == null || (candidate.requestCount > 1 && connection.requestCount < 2);
+          candidate == null
+              || (candidate.activity().requestCount() > 1
+                  && connection.activity().requestCount() <= 1);
       candidate = isBetter ? connection : candidate;
     }
     return candidate != null && closeIfIdle(candidate);
   }
 
   private static boolean isWithoutRequest(Connection connection) {
-    return connection.attachment == null && connection.out().size() == 0 && connection.isOpen();
+    return connection.exchange() == null && connection.out().size() == 0 && connection.isOpen();
   }
 
   private static long allowedIdleUs(Connection connection) {
-    if (connection.requestCount > 0) {
+    if (connection.activity().requestCount() > 0) {
       return RECENT_US;
     }
     return connection.hasPartialMessage() ? PARTIAL_REQUEST_US : FIRST_BYTE_US;
@@ -173,7 +174,7 @@
   /** Whether nothing more can arrive on any connection, and all responses are written. */
   public boolean areDrained() {
     return connections.stream()
-        .allMatch(connection -> connection.isClosing && connection.out().size() == 0);
+        .allMatch(connection -> connection.isClosing() && connection.out().size() == 0);
   }
 
   /** All connections, as they are now. */
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -5,6 +5,7 @@
 import dillcross.net.admin.Lifecycle;
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.connection.Connection;
+import dillcross.net.connection.ConnectionActivity;
 import dillcross.net.connection.InboundRequest;
 import dillcross.net.connection.MessageHandler;
 import dillcross.net.http.HeaderNames;
@@ -83,7 +84,7 @@
   public void readPending(Caller caller) {
     Connection connection = caller.connection();
     // Of a body that is relayed the end is seen as it is forwarded.
-    if (connection.isOpen() && connection.inboundRelay == null) {
+    if (connection.isOpen() && !connection.relays().hasInbound()) {
       connection.onReadable();
     }
   }
@@ -103,8 +104,8 @@
   @Override
   public void onClosed(Connection connection) {
     connections.remove(connection);
-    if (connection.attachment instanceof PendingRequest pending) {
-      connection.attachment = null;
+    if (connection.exchange() instanceof PendingRequest pending) {
+      connection.endExchange();
       openIds.remove(pending.clientId());
       coordinator.onClientDisconnected(clock.getAsLong(), pending.requestId());
     }
@@ -116,7 +117,7 @@
 
   @Override
   public void onMessage(Connection connection, HttpMessage message) {
-    connection.requestCount++;
+    connection.activity().countRequest();
     HttpRequest request = (HttpRequest) message;
     if (request.path().equals(AdminPaths.HEALTH)) {
       boolean isHealthy = lifecycle.isHealthy();
@@ -140,7 +141,7 @@
 
   @Override
   public void onBodyComplete(Connection connection) {
-    if (connection.attachment instanceof PendingRequest pending) {
+    if (connection.exchange() instanceof PendingRequest pending) {
       coordinator.onBodyComplete(clock.getAsLong(), pending.requestId());
     }
   }
@@ -180,7 +181,7 @@
             HeaderNames.FLAG_SET.equals(request.field(HeaderNames.CLIENT_RETRY)),
             request.isStreaming());
     long requestId = coordinator.onRequest(clock.getAsLong(), incoming);
-    connection.attachment = new PendingRequest(requestId, clientId);
+    connection.beginExchange(new PendingRequest(requestId, clientId));
   }
 
   // Responses
@@ -194,18 +195,20 @@
 
   /** Sends a client its complete response. */
   public void respond(Caller caller, HttpResponse response) {
-    caller.connection().attachment = null;
+    caller.connection().endExchange();
     openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));
     respond(caller.connection(), caller.request(), response);
   }
 
   private void respond(Connection connection, HttpRequest request, HttpResponse response) {
     connections.markIdle(connection);
-    connection.isClosing = closesAfter(connection, request);
+    if (closesAfter(connection, request)) {
+      connection.closeAfterNextMessage();
+    }
     if (connection.parser().isStreaming()) {
       connection.discardRest(maxBody); // its body still arrives
     }
-    if (!connection.isClosing && request.isHttp10()) {
+    if (!connection.isClosing() && request.isHttp10()) {
       response.fields().put(HeaderNames.CONNECTION, HeaderNames.CONNECTION_KEEP_ALIVE);
     }
     send(connection, response);
@@ -217,7 +220,7 @@
    * next request crosses the close.
    */
   private boolean closesAfter(Connection connection, HttpRequest request) {
-    boolean isLeastUsed = connections.isCrowded() && connection.requestCount < 2;
+    boolean isLeastUsed = connections.isCrowded() && connection.activity().requestCount() <= 1;
     return lifecycle.closesConnections()
         || !request.keepsAlive()
         || isLeastUsed
@@ -226,7 +229,7 @@
 
   private void continueReading(Connection connection) {
     connections.resumeAccepting();
-    if (!connection.isClosing) {
+    if (!connection.isClosing()) {
       connection.resumeReading();
       if (connection.in().size() > 0) {
         connection.scheduleRead();
@@ -239,8 +242,8 @@
     HttpResponse head = response.forwardedTo(caller.request());
     Connection connection = caller.connection();
     boolean untilClose = head.remainingBytes() == HttpMessage.UNTIL_CLOSE;
-    connection.closesAfterResponse = untilClose || closesAfter(connection, caller.request());
-    if (connection.closesAfterResponse) {
+    connection.beginResponse(untilClose || closesAfter(connection, caller.request()));
+    if (connection.closesAfterResponse()) {
       head.announceClose();
     }
     connection.send(head);
@@ -250,19 +253,19 @@
   /** A streamed response has come to its end, or broke off, which the client is to see. */
   public void finishStreaming(Caller caller, boolean complete) {
     Connection connection = caller.connection();
-    connection.attachment = null;
+    connection.endExchange();
     openIds.remove(caller.request().field(HeaderNames.REQUEST_ID));
     connections.markIdle(connection);
-    if (!complete && connection.closesAfterResponse && caller.request().isHttp10()) {
+    if (!complete && connection.closesAfterResponse() && caller.request().isHttp10()) {
       connection.reset();
-    } else if (!complete || connection.closesAfterResponse) {
+    } else if (!complete || connection.closesAfterResponse()) {
       connection.closeAfterOutput();
     }
     continueReading(connection);
   }
 
   private static void send(Connection connection, HttpResponse response) {
-    if (connection.isClosing) {
+    if (connection.isClosing()) {
       response.announceClose();
     }
     connection.send(response);
@@ -282,11 +285,12 @@
    */
   public void expire(long nowUs) {
     for (Connection connection : connections.snapshot()) {
-      connection.noteProgress(nowUs);
-      long stillUs = nowUs - Math.max(connection.lastProgressUs(), connection.idleSinceUs);
-      if (connection.isClosing) {
+      ConnectionActivity activity = connection.activity();
+      activity.noteProgress(nowUs);
+      long stillUs = nowUs - Math.max(activity.lastProgressUs(), activity.idleSinceUs());
+      if (connection.isClosing()) {
         expireClosing(connection, stillUs);
-      } else if (connection.attachment instanceof PendingRequest pending) {
+      } else if (connection.exchange() instanceof PendingRequest pending) {
         expireStreaming(connection, pending, nowUs, stillUs);
       } else {
         expireIdle(connection, nowUs, stillUs);
@@ -305,14 +309,14 @@
       Connection connection, PendingRequest pending, long nowUs, long stillUs) {
     boolean isBodyIncomplete = connection.parser().isStreaming();
     if (isBodyIncomplete && !connection.isPaused() && stillUs > TRANSFER_US) {
-      connection.attachment = null;
+      connection.endExchange();
       openIds.remove(pending.clientId());
       coordinator.onClientDisconnected(nowUs, pending.requestId());
       rejectAndClose(
           connection, HttpResponse.text(HttpStatus.REQUEST_TIMEOUT, "the request stopped coming"));
     } else if (isBodyIncomplete && stillUs > Math.max(TRANSFER_US, maxTimeoutUs)) {
       coordinator.onBodyStalled(pending.requestId());
-    } else if (connection.outboundRelay != null
+    } else if (connection.relays().hasOutbound()
         && connection.out().size() > 0
         && stillUs > IDLE_US) {
       connection.close(); // it reads nothing
@@ -322,10 +326,10 @@
   private void expireIdle(Connection connection, long nowUs, long stillUs) {
     boolean hasPartial = connection.hasPartialMessage();
     boolean hasOutput = connection.out().size() > 0;
-    boolean isSilent = connection.attachment == null && !hasPartial && !hasOutput;
-    if (isSilent && connection.requestCount > 0) {
-      connection.partialSinceUs = 0;
-      if (nowUs - connection.idleSinceUs > allowedIdleUs(nowUs)) {
+    boolean isSilent = connection.exchange() == null && !hasPartial && !hasOutput;
+    if (isSilent && connection.activity().requestCount() > 0) {
+      connection.activity().clearPartialMessage();
+      if (nowUs - connection.activity().idleSinceUs() > allowedIdleUs(nowUs)) {
         ClientConnections.closeIfIdle(connection);
       }
     } else if (hasOutput && !hasPartial) {
@@ -344,16 +348,12 @@
     return connections.isCrowded() ? ClientConnections.RECENT_US : IDLE_US;
   }
 
-  /** The first request counts from connecting, a later one from its first byte. */
   private void expirePartial(Connection connection, long nowUs, boolean isSilent) {
-    if (connection.partialSinceUs <= 0) {
-      boolean isFirst = connection.requestCount == 0;
-      connection.partialSinceUs = isFirst ? connection.idleSinceUs : nowUs;
-    }
+    connection.activity().startPartialMessage(nowUs);
     boolean isLate = isRequestLate(connection, nowUs, isSilent);
     boolean isUnwanted =
         lifecycle.closesIdleConnections(nowUs)
-            && nowUs - connection.idleSinceUs > ClientConnections.FIRST_BYTE_US;
+            && nowUs - connection.activity().idleSinceUs() > ClientConnections.FIRST_BYTE_US;
     if (isSilent && (isLate || isUnwanted)) {
       ClientConnections.closeIfIdle(connection);
     } else if (isLate) {
@@ -364,9 +364,10 @@
   }
 
   private static boolean isRequestLate(Connection connection, long nowUs, boolean isSilent) {
-    long elapsedUs = nowUs - connection.partialSinceUs;
+    ConnectionActivity activity = connection.activity();
+    long elapsedUs = nowUs - activity.partialSinceUs();
     if (connection.parser().isInMessage()) {
-      long lastUs = Math.max(connection.lastProgressUs(), connection.partialSinceUs);
+      long lastUs = Math.max(activity.lastProgressUs(), activity.partialSinceUs());
       return elapsedUs > BODY_US || nowUs - lastUs > TRANSFER_US;
     }
     return elapsedUs > (isSilent ? TRANSFER_US : HEAD_US);
--- a/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
+++ b/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
@@ -46,8 +46,8 @@
 
   /** Attaches the relay to both connections. */
   public void start() {
-    source.inboundRelay = this;
-    target.outboundRelay = this;
+    source.relays().attachInbound(this);
+    target.relays().attachOutbound(this);
     source.in().setKeepsCapacity(true);
     target.out().setKeepsCapacity(true);
     transfer();
@@ -56,12 +56,10 @@
   /** What is left goes nowhere. */
   public void detach() {
     isOver = true;
-    if (source.inboundRelay == this) {
-      source.inboundRelay = null;
+    if (source.relays().detachInbound(this)) {
       source.in().setKeepsCapacity(false);
     }
-    if (target.outboundRelay == this) {
-      target.outboundRelay = null;
+    if (target.relays().detachOutbound(this)) {
       target.out().setKeepsCapacity(false);
     }
   }
--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -9,11 +9,12 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.Collection;
+import java.util.Deque;
 
 /**
- * One HTTP connection: its two buffers, the parser between them, and what it carries at the moment.
- * The fields that its owner (listener, pool, discovery or admin endpoint) keeps here are package
- * private. Belongs to the selector thread.
+ * One HTTP connection: its two buffers, the parser between them, and the exchange that it carries
+ * at the moment. Its owner is the listener, pool, discovery client or admin endpoint that opened or
+ * accepted it. Belongs to the selector thread.
  */
 public final class Connection implements Network.ConnectionHandler, TransportChannel.WriteCallback {
   private static final int MAX_DISCARDED_BYTES = 1 << 20; // that follow a last response
@@ -29,38 +30,14 @@
   private final RingBuffer out;
   private final HttpMessageParser parser;
 
-  /** What it carries: a request in progress, or an attempt; null while it is idle. */
-  public Object attachment;
-
-  /** Where it waits while it is idle; null where it is not pooled. */
-  public Collection<Connection> pool;
-
-  /** Takes what arrives here; null while complete messages are read. */
-  public BodyRelay inboundRelay;
-
-  /** Brings what is sent here; null while complete messages are written. */
-  public BodyRelay outboundRelay;
-
-  /** To be closed once the response that is streamed is over. */
-  public boolean closesAfterResponse;
-
-  /** To be closed once all output is written. */
-  public boolean isClosing;
-
-  /** Complete requests that it brought. */
-  public int requestCount;
-
-  /** Since when it carries nothing. */
-  public long idleSinceUs;
-
-  /** Since when a part of a message is there; 0 while none is. */
-  public long partialSinceUs;
-
+  private final ConnectionActivity activity = new ConnectionActivity();
+  private final ConnectionRelays relays = new ConnectionRelays();
+  private Object exchange; // a request in progress, or an attempt; null while there is none
+  private Collection<Connection> pool; // the idle connections that it was last put among; or null
+  private boolean closesAfterResponse;
+  private boolean isClosing; // closed once all output is written
   private long maxDiscardedBytes = MAX_DISCARDED_BYTES;
   private long discardedBytes;
-  private long lastProgressUs;
-  private long progressBytes; // that were read or written
-  private long seenProgressBytes;
   private boolean isPaused;
   private boolean hasOverrun;
   private boolean isConnected;
@@ -153,6 +130,46 @@
     return hasInputEnded && !wasInputReset;
   }
 
+  /** How much it has been used, and since when it is idle. */
+  public ConnectionActivity activity() {
+    return activity;
+  }
+
+  /** The relays of large bodies that it takes part in. */
+  public ConnectionRelays relays() {
+    return relays;
+  }
+
+  // Exchange
+
+  /** Begins a request in progress, or an attempt; the owner says what stands for it. */
+  public void beginExchange(Object newExchange) {
+    exchange = newExchange;
+  }
+
+  /** Ends the exchange, so that the next message may be read. */
+  public void endExchange() {
+    exchange = null;
+  }
+
+  /** The request in progress or the attempt; null if there is none. */
+  public Object exchange() {
+    return exchange;
+  }
+
+  /** Puts it last among the idle connections of its endpoint. */
+  public void joinPool(Deque<Connection> idleConnections) {
+    idleConnections.addLast(this);
+    pool = idleConnections;
+  }
+
+  /** Takes it out of the idle connections that it last joined, if it is still there. */
+  public void leavePool() {
+    if (pool != null) {
+      pool.remove(this);
+    }
+  }
+
   // Input
 
   /** Reads what has arrived into the buffer; the end of input is noted, not thrown. */
@@ -168,7 +185,7 @@
       hasInputEnded = true;
       wasInputReset = true;
     }
-    progressBytes += Math.max(0, in.size() - before);
+    activity.countBytes(Math.max(0, in.size() - before));
   }
 
   /**
@@ -177,8 +194,8 @@
    */
   private int window() {
     boolean isStreaming = parser.isStreaming();
-    boolean isRelayed = isStreaming && (!isServerSide || inboundRelay != null);
-    boolean isBehindRequest = isServerSide && (attachment != null || isStreaming);
+    boolean isRelayed = isStreaming && (!isServerSide || relays.hasInbound());
+    boolean isBehindRequest = isServerSide && (exchange != null || isStreaming);
     if (!isRelayed && isBehindRequest && budget.isAmple()) {
       return MAX_PIPELINED_BYTES;
     }
@@ -220,13 +237,13 @@
     in.clear();
     int got = channel.read(DISCARDED.clear());
     discardedBytes += Math.max(0, got);
-    progressBytes += Math.max(0, got);
+    activity.countBytes(Math.max(0, got));
     return got < 0 || (isClosing && discardedBytes > maxDiscardedBytes);
   }
 
   /** Stops reading while what has arrived can't go on, or each select would report it again. */
   public void pauseIfFull() {
-    boolean isBehindRequest = isServerSide && attachment != null && !parser.isStreaming();
+    boolean isBehindRequest = isServerSide && exchange != null && !parser.isStreaming();
     if (isBehindRequest && in.size() >= MAX_PIPELINED_BYTES) {
       // No more is taken: only the end is still looked for, or the request of a client that sends
       // without end and goes would be sent on long after. It closes with its response.
@@ -288,19 +305,6 @@
     discardRest(maxDiscardedBytes);
   }
 
-  /** Notes whether bytes were read or written since the last call. */
-  public void noteProgress(long nowUs) {
-    if (progressBytes != seenProgressBytes) {
-      seenProgressBytes = progressBytes;
-      lastProgressUs = nowUs;
-    }
-  }
-
-  /** When bytes were last seen to be read or written; 0 before. */
-  public long lastProgressUs() {
-    return lastProgressUs;
-  }
-
   // Output
 
   /** Sends a message; where there is no space for it nothing of it is sent, and it closes. */
@@ -315,7 +319,7 @@
 
   /** Whether all of its last message was handed to the network. */
   public boolean isFullyWritten() {
-    return isConnected && !wasLastMessageDropped && outboundRelay == null && out.size() == 0;
+    return isConnected && !wasLastMessageDropped && !relays.hasOutbound() && out.size() == 0;
   }
 
   /** Hands the buffer to the channel, which takes over what the socket has no space for yet. */
@@ -332,11 +336,9 @@
   public void onWritten() {
     isWriting = false;
     out.skip(bytesInWrite);
-    progressBytes += bytesInWrite;
+    activity.countBytes(bytesInWrite);
     flush();
-    if (outboundRelay != null) {
-      outboundRelay.transfer();
-    }
+    relays.transferOutbound();
     if (isClosing && out.size() == 0) {
       shutdownOutput();
     }
@@ -349,6 +351,26 @@
 
   // Closing
 
+  /** Begins a streamed response, and notes whether the connection closes after it. */
+  public void beginResponse(boolean closesAfterwards) {
+    closesAfterResponse = closesAfterwards;
+  }
+
+  /** Whether the connection closes after the streamed response. */
+  public boolean closesAfterResponse() {
+    return closesAfterResponse;
+  }
+
+  /** Closes the connection once the message that is sent next is written. */
+  public void closeAfterNextMessage() {
+    isClosing = true;
+  }
+
+  /** Whether it closes once all output is written, and reads no more messages. */
+  public boolean isClosing() {
+    return isClosing;
+  }
+
   /** Sends no more than what is in the buffer; then it closes. */
   public void closeAfterOutput() {
     isClosing = true;
--- a/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
+++ b/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
@@ -17,13 +17,13 @@
    * Handles what has arrived on the connection, and passes a message to its handler if complete.
    */
   static void read(Connection connection) {
-    if (connection.parser().isStreaming() && !connection.isClosing) {
+    if (connection.parser().isStreaming() && !connection.isClosing()) {
       continueBody(connection);
       return;
     }
     // What follows an open request waits in the buffer.
-    boolean isBusy = connection.isServerSide() && connection.attachment != null;
-    if (!connection.isClosing && !isBusy && readMessage(connection)) {
+    boolean isBusy = connection.isServerSide() && connection.exchange() != null;
+    if (!connection.isClosing() && !isBusy && readMessage(connection)) {
       return;
     }
     if (connection.hasInputEnded() || (connection.isInputFull() && !isBusy)) {
@@ -39,9 +39,7 @@
       return;
     }
     reportBodyComplete(connection);
-    if (connection.inboundRelay != null) {
-      connection.inboundRelay.transfer();
-    }
+    connection.relays().transferInbound();
     connection.pauseIfFull();
   }
 
--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -81,15 +81,15 @@
     WatchCall call = new WatchCall(command.version(), clock.getAsLong() + connectTimeoutUs);
     newest = call;
     if (idle != null && idle.isReusable()) {
-      call.connection = idle;
+      call.useConnection(idle);
       send(call);
       return;
     }
     close(idle); // what came on it unasked, or behind a response, must not be read as the next
     Optional<Connection> opening =
         connectionFactory.open(address, connection -> onConnected(call, connection));
-    if (call.connection == null) {
-      call.connection = opening.orElse(null);
+    if (call.connection() == null) {
+      call.useConnection(opening.orElse(null));
     }
   }
 
@@ -108,7 +108,7 @@
     } else if (connection.isEmpty()) {
       fail(call, false);
     } else {
-      call.connection = connection.get();
+      call.useConnection(connection.get());
       send(call);
     }
   }
@@ -139,8 +139,8 @@
     former = null;
     idleConnection = kept;
     for (WatchCall call : calls) {
-      if (call != null && call.connection != kept) {
-        close(call.connection);
+      if (call != null && call.connection() != kept) {
+        close(call.connection());
       }
     }
     if (idle != kept) {
@@ -151,23 +151,22 @@
   private void send(WatchCall call) {
     long nowUs = clock.getAsLong();
     if (isBehind) {
-      long startedUs = call.nextCallUs - connectTimeoutUs;
-      call.nextCallUs = Math.max(nowUs, startedUs + WatchTimings.OVERLAP_US);
+      long startedUs = call.nextCallUs() - connectTimeoutUs;
+      call.setNextCallUs(Math.max(nowUs, startedUs + WatchTimings.OVERLAP_US));
     } else {
-      call.nextCallUs = nowUs + WatchTimings.WATCH_US + WatchTimings.GRACE_US;
+      call.setNextCallUs(nowUs + WatchTimings.WATCH_US + WatchTimings.GRACE_US);
     }
     sendRequest(call, isBehind ? WatchTimings.CATCH_UP_US : WatchTimings.WATCH_US);
   }
 
   private void sendRequest(WatchCall call, long waitUs) {
-    String target = WatchRequestTarget.of(call.sinceVersion, waitUs);
-    call.connection.send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
+    String target = WatchRequestTarget.of(call.sinceVersion(), waitUs);
+    call.connection().send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
   }
 
   /** It brings nothing more; {@code rejected} where discovery was there and answered it so. */
   private void fail(WatchCall call, boolean rejected) {
-    Connection connection = call.connection;
-    call.connection = null;
+    Connection connection = call.releaseConnection();
     if (call == former) {
       former = null;
     } else if (call == overdue) {
@@ -202,7 +201,7 @@
   }
 
   private Optional<WatchCall> callOn(Connection connection) {
-    return calls().stream().filter(call -> call.connection == connection).findFirst();
+    return calls().stream().filter(call -> call.connection() == connection).findFirst();
   }
 
   @Override
@@ -233,7 +232,7 @@
 
   private void onFormerUpdate(Connection connection, EndpointListUpdate update) {
     former = new WatchCall(update.version(), Long.MAX_VALUE);
-    former.connection = connection;
+    former.useConnection(connection);
     sendRequest(former, WatchTimings.WATCH_US);
     coordinator.onFormerEndpointList(clock.getAsLong(), update.complete(), update.entries());
   }
@@ -271,21 +270,21 @@
   /** Reads what has arrived meanwhile: what is about to be sent must not miss an update. */
   public void readPending() {
     for (WatchCall call : calls()) { // reading one may end the others
-      if (call.isConnected() && call.connection.isOpen()) {
-        call.connection.onReadable();
+      if (call.isConnected() && call.connection().isOpen()) {
+        call.connection().onReadable();
       }
     }
   }
 
   /** When the next call is due beside the one that is out. */
   public long nextDueUs() {
-    return newest == null ? Long.MAX_VALUE : newest.nextCallUs;
+    return newest == null ? Long.MAX_VALUE : newest.nextCallUs();
   }
 
   /** A call that hangs has failed; but its response is taken as long as no later call hangs too. */
   public void expire(long nowUs) {
-    if (newest != null && nowUs >= newest.nextCallUs) {
-      Connection oldest = overdue == null ? null : overdue.connection;
+    if (newest != null && nowUs >= newest.nextCallUs()) {
+      Connection oldest = overdue == null ? null : overdue.connection();
       overdue = newest;
       newest = null;
       close(oldest);
--- a/sidecar/src/main/java/dillcross/net/discovery/WatchCall.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchCall.java
@@ -2,22 +2,48 @@
 
 import dillcross.net.connection.Connection;
 
-/** One call to discovery. Plain state. */
+/** One watch call to the discovery service. Belongs to the selector thread. */
 final class WatchCall {
-  /** The version of the endpoint list that is known; 0 to ask for all of it. */
-  final long sinceVersion;
-
-  /** Null until one is opened. */
-  Connection connection;
-
-  /** By then it is answered, or another call begins beside it. */
-  long nextCallUs;
+  private final long sinceVersion;
+  private Connection connection; // null until one is opening, and after it is released
+  private long nextCallUs;
 
   WatchCall(long sinceVersion, long nextCallUs) {
     this.sinceVersion = sinceVersion;
     this.nextCallUs = nextCallUs;
   }
 
+  /** The version of the endpoint list that is known; 0 requests the complete list. */
+  long sinceVersion() {
+    return sinceVersion;
+  }
+
+  /** When another call begins beside this one, unless this one is answered; in microseconds. */
+  long nextCallUs() {
+    return nextCallUs;
+  }
+
+  void setNextCallUs(long newNextCallUs) {
+    nextCallUs = newNextCallUs;
+  }
+
+  /** Notes the connection that carries the call. */
+  void useConnection(Connection newConnection) {
+    connection = newConnection;
+  }
+
+  /** Ends the use of its connection, and returns it; null if it has none. */
+  Connection releaseConnection() {
+    Connection released = connection;
+    connection = null;
+    return released;
+  }
+
+  /** The connection that carries the call; null if it has none. */
+  Connection connection() {
+    return connection;
+  }
+
   boolean isConnected() {
     return connection != null && connection.isConnected();
   }
--- a/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -3,6 +3,7 @@
 import dillcross.net.buffer.MemoryBudget;
 import dillcross.net.connection.BodyRelay;
 import dillcross.net.connection.Connection;
+import dillcross.net.connection.ConnectionActivity;
 import dillcross.net.connection.ConnectionFactory;
 import dillcross.net.connection.InboundRequest;
 import dillcross.net.connection.InboundResponse;
@@ -46,7 +47,7 @@
 
   private record AttemptId(long requestId, int attempt) {
     static AttemptId of(InFlightAttempt attempt) {
-      return new AttemptId(attempt.command.requestId(), attempt.command.attempt());
+      return new AttemptId(attempt.command().requestId(), attempt.command().attempt());
     }
   }
 
@@ -87,8 +88,7 @@
     attempts.put(AttemptId.of(attempt), attempt);
     Optional<Connection> idle = pool.take(endpoint);
     if (idle.isPresent()) {
-      attempt.connection = idle.get();
-      attempt.connection.attachment = attempt; // it may break before it is used
+      attempt.takeConnection(idle.get());
       connected.add(attempt);
     } else if (pool.makeSpace()) {
       connect(attempt);
@@ -101,10 +101,10 @@
     connecting.add(attempt);
     Optional<Connection> opening =
         connectionFactory.open(
-            attempt.command.address(), connection -> onConnected(attempt, connection));
+            attempt.command().address(), connection -> onConnected(attempt, connection));
     if (opening.isPresent() && opening.get().isOpen()) {
       pool.add(opening.get());
-      attempt.connection = opening.get();
+      attempt.waitFor(opening.get());
     }
   }
 
@@ -112,8 +112,7 @@
     if (connection.isEmpty()) {
       end(attempt, AttemptResult.Kind.CONNECTION_BROKEN, null);
     } else if (connecting.remove(attempt)) {
-      attempt.connection = connection.get();
-      attempt.connection.attachment = attempt;
+      attempt.takeConnection(connection.get());
       connected.add(attempt);
     } else { // abandoned meanwhile
       pool.close(connection.get());
@@ -133,7 +132,7 @@
     while (!connected.isEmpty()) {
       InFlightAttempt attempt = connected.poll();
       if (isInFlight(attempt)) {
-        readPending.accept(attempt.command.client());
+        readPending.accept(attempt.command().client());
       }
       if (isInFlight(attempt)) {
         sendIfPermitted(attempt);
@@ -147,7 +146,7 @@
   }
 
   private void sendIfPermitted(InFlightAttempt attempt) {
-    NetworkCommand.SendAttempt command = attempt.command;
+    NetworkCommand.SendAttempt command = attempt.command();
     if (coordinator.maySend(clock.getAsLong(), command.requestId(), command.attempt())) {
       send(attempt);
     } else {
@@ -156,20 +155,19 @@
   }
 
   private void send(InFlightAttempt attempt) {
-    Connection connection = attempt.connection;
-    connection.attachment = attempt;
-    attempt.isSent = true;
-    InboundRequest inbound = (InboundRequest) attempt.command.content();
+    Connection connection = attempt.connection();
+    attempt.markSent();
+    InboundRequest inbound = (InboundRequest) attempt.command().content();
     HttpRequest request = inbound.request();
     Map<String, String> fields = request.forwardedFields();
-    long remainingUs = attempt.command.deadlineUs() - clock.getAsLong();
+    long remainingUs = attempt.command().deadlineUs() - clock.getAsLong();
     long timeoutMs = Math.max(1, remainingUs / MICROS_PER_MILLI);
     fields.put(HeaderNames.REQUEST_TIMEOUT, String.valueOf(timeoutMs));
     connection.send(request.withFields(fields));
     if (request.isStreaming() && connection.isOpen()) {
       boolean chunked = request.remainingBytes() == HttpMessage.UNKNOWN;
       RequestBodyListener listener =
-          new RequestBodyListener(attempt.command.requestId(), inbound.source());
+          new RequestBodyListener(attempt.command().requestId(), inbound.source());
       new BodyRelay(inbound.source(), connection, chunked, listener).start();
     }
   }
@@ -204,7 +202,7 @@
     InFlightAttempt attempt = attempts.get(new AttemptId(command.requestId(), command.attempt()));
     if (attempt != null) {
       end(attempt, AttemptResult.Kind.ABANDONED, null);
-      pool.closeIdleSince(attempt.endpoint, attempt.sentUs);
+      pool.closeIdleSince(attempt.endpoint(), attempt.startedUs());
     } else { // it never came here: the coordinator must not wait for it for good
       coordinator.onAttemptEnded(
           clock.getAsLong(),
@@ -223,26 +221,21 @@
     }
     AttemptResult result = new AttemptResult(kind, attempt.progress(), response);
     connecting.remove(attempt);
-    if (attempt.connection != null) {
+    if (attempt.connection() != null) {
       detach(attempt, kind, response);
     }
-    NetworkCommand.SendAttempt command = attempt.command;
+    NetworkCommand.SendAttempt command = attempt.command();
     coordinator.onAttemptEnded(clock.getAsLong(), command.requestId(), command.attempt(), result);
   }
 
   private void detach(InFlightAttempt attempt, AttemptResult.Kind kind, HttpResponse response) {
-    Connection connection = attempt.connection;
-    connection.attachment = null;
+    Connection connection = attempt.connection();
+    connection.endExchange();
     boolean isReusable = isReusable(connection, kind, response);
-    if (connection.outboundRelay != null) {
-      connection.outboundRelay.detach();
-    }
-    if (connection.inboundRelay != null) {
-      connection.inboundRelay.detach();
-    }
-    boolean isCurrent = pool.isCurrent(attempt.command.endpoint(), attempt.endpoint);
+    connection.relays().detachAll();
+    boolean isCurrent = pool.isCurrent(attempt.command().endpoint(), attempt.endpoint());
     if (isCurrent && isReusable) {
-      pool.put(attempt.endpoint, connection);
+      pool.put(attempt.endpoint(), connection);
     } else if (kind == AttemptResult.Kind.ABANDONED && connection.isConnected()) {
       // Or the system goes on sending what was written, and a network that heals brings it after
       // the answer.
@@ -267,8 +260,8 @@
 
   @Override
   public void onMessage(Connection connection, HttpMessage message) {
-    InFlightAttempt attempt = (InFlightAttempt) connection.attachment;
-    if (attempt == null || !attempt.isSent) {
+    InFlightAttempt attempt = (InFlightAttempt) connection.exchange();
+    if (attempt == null || !attempt.isSent()) {
       pool.close(connection); // a response that nobody asked for yet
       return;
     }
@@ -279,12 +272,12 @@
       return;
     }
     InboundResponse streaming = new InboundResponse(response, connection);
-    NetworkCommand.SendAttempt command = attempt.command;
+    NetworkCommand.SendAttempt command = attempt.command();
     boolean isWanted =
         coordinator.onResponseStarted(
             clock.getAsLong(), command.requestId(), command.attempt(), streaming);
     if (isWanted) {
-      attempt.streaming = streaming;
+      attempt.startStreaming(streaming);
       connection.pauseIfFull();
     } else {
       end(attempt, AttemptResult.Kind.ERROR, null);
@@ -297,10 +290,9 @@
   }
 
   /** Streams the rest of a response to a client. */
-  @SuppressWarnings("ReferenceEquality") // the very response, and not one that equals it
   public void relayResponse(InboundResponse response, Connection client, boolean chunked) {
-    InFlightAttempt attempt = (InFlightAttempt) response.source().attachment;
-    if (attempt == null || attempt.streaming != response) {
+    InFlightAttempt attempt = (InFlightAttempt) response.source().exchange();
+    if (attempt == null || !attempt.isStreaming(response)) {
       return; // it broke meanwhile, and was reported
     }
     ResponseBodyListener listener = new ResponseBodyListener(attempt, response.response());
@@ -349,12 +341,10 @@
 
   @Override
   public void onClosed(Connection connection) {
-    Object attachment = connection.attachment;
-    if (attachment != null) {
-      pool.remove(connection);
-      end((InFlightAttempt) attachment, AttemptResult.Kind.CONNECTION_BROKEN, null);
-    } else {
-      pool.remove(connection); // the endpoint may have closed it while it was idle
+    pool.remove(connection);
+    InFlightAttempt attempt = (InFlightAttempt) connection.exchange();
+    if (attempt != null) { // else the endpoint has closed it while it was idle
+      end(attempt, AttemptResult.Kind.CONNECTION_BROKEN, null);
     }
     connection.releaseBuffers();
   }
@@ -371,12 +361,12 @@
 
   /** When the next connect time-out is due. */
   public long nextDueUs() {
-    return connecting.isEmpty() ? Long.MAX_VALUE : connecting.peekFirst().connectDeadlineUs;
+    return connecting.isEmpty() ? Long.MAX_VALUE : connecting.peekFirst().connectDeadlineUs();
   }
 
   /** Ends what does not connect in time, and closes what has been idle for too long. */
   public void expire(long nowUs) {
-    while (!connecting.isEmpty() && connecting.peekFirst().connectDeadlineUs <= nowUs) {
+    while (!connecting.isEmpty() && connecting.peekFirst().connectDeadlineUs() <= nowUs) {
       end(connecting.peekFirst(), AttemptResult.Kind.CONNECTION_BROKEN, null);
     }
     if (nowUs - expiredUs > EXPIRY_INTERVAL_US) {
@@ -388,13 +378,14 @@
 
   /** A response that brings nothing more would hold its place for good. */
   private void endIfStalled(Connection connection, long nowUs) {
-    connection.noteProgress(nowUs);
+    ConnectionActivity activity = connection.activity();
+    activity.noteProgress(nowUs);
     boolean isStalled =
         connection.parser().isStreaming()
             && !connection.isPaused()
-            && connection.lastProgressUs() > 0
-            && nowUs - connection.lastProgressUs() > pool.maxIdleUs();
-    if (isStalled && connection.attachment instanceof InFlightAttempt attempt) {
+            && activity.lastProgressUs() > 0
+            && nowUs - activity.lastProgressUs() > pool.maxIdleUs();
+    if (isStalled && connection.exchange() instanceof InFlightAttempt attempt) {
       end(attempt, AttemptResult.Kind.CONNECTION_BROKEN, null);
     }
   }
--- a/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
@@ -69,7 +69,8 @@
       if (!isUsable(connection)) {
         newestFirst.remove();
         close(connection);
-      } else if (clock.getAsLong() - connection.idleSinceUs >= CONNECTION_QUARANTINE_US) {
+      } else if (clock.getAsLong() - connection.activity().idleSinceUs()
+          >= CONNECTION_QUARANTINE_US) {
         newestFirst.remove();
         return Optional.of(connection);
       }
@@ -82,15 +83,14 @@
    * that is lost, so we close before.
    */
   private boolean isUsable(Connection connection) {
-    boolean isFresh = clock.getAsLong() - connection.idleSinceUs < maxIdleUs;
+    boolean isFresh = clock.getAsLong() - connection.activity().idleSinceUs() < maxIdleUs;
     return isFresh && connection.isReusable();
   }
 
   /** Gives a connection back that the next attempt can use. */
   void put(Endpoint endpoint, Connection connection) {
-    connection.idleSinceUs = clock.getAsLong();
-    endpoint.idle().addLast(connection);
-    connection.pool = endpoint.idle();
+    connection.activity().markIdle(clock.getAsLong());
+    connection.joinPool(endpoint.idle());
   }
 
   /** Whether there is space for another connection, after closing an idle one if need be. */
@@ -116,9 +116,7 @@
   /** The connection was closed, or is reset by its user. */
   void remove(Connection connection) {
     connections.remove(connection);
-    if (connection.pool != null) {
-      connection.pool.remove(connection);
-    }
+    connection.leavePool();
   }
 
   void close(Connection connection) {
@@ -143,7 +141,7 @@
    */
   void closeIdleSince(Endpoint endpoint, long sinceUs) {
     ArrayDeque<Connection> idle = endpoint.idle();
-    while (!idle.isEmpty() && idle.peekFirst().idleSinceUs <= sinceUs) {
+    while (!idle.isEmpty() && idle.peekFirst().activity().idleSinceUs() <= sinceUs) {
       close(idle.pollFirst());
     }
   }
