--- a/sidecar/src/main/java/dillcross/cli/DescriptorLimit.java
+++ b/sidecar/src/main/java/dillcross/cli/DescriptorLimit.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.logging.Logger;
 
-/** How many descriptors the system allows this process. */
+/** The soft limit of open file descriptors of this process. */
 final class DescriptorLimit {
   private static final Path LIMITS = Path.of("/proc/self/limits");
   private static final String OPEN_FILES = "Max open files";
@@ -13,7 +13,7 @@
 
   private DescriptorLimit() {}
 
-  /** The limit; the largest number where the system does not tell. */
+  /** The limit; {@link Integer#MAX_VALUE} where it is unlimited or unknown. */
   static int read() {
     try {
       for (String line : Files.readAllLines(LIMITS)) {
--- a/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
@@ -7,20 +7,25 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.util.Properties;
 import java.util.logging.Logger;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
 
-/** The command line of dillcross. */
+/** The command line: subcommands, options and exit statuses. */
 @Command(
     name = "dillcross",
     mixinStandardHelpOptions = true,
     versionProvider = DillcrossCommand.Version.class,
     description = "Client-side load balancer that runs as a sidecar beside each calling process.")
 final class DillcrossCommand implements Runnable {
+  private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
+  private static final int EXIT_MALFORMED_INPUT = 3;
+
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -35,12 +40,13 @@
       description =
           "Host many instances of the decision module on the simulator's wire (stdin, stdout).")
   int simhost() throws IOException {
-    try (var out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+    OutputStream stdout = new FileOutputStream(FileDescriptor.out);
+    try (OutputStream out = new BufferedOutputStream(stdout, OUTPUT_BUFFER_BYTES)) {
       new SimulatorSession(System.in, out).run();
       return 0;
-    } catch (MalformedInputException malformed) {
-      log().severe(malformed.getMessage());
-      return 3;
+    } catch (MalformedInputException e) {
+      log().severe(e.getMessage());
+      return EXIT_MALFORMED_INPUT;
     }
   }
 
@@ -77,23 +83,18 @@
       exitCodeListHeading = "%nExit status:%n",
       exitCodeList = {"0:shown", "1:no answer, or it knows of no others", "2:faulty input"})
   int members(
-      @picocli.CommandLine.Parameters(
-              paramLabel = "ADDR",
-              description = "Its admin endpoint (admin_addr).")
+      @Parameters(paramLabel = "ADDR", description = "Its admin endpoint (admin_addr).")
           String admin,
       @Option(names = "--json", description = "As the admin endpoint gives it.") boolean json) {
     return MembersCommand.show(admin, json, System.out, System.err);
   }
 
-  /**
-   * Made only when there is something to say: starting the logger costs CPU that a run is billed
-   * for.
-   */
+  /** Created on first use: its initialisation costs CPU time that a simulator run is billed for. */
   private static Logger log() {
     return Logger.getLogger(DillcrossCommand.class.getName());
   }
 
-  /** Reads the version that the build wrote. */
+  /** The version, from a resource that the build writes. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() throws IOException {
--- a/sidecar/src/main/java/dillcross/cli/MembersCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/MembersCommand.java
@@ -14,84 +14,115 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints what a sidecar's admin endpoint says of the other members. */
+/** Prints the members that a running sidecar knows, as its admin endpoint reports them. */
 final class MembersCommand {
+  private static final String MEMBERS_PATH = "/-/members";
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
+  private static final int HTTP_OK = 200;
+  private static final int EXIT_SHOWN = 0;
+  private static final int EXIT_NO_MEMBERS = 1;
+  private static final int EXIT_INVALID_ADDRESS = 2;
+  private static final double MILLIS_PER_SECOND = 1000;
+  private static final List<String> HEADINGS = List.of("member", "state", "for", "zone", "address");
+  private static final int COLUMN_GAP = 2;
+
   private MembersCommand() {}
 
-  static int show(String admin, boolean json, PrintStream out, PrintStream err) {
-    if (NumericAddress.parse(admin).isEmpty()) {
-      err.println("dillcross: not a numeric address and port: " + admin);
-      return 2;
+  /**
+   * Prints the members.
+   *
+   * @param adminAddress of the sidecar's admin endpoint
+   * @param json whether to print the response as it is and not as a table
+   * @return the exit status: 0 shown, 1 no response or no membership there, 2 an invalid address
+   */
+  static int show(String adminAddress, boolean json, PrintStream out, PrintStream err) {
+    if (NumericAddress.parse(adminAddress).isEmpty()) {
+      err.println("dillcross: not a numeric address and port: " + adminAddress);
+      return EXIT_INVALID_ADDRESS;
     }
     try {
-      HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(3)).build();
-      HttpResponse<String> answer =
-          client.send(
-              HttpRequest.newBuilder(URI.create("http://" + admin + "/-/members"))
-                  .timeout(Duration.ofSeconds(5))
-                  .build(),
-              HttpResponse.BodyHandlers.ofString());
-      if (answer.statusCode() != 200) {
+      HttpResponse<String> response = request(adminAddress);
+      if (response.statusCode() != HTTP_OK) {
         err.println(
             "dillcross: "
-                + admin
+                + adminAddress
                 + " shows no members ("
-                + answer.statusCode()
+                + response.statusCode()
                 + "): membership is off there, or it is no admin endpoint");
-        return 1;
-      }
-      if (json) {
-        out.println(answer.body());
-      } else {
-        table(JSON.std.mapFrom(answer.body()), out);
+        return EXIT_NO_MEMBERS;
       }
-      return 0;
+      print(response.body(), json, out);
+      return EXIT_SHOWN;
     } catch (IOException e) {
-      err.println("dillcross: no answer from " + admin + ": " + e);
-      return 1;
+      err.println("dillcross: no answer from " + adminAddress + ": " + e);
+      return EXIT_NO_MEMBERS;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return 1;
+      return EXIT_NO_MEMBERS;
     }
   }
 
-  private static void table(Map<String, Object> all, PrintStream out) {
-    List<String[]> rows = new ArrayList<>();
-    rows.add(new String[] {"member", "state", "for", "zone", "address"});
-    Map<?, ?> self = (Map<?, ?>) all.get("self");
-    rows.add(
-        new String[] {
-          String.valueOf(self.get("name")),
-          "self",
-          "",
-          String.valueOf(self.get("zone")),
-          String.valueOf(self.get("address"))
-        });
-    for (Object one : (List<?>) all.get("members")) {
-      Map<?, ?> row = (Map<?, ?>) one;
-      rows.add(
-          new String[] {
-            String.valueOf(row.get("name")),
-            String.valueOf(row.get("state")),
-            String.format(Locale.ROOT, "%.1f s", ((Number) row.get("for_ms")).longValue() / 1000.0),
-            String.valueOf(row.get("zone")),
-            String.valueOf(row.get("address"))
-          });
+  private static HttpResponse<String> request(String adminAddress)
+      throws IOException, InterruptedException {
+    HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
+    URI uri = URI.create("http://" + adminAddress + MEMBERS_PATH);
+    HttpRequest request = HttpRequest.newBuilder(uri).timeout(RESPONSE_TIMEOUT).build();
+    return client.send(request, HttpResponse.BodyHandlers.ofString());
+  }
+
+  private static void print(String body, boolean json, PrintStream out) throws IOException {
+    if (json) {
+      out.println(body);
+    } else {
+      printTable(JSON.std.mapFrom(body), out);
     }
-    int[] width = new int[5];
-    rows.forEach(
-        row -> {
-          for (int i = 0; i < width.length; i++) {
-            width[i] = Math.max(width[i], row[i].length());
-          }
-        });
-    for (String[] row : rows) {
-      StringBuilder line = new StringBuilder();
-      for (int i = 0; i < width.length; i++) {
-        line.append(row[i]).append(" ".repeat(width[i] - row[i].length() + 2));
+  }
+
+  private static void printTable(Map<String, Object> view, PrintStream out) {
+    Map<?, ?> self = (Map<?, ?>) view.get("self");
+    List<List<String>> rows = new ArrayList<>();
+    rows.add(HEADINGS);
+    rows.add(row(self, "self", ""));
+    for (Object item : (List<?>) view.get("members")) {
+      Map<?, ?> member = (Map<?, ?>) item;
+      rows.add(row(member, text(member, "state"), timeInState(member)));
+    }
+    int[] widths = columnWidths(rows);
+    rows.forEach(row -> out.println(line(row, widths)));
+    out.println("health " + self.get("health") + " (0 is well); " + view.get("counts"));
+  }
+
+  private static List<String> row(Map<?, ?> member, String state, String timeInState) {
+    return List.of(
+        text(member, "name"), state, timeInState, text(member, "zone"), text(member, "address"));
+  }
+
+  private static String text(Map<?, ?> member, String key) {
+    return String.valueOf(member.get(key));
+  }
+
+  private static String timeInState(Map<?, ?> member) {
+    long millis = ((Number) member.get("for_ms")).longValue();
+    return String.format(Locale.ROOT, "%.1f s", millis / MILLIS_PER_SECOND);
+  }
+
+  private static int[] columnWidths(List<List<String>> rows) {
+    int[] widths = new int[HEADINGS.size()];
+    for (List<String> row : rows) {
+      for (int i = 0; i < widths.length; i++) {
+        widths[i] = Math.max(widths[i], row.get(i).length());
       }
-      out.println(line.toString().stripTrailing());
     }
-    out.println("health " + self.get("health") + " (0 is well); " + all.get("counts"));
+    return widths;
+  }
+
+  private static String line(List<String> row, int[] widths) {
+    StringBuilder line = new StringBuilder();
+    for (int i = 0; i < widths.length; i++) {
+      String cell = row.get(i);
+      line.append(cell).append(" ".repeat(widths[i] - cell.length() + COLUMN_GAP));
+    }
+    return line.toString().stripTrailing();
   }
 }
--- a/sidecar/src/main/java/dillcross/cli/ServeCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/ServeCommand.java
@@ -1,7 +1,7 @@
 package dillcross.cli;
 
 import dillcross.balancer.LoadBalancer;
-import dillcross.config.ConfigValues;
+import dillcross.config.EnvironmentVariables;
 import dillcross.config.InvalidConfigException;
 import dillcross.config.MembershipConfig;
 import dillcross.config.OperatorConfig;
@@ -24,10 +24,14 @@
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
 
-/** Assembles one sidecar and runs it until it is told to stop. */
+/**
+ * Assembles one sidecar and runs it until the process is terminated. The main thread assembles it,
+ * then waits for SIGHUP and hands each new configuration to the selector thread.
+ */
 final class ServeCommand {
   private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
   private static final int WARM_UP_REQUESTS = 120;
+  private static final int HEAP_TO_BUFFERS_RATIO = 4; // at least
   private static final int MICROS_PER_MILLI = 1000;
   private static final int NANOS_PER_MICRO = 1000;
   private static final int EXIT_CANNOT_START = 1;
@@ -39,40 +43,33 @@
   private SidecarConfig config;
 
   private ServeCommand(String file, String operatorFile, long clockShiftUs) {
-    this.file = file != null ? file : ConfigValues.fileNamedBy(System.getenv());
+    this.file = file != null ? file : EnvironmentVariables.configFile(System.getenv());
     config = SidecarConfig.read(this.file, System.getenv());
-    String operator = operatorFile != null ? operatorFile : System.getenv("NODE_OPERATOR");
-    boolean hasOperator = operator != null && !operator.isEmpty();
-    membership = hasOperator ? readMembership(operator) : Optional.empty();
+    membership = operatorFile(operatorFile).flatMap(this::readMembership);
     clock = clock(clockShiftUs);
   }
 
-  private Optional<MembershipConfig> readMembership(String operatorFile) {
-    Optional<MembershipConfig> read =
-        OperatorConfig.read(operatorFile)
-            .membership(config.name(), config.settings().balancer().zone());
-    read.ifPresent(member -> checkReachable(operatorFile, member));
-    return read;
+  /** The file of the command line, else that of the environment; empty where it is not named. */
+  private static Optional<String> operatorFile(String fileOption) {
+    if (fileOption == null) {
+      return EnvironmentVariables.operatorFile(System.getenv());
+    }
+    return Optional.of(fileOption).filter(file -> !file.isEmpty());
   }
 
-  private static void checkReachable(String operatorFile, MembershipConfig member) {
-    String key = operatorFile + ", membership.bind";
-    boolean isAnyPort = SidecarConfig.address(key, member.bind()).getPort() == 0;
-    if (member.advertise().isEmpty() && isAnyPort) {
-      throw new InvalidConfigException(
-          key, "names no port, so membership.advertise has to say where others reach it");
-    }
+  private Optional<MembershipConfig> readMembership(String operatorFile) {
+    return OperatorConfig.read(operatorFile)
+        .membership(config.name(), config.settings().balancer().zone());
   }
 
   /**
    * Runs a sidecar.
    *
-   * @param file null where the environment names the configuration
-   * @param operatorFile null where the environment names it, if there is one
-   * @param checkOnly whether to return once it is ready
-   * @param clockShiftMs of the wall clock, for tests of clocks that differ
-   * @return the exit status: 0 after a check, 1 where it can't start, 2 for an invalid
-   *     configuration
+   * @param file the configuration file; null where the environment names it
+   * @param operatorFile the operators' file; null where the environment may name it
+   * @param checkOnly whether to return once the sidecar is ready
+   * @param clockShiftMs added to the wall clock, in milliseconds, for tests of clock skew
+   * @return the exit status: 0 after a check, 1 if it can't start, 2 for an invalid configuration
    */
   static int run(String file, String operatorFile, boolean checkOnly, long clockShiftMs)
       throws InterruptedException {
@@ -90,7 +87,7 @@
 
   private void run(boolean checkOnly) throws IOException, InterruptedException {
     Semaphore reloads = new Semaphore(0);
-    HangUpSignal.onSignal(reloads::release); // before all else: unhandled, it would end the program
+    ReloadSignal.onSignal(reloads::release); // first, as an unhandled SIGHUP ends the process
     SidecarServer server = assemble();
     server.open(config.adminAddress());
     warmUpCode();
@@ -100,7 +97,7 @@
     } else {
       server.startListening(config.listenAddress());
     }
-    while (!checkOnly) { // the end comes by a signal
+    while (!checkOnly) { // until a signal terminates the process
       reloads.acquire();
       reloads.drainPermits();
       reload(server);
@@ -116,7 +113,10 @@
       coordinator.onEndpointList(clock.getAsLong(), known.version(), true, known.entries(), false);
     }
     SidecarLimits limits =
-        config.limits().atMost(DescriptorLimit.read(), Runtime.getRuntime().maxMemory() / 4);
+        config
+            .limits()
+            .atMost(
+                DescriptorLimit.read(), Runtime.getRuntime().maxMemory() / HEAP_TO_BUFFERS_RATIO);
     SidecarServer server =
         new SidecarServer(
             new GrizzlyNetwork(),
@@ -147,19 +147,28 @@
   }
 
   private MembershipService service(MembershipConfig member, long bootUs) {
-    String address = member.advertise().isEmpty() ? member.bind() : member.advertise();
     long seed = config.seed() ^ bootUs ^ member.name().hashCode();
     MemberRecord self =
-        new MemberRecord(member.name(), address, member.zone(), bootUs, 0, MemberState.ALIVE, "");
+        new MemberRecord(
+            member.name(),
+            member.advertisedAddress(),
+            member.zone(),
+            bootUs,
+            0,
+            MemberState.ALIVE,
+            "");
     Membership protocol = new Membership(seed, bootUs, self, member.settings());
     return new MembershipService(
         protocol,
         new PacketCodec(member.fleet()),
-        SidecarConfig.address("membership.bind", member.bind()),
+        member.bindAddress(),
         member.settings().datagramBytes());
   }
 
-  /** Reads the file again. What is open or learned stays; an invalid file changes nothing. */
+  /**
+   * Reads the configuration file again and applies what changed. Open requests, connections and
+   * measurements stay; an invalid file changes nothing.
+   */
   private void reload(SidecarServer server) throws InterruptedException {
     try {
       SidecarConfig next = SidecarConfig.read(file, System.getenv());
@@ -193,7 +202,10 @@
             + (restartOnly.isEmpty() ? "" : "; taken on by a restart only: " + restartOnly));
   }
 
-  /** Whole microseconds since 1970, as the endpoint list counts starts, that never go back. */
+  /**
+   * Microseconds since 1970, the unit and epoch of start times in the endpoint list. The wall clock
+   * is read once, so that the result never goes back.
+   */
   private static LongSupplier clock(long shiftUs) {
     long startUs = System.currentTimeMillis() * MICROS_PER_MILLI + shiftUs;
     long startNs = System.nanoTime();
--- a/sidecar/src/main/java/dillcross/config/ConfigReplacement.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigReplacement.java
@@ -1,51 +1,75 @@
 package dillcross.config;
 
+import static dillcross.config.ConfigKeys.item;
+import static dillcross.config.ConfigKeys.path;
+
 import java.util.List;
+import java.util.regex.Pattern;
 
 /**
- * Checks whether a configuration may take the place of the one that runs. At a start careful
- * defaults stand in for what is absent; in a program that serves, an absent key is a file that was
- * cut or broken, and a default would be a rule that nobody asked for.
+ * Checks whether a configuration may replace the one in force. At a start, defaults stand in for
+ * absent keys; at a reload an absent key more likely means a truncated file, and a default would
+ * silently change a rule.
  */
 final class ConfigReplacement {
-  private static final String SETTINGS = "settings.";
   private static final List<String> REQUIRED_LIMITS =
-      List.of("max_pushes", "may_duplicate", "cancel");
+      List.of(ConfigKeys.MAX_ATTEMPTS, ConfigKeys.HEDGING_ALLOWED, ConfigKeys.CANCELLABLE);
   private static final List<String> REQUIRED_OF_CLASS =
-      List.of("name", "effect", "target_latency_ms", "ttl_ms", "benefit");
-  private static final List<String> REQUIRED_WITH_KEY = List.of("key_scope", "window_ms");
+      List.of(
+          ConfigKeys.CLASS_NAME,
+          ConfigKeys.IDEMPOTENCY,
+          ConfigKeys.LATENCY_OBJECTIVE_MS,
+          ConfigKeys.MAX_TIMEOUT_MS,
+          ConfigKeys.PRIORITY_WEIGHT);
+  private static final List<String> REQUIRED_WITH_KEY =
+      List.of(ConfigKeys.DEDUPLICATION_SCOPE, ConfigKeys.DEDUPLICATION_WINDOW_MS);
 
   /**
-   * What comes and goes, counts at the start alone, or tells the shape of a deployment that is
-   * migrated forth and back.
+   * Paths that may go away: the endpoint list and list items, which change all the time, and keys
+   * that a migration of the deployment adds and removes.
    */
-  private static final String OPTIONAL =
-      "known\\..*|.*\\.[0-9]+(\\..*)?"
-          + "|settings\\.(weight_source|discovery|benefit_basis|tenants\\.count)";
+  private static final Pattern OPTIONAL =
+      Pattern.compile(
+          ConfigKeys.KNOWN_ENDPOINTS
+              + "\\..*|.*\\.[0-9]+(\\..*)?|"
+              + ConfigKeys.SETTINGS
+              + "\\.("
+              + String.join(
+                  "|",
+                  ConfigKeys.WEIGHT_SOURCE,
+                  ConfigKeys.DISCOVERY_MODE,
+                  ConfigKeys.WEIGHT_BASIS,
+                  ConfigKeys.TENANTS + "\\" + ConfigValues.COUNT_SUFFIX)
+              + ")");
 
   private ConfigReplacement() {}
 
-  /** Throws {@link InvalidConfigException} for what is missing in {@code next}. */
+  /** Throws {@link InvalidConfigException} for the first key that is missing in {@code next}. */
   static void check(ConfigValues next, ConfigValues current) {
-    REQUIRED_LIMITS.forEach(key -> next.require(SETTINGS + "limits." + key));
-    for (int i = 0; i < next.count(SETTINGS + "categories"); i++) {
-      checkRequestClass(next, SETTINGS + "categories." + i + ".");
+    REQUIRED_LIMITS.forEach(key -> next.require(path(ConfigKeys.SETTINGS, key)));
+    String classes = path(ConfigKeys.SETTINGS, ConfigKeys.REQUEST_CLASSES);
+    for (int i = 0; i < next.count(classes); i++) {
+      checkRequestClass(next, item(classes, i));
     }
     current.paths().stream()
-        .filter(path -> !path.matches(OPTIONAL) && !next.paths().contains(path))
-        .sorted()
-        .findFirst()
+        .filter(path -> !isOptional(path) && !next.paths().contains(path))
+        .min(String::compareTo)
         .ifPresent(
             path -> {
-              String key = path.replaceAll("\\.count$", "");
-              throw next.invalid(key, "is missing, and stood in the last one");
+              throw next.invalid(
+                  ConfigValues.withoutCount(path), "is missing, and stood in the last one");
             });
   }
 
-  private static void checkRequestClass(ConfigValues next, String path) {
-    REQUIRED_OF_CLASS.forEach(key -> next.require(path + key));
-    if (next.require(path + "effect").equals("deduplicated")) {
-      REQUIRED_WITH_KEY.forEach(key -> next.require(path + key));
+  private static boolean isOptional(String path) {
+    return OPTIONAL.matcher(path).matches();
+  }
+
+  private static void checkRequestClass(ConfigValues next, String section) {
+    REQUIRED_OF_CLASS.forEach(key -> next.require(path(section, key)));
+    String idempotency = next.require(path(section, ConfigKeys.IDEMPOTENCY));
+    if (idempotency.equals(ConfigKeys.IDEMPOTENT_WITH_KEY)) {
+      REQUIRED_WITH_KEY.forEach(key -> next.require(path(section, key)));
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/config/ConfigValues.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigValues.java
@@ -7,31 +7,32 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
 
 /**
- * Configuration values by path, from pairs or from a JSON file, as text. Unknown keys are skipped.
- * Every method that takes a path throws {@link InvalidConfigException}, which names it, where the
- * value can't be read as asked for.
+ * Configuration values as text, by path: keys joined by dots, list items counted from 0. They come
+ * from pairs or from a JSON file. Unknown keys are ignored. Every method that takes a path throws
+ * {@link InvalidConfigException}, which names the path, where the value does not have the type that
+ * is asked for. Immutable.
  */
 public final class ConfigValues {
-  private static final String ENVIRONMENT_PREFIX = "NODE_";
-  private static final String FILE_VARIABLE = ENVIRONMENT_PREFIX + "CONFIG";
-  private static final String ABSENT = "-";
+  /** The end of the path under which the length of a list is held. */
+  static final String COUNT_SUFFIX = ".count";
+
+  private static final String ABSENT = "-"; // as is an empty text
   private static final double MAX_NUMBER = 1e15;
   private static final int MICROS_PER_MILLI = 1000;
 
   private final Map<String, String> values;
-  private final Map<?, ?> tree;
-  private final String prefix; // where the paths begin in the complete configuration, for messages
+  private final Map<?, ?> json; // empty where the values are from pairs
+  private final String prefix; // of all paths in the complete configuration, for error messages
 
-  private ConfigValues(Map<String, String> values, Map<?, ?> tree, String prefix) {
+  private ConfigValues(Map<String, String> values, Map<?, ?> json, String prefix) {
     this.values = values;
-    this.tree = tree;
+    this.json = json;
     this.prefix = prefix;
   }
 
@@ -40,28 +41,16 @@
     return new ConfigValues(pairs, Map.of(), "");
   }
 
-  /** The configuration file that the environment names. */
-  public static String fileNamedBy(Map<String, String> environment) {
-    String file = environment.get(FILE_VARIABLE);
-    if (file == null || file.isEmpty()) {
-      throw new InvalidConfigException(FILE_VARIABLE, "is missing");
-    }
-    return file;
-  }
-
-  /** Values from a JSON file; the environment stands in for keys that it leaves out. */
+  /**
+   * Values from a JSON file; the environment stands in for keys that it leaves out.
+   *
+   * @throws InvalidConfigException if the file can't be read or holds no JSON object
+   */
   public static ConfigValues fromFile(String file, Map<String, String> environment) {
-    Map<String, String> values = new HashMap<>();
-    environment.forEach(
-        (variable, value) -> {
-          if (variable.startsWith(ENVIRONMENT_PREFIX)) {
-            String key = variable.substring(ENVIRONMENT_PREFIX.length());
-            values.put(key.toLowerCase(Locale.ROOT), value);
-          }
-        });
-    Map<?, ?> tree = readObject(file);
-    flatten("", tree, values);
-    return new ConfigValues(values, tree, "");
+    Map<String, String> values = EnvironmentVariables.valuesByKey(environment);
+    Map<?, ?> json = readObject(file);
+    flatten("", json, values);
+    return new ConfigValues(values, json, "");
   }
 
   private static Map<?, ?> readObject(String file) {
@@ -78,13 +67,13 @@
     }
   }
 
-  /** The length of a list goes under {@code .count}, its items under {@code .0} and onward. */
+  /** Puts the length of a list under {@code .count} and its items under {@code .0} and so on. */
   private static void flatten(String path, Object value, Map<String, String> into) {
     String start = path.isEmpty() ? "" : path + ".";
     if (value instanceof Map<?, ?> object) {
       object.forEach((key, item) -> flatten(start + key, item, into));
     } else if (value instanceof List<?> list) {
-      into.put(start + "count", String.valueOf(list.size()));
+      into.put(path + COUNT_SUFFIX, String.valueOf(list.size()));
       for (int i = 0; i < list.size(); i++) {
         flatten(start + i, list.get(i), into);
       }
@@ -93,22 +82,22 @@
     }
   }
 
-  /** What stands below a path, with paths that begin there. */
-  public ConfigValues below(String path) {
-    Map<String, String> part = new HashMap<>();
+  /** The values below a path, with paths relative to it; empty where there are none. */
+  public ConfigValues section(String path) {
+    Map<String, String> section = new HashMap<>();
     values.forEach(
         (key, value) -> {
           if (key.startsWith(path + ".")) {
-            part.put(key.substring(path.length() + 1), value);
+            section.put(key.substring(path.length() + 1), value);
           }
         });
-    Map<?, ?> subtree = tree.get(path) instanceof Map<?, ?> object ? object : Map.of();
-    return new ConfigValues(part, subtree, prefix + path + ".");
+    Map<?, ?> sectionJson = json.get(path) instanceof Map<?, ?> object ? object : Map.of();
+    return new ConfigValues(section, sectionJson, prefix + path + ".");
   }
 
-  /** As it stands in the JSON file; empty where the values are not from one. */
-  Map<?, ?> tree() {
-    return tree;
+  /** The parsed JSON object; empty where the values are not from a file. */
+  Map<?, ?> json() {
+    return json;
   }
 
   /** All paths that have a value. */
@@ -116,17 +105,17 @@
     return values.keySet();
   }
 
-  /** Whether the same stands at and below a path in both. */
+  /** Whether the value at a path and all values below it are equal in both. */
   public boolean isSame(ConfigValues other, String path) {
     return Objects.equals(values.get(path), other.values.get(path))
-        && below(path).values.equals(other.below(path).values);
+        && section(path).values.equals(other.section(path).values);
   }
 
   boolean has(String path) {
     return find(path).isPresent();
   }
 
-  /** The value, which has to be there. */
+  /** The value; throws {@link InvalidConfigException} where it is absent. */
   public String require(String path) {
     return find(path).orElseThrow(() -> invalid(path, "is missing"));
   }
@@ -146,9 +135,10 @@
   }
 
   /**
-   * One of the known words, the first where it is absent: a wrong one must not pass as a default.
+   * One of the known words; the first where it is absent. An unknown word is invalid, as it must
+   * not pass as the default.
    */
-  String word(String path, String... known) {
+  String keyword(String path, String... known) {
     String word = find(path).orElse(known[0]);
     if (!List.of(known).contains(word)) {
       throw invalid(path, "unknown word: " + word + "; known are " + String.join(", ", known));
@@ -156,13 +146,13 @@
     return word;
   }
 
-  /** The length of a list. */
+  /** The length of a list; 0 where it is absent. */
   int count(String path) {
     checkSection(path);
-    return integer(path + ".count", 0, 0);
+    return integer(path + COUNT_SUFFIX, 0, 0);
   }
 
-  /** Throws where a plain value stands in place of a list or an object. */
+  /** Throws {@link InvalidConfigException} for a plain value in place of a list or an object. */
   void checkSection(String path) {
     plainValue(path)
         .ifPresent(
@@ -171,6 +161,7 @@
             });
   }
 
+  /** A whole number of at least {@code min}. */
   int integer(String path, int defaultValue, int min) {
     double number = number(path, defaultValue);
     if (number != Math.rint(number) || number < min || number > Integer.MAX_VALUE) {
@@ -179,6 +170,7 @@
     return (int) number;
   }
 
+  /** True or false; false where it is absent. */
   boolean flag(String path) {
     String value = find(path).orElse("false");
     return switch (value) {
@@ -203,21 +195,21 @@
     return number;
   }
 
-  /** A share of something: 0 to 1. */
-  double share(String path, double defaultValue) {
-    double share = number(path, defaultValue);
-    if (share > 1) {
-      throw invalid(path, "out of range: " + share);
+  /** A number from 0 to 1. */
+  double fraction(String path, double defaultValue) {
+    double fraction = number(path, defaultValue);
+    if (fraction > 1) {
+      throw invalid(path, "out of range: " + fraction);
     }
-    return share;
+    return fraction;
   }
 
-  /** A duration given in milliseconds, in microseconds. */
+  /** A duration in microseconds, of a value in milliseconds. */
   long durationUs(String path, double defaultMs) {
     return Math.round(number(path, defaultMs) * MICROS_PER_MILLI);
   }
 
-  /** A duration above 0. */
+  /** A duration above 0, in microseconds, of a value in milliseconds. */
   long positiveDurationUs(String path, double defaultMs) {
     long durationUs = durationUs(path, defaultMs);
     if (durationUs < 1) {
@@ -226,6 +218,13 @@
     return durationUs;
   }
 
+  /** The path without the suffix of a list's length. */
+  static String withoutCount(String path) {
+    return path.endsWith(COUNT_SUFFIX)
+        ? path.substring(0, path.length() - COUNT_SUFFIX.length())
+        : path;
+  }
+
   InvalidConfigException invalid(String path, String reason) {
     return new InvalidConfigException(prefix + path, reason);
   }
--- /dev/null
+++ b/sidecar/src/main/java/dillcross/config/EnvironmentVariables.java
@@ -0,0 +1,52 @@
+package dillcross.config;
+
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+
+/** The variables of the environment that configure a sidecar. */
+public final class EnvironmentVariables {
+  /** {@code NODE_X} stands in for the key {@code x} that the configuration file leaves out. */
+  private static final String PREFIX = "NODE_";
+
+  /** The path of the configuration file. */
+  private static final String CONFIG_FILE = PREFIX + "CONFIG";
+
+  /** The path of the operators' file, see {@link OperatorConfig}. */
+  private static final String OPERATOR_FILE = PREFIX + "OPERATOR";
+
+  private EnvironmentVariables() {}
+
+  /**
+   * The configuration file that the environment names.
+   *
+   * @throws InvalidConfigException if it names none
+   */
+  public static String configFile(Map<String, String> environment) {
+    return nonEmpty(environment, CONFIG_FILE)
+        .orElseThrow(() -> new InvalidConfigException(CONFIG_FILE, "is missing"));
+  }
+
+  /** The operators' file that the environment names; empty where it names none. */
+  public static Optional<String> operatorFile(Map<String, String> environment) {
+    return nonEmpty(environment, OPERATOR_FILE);
+  }
+
+  private static Optional<String> nonEmpty(Map<String, String> environment, String variable) {
+    return Optional.ofNullable(environment.get(variable)).filter(value -> !value.isEmpty());
+  }
+
+  /** The values of the environment, by the configuration keys that they stand in for. */
+  static Map<String, String> valuesByKey(Map<String, String> environment) {
+    Map<String, String> values = new HashMap<>();
+    environment.forEach(
+        (variable, value) -> {
+          if (variable.startsWith(PREFIX)) {
+            String key = variable.substring(PREFIX.length());
+            values.put(key.toLowerCase(Locale.ROOT), value);
+          }
+        });
+    return values;
+  }
+}
--- a/sidecar/src/main/java/dillcross/config/InvalidConfigException.java
+++ b/sidecar/src/main/java/dillcross/config/InvalidConfigException.java
@@ -1,25 +1,46 @@
 package dillcross.config;
 
-/** A value of the configuration that can't be used. */
+import java.util.Optional;
+
+/** A configuration value that is missing or invalid. */
 public final class InvalidConfigException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
+  private final String location; // null where the key says it all
   private final String key;
   private final String reason;
 
   /** The message is {@code key: reason}. */
   public InvalidConfigException(String key, String reason) {
     super(key + ": " + reason);
+    location = null;
     this.key = key;
     this.reason = reason;
   }
 
-  /** The path of the value, or the file where all of it is unusable. */
+  /**
+   * The message is {@code location, key: reason}.
+   *
+   * @param location the file, and the line if that is known
+   */
+  public InvalidConfigException(String location, String key, String reason) {
+    super(location + ", " + key + ": " + reason);
+    this.location = location;
+    this.key = key;
+    this.reason = reason;
+  }
+
+  /** The file and line of the value; empty where only the key is known. */
+  public Optional<String> location() {
+    return Optional.ofNullable(location);
+  }
+
+  /** The path of the value, or the file where all of it is invalid. */
   public String key() {
     return key;
   }
 
-  /** What is wrong with it. */
+  /** What is wrong with the value. */
   public String reason() {
     return reason;
   }
--- a/sidecar/src/main/java/dillcross/config/MembershipConfig.java
+++ b/sidecar/src/main/java/dillcross/config/MembershipConfig.java
@@ -1,16 +1,18 @@
 package dillcross.config;
 
+import dillcross.common.NumericAddress;
 import dillcross.membership.MembershipSettings;
+import java.net.InetSocketAddress;
 
 /**
- * The operators' table {@code [membership]}.
+ * The table {@code [membership]} of the operators' file.
  *
- * @param fleet members of other fleets are ignored
- * @param name of this member
+ * @param fleet datagrams of members of other fleets are ignored
+ * @param name of this member, unique in the fleet
  * @param zone of this member; empty for none
- * @param bind where datagrams are received; port 0 for any
- * @param advertise the address that others are told; empty for what was bound
- * @param settings the bounds and times of the protocol
+ * @param bind numeric address and port where datagrams are received; port 0 for any
+ * @param advertise numeric address and port that other members send to; empty for {@code bind}
+ * @param settings the timing and the bounds of the protocol
  */
 public record MembershipConfig(
     String fleet,
@@ -18,4 +20,14 @@
     String zone,
     String bind,
     String advertise,
-    MembershipSettings settings) {}
+    MembershipSettings settings) {
+  /** Where datagrams are received. */
+  public InetSocketAddress bindAddress() {
+    return NumericAddress.parse(bind).orElseThrow();
+  }
+
+  /** The numeric address and port that other members send to. */
+  public String advertisedAddress() {
+    return advertise.isEmpty() ? bind : advertise;
+  }
+}
--- a/sidecar/src/main/java/dillcross/config/OperatorConfig.java
+++ b/sidecar/src/main/java/dillcross/config/OperatorConfig.java
@@ -3,6 +3,7 @@
 import dillcross.common.NumericAddress;
 import dillcross.membership.MembershipSettings;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,29 +17,77 @@
 import org.tomlj.TomlTable;
 
 /**
- * What operators switch on in a file of their own, as TOML. What is not named there is off. An
- * {@link InvalidConfigException} names file, line and key; an unknown key is invalid, as it would
- * be a setting that does nothing.
+ * The operators' file, as TOML: features that are off unless a table switches them on. An {@link
+ * InvalidConfigException} names file, line and key. An unknown key is invalid, as it would be a
+ * setting without effect.
  */
 public final class OperatorConfig {
   private static final String MEMBERSHIP = "membership";
+
+  // The keys of the table, with the field of MembershipConfig or MembershipSettings that each sets.
+
+  private static final String FLEET = "fleet";
+  private static final String NAME = "name";
+  private static final String ZONE = "zone";
+  private static final String BIND = "bind";
+  private static final String ADVERTISE = "advertise";
+  private static final String SEEDS = "seeds";
+
+  /** {@code intervalUs}, in ms: faster detection for more datagrams and CPU. */
+  private static final String INTERVAL_MS = "interval_ms";
+
+  /** {@code timeoutUs}, in ms: must exceed the usual round trip between members. */
+  private static final String TIMEOUT_MS = "timeout_ms";
+
+  /** {@code maxMembers}: new members are refused above it. */
+  private static final String MAX_MEMBERS = "most_members";
+
+  /** {@code datagramBytes}: below the path's MTU, or datagrams are fragmented. */
+  private static final String DATAGRAM_BYTES = "datagram_bytes";
+
+  /** {@code bytesPerSecond}: replies are suppressed above it. */
+  private static final String BYTES_PER_SECOND = "bytes_per_s";
+
   private static final Set<String> MEMBERSHIP_KEYS =
       Set.of(
-          "fleet",
-          "name",
-          "zone",
-          "bind",
-          "advertise",
-          "seeds",
-          "interval_ms",
-          "timeout_ms",
-          "most_members",
-          "datagram_bytes",
-          "bytes_per_s");
-  private static final String NAME = "[A-Za-z0-9._-]{1,48}"; // a collision adds some more
-  private static final String NAME_OR_EMPTY = "|" + NAME;
+          FLEET,
+          NAME,
+          ZONE,
+          BIND,
+          ADVERTISE,
+          SEEDS,
+          INTERVAL_MS,
+          TIMEOUT_MS,
+          MAX_MEMBERS,
+          DATAGRAM_BYTES,
+          BYTES_PER_SECOND);
+
+  private static final String DEFAULT_FLEET = "dillcross";
+  private static final Range INTERVAL_MS_RANGE = new Range(50, 60_000);
+  private static final long DEFAULT_INTERVAL_MS = 1000;
+  private static final long MIN_TIMEOUT_MS = 10;
+  private static final long DEFAULT_TIMEOUT_PERCENT = 30; // of the interval
+  private static final long MAX_TIMEOUT_PERCENT = 40; // leaves time for the indirect probe
+  private static final long PERCENT = 100;
+  private static final Range MAX_MEMBERS_RANGE = new Range(2, 65_536);
+  private static final long DEFAULT_MAX_MEMBERS = 4096;
+  private static final Range DATAGRAM_BYTES_RANGE = new Range(1000, 8192);
+  private static final long DEFAULT_DATAGRAM_BYTES = 1200;
+  private static final Range BYTES_PER_SECOND_RANGE = new Range(2000, 100_000_000);
+  private static final long DEFAULT_BYTES_PER_SECOND = 20_000;
+
+  // A name collision appends a suffix of 7 characters to the name.
+  private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,48}";
+  private static final String NAME_OR_EMPTY_PATTERN = "|" + NAME_PATTERN;
   private static final int MICROS_PER_MILLI = 1000;
 
+  /** The valid values of a number, both ends included. */
+  private record Range(long min, long max) {
+    boolean contains(long number) {
+      return number >= min && number <= max;
+    }
+  }
+
   private final String file;
   private final TomlParseResult toml;
 
@@ -47,7 +96,7 @@
     this.toml = toml;
   }
 
-  /** Reads the file; throws {@link InvalidConfigException} where it can't be used. */
+  /** Reads the file; throws {@link InvalidConfigException} if it is no TOML or has unknown keys. */
   public static OperatorConfig read(String file) {
     OperatorConfig config = new OperatorConfig(file, parse(file));
     config.checkKeys(config.toml, Set.of(MEMBERSHIP), "");
@@ -59,8 +108,8 @@
       TomlParseResult toml = Toml.parse(Path.of(file));
       if (toml.hasErrors()) {
         TomlParseError error = toml.errors().get(0);
-        String where = file + " line " + error.position().line();
-        throw new InvalidConfigException(where, "not TOML: " + error.getMessage());
+        throw new InvalidConfigException(
+            location(file, error.position()), "not TOML: " + error.getMessage());
       }
       return toml;
     } catch (IOException e) {
@@ -80,8 +129,9 @@
   /**
    * The table {@code [membership]}; empty where the file has none.
    *
-   * @param sidecarName where it names no member
-   * @param sidecarZone where it names no zone
+   * @param sidecarName the default of the member's name; empty for none
+   * @param sidecarZone the default of the member's zone; empty for none
+   * @throws InvalidConfigException for the first value that is missing or invalid
    */
   public Optional<MembershipConfig> membership(String sidecarName, String sidecarZone) {
     if (!toml.contains(MEMBERSHIP)) {
@@ -91,32 +141,57 @@
       throw invalid(MEMBERSHIP, "has to be a table");
     }
     checkKeys(toml.getTable(MEMBERSHIP), MEMBERSHIP_KEYS, MEMBERSHIP + ".");
-    String name = text("name", NAME).orElse(sidecarName);
+    String name = text(NAME, NAME_PATTERN).orElse(sidecarName);
     if (name.isEmpty()) {
-      throw invalid(path("name"), "is missing, and the sidecar has no name either");
+      throw invalid(path(NAME), "is missing, and the sidecar has no name either");
     }
     List<String> seeds = seeds();
-    long intervalMs = number("interval_ms", 1000, 50, 60_000);
-    long defaultTimeoutMs = Math.max(10, intervalMs * 3 / 10);
-    long timeoutMs = number("timeout_ms", defaultTimeoutMs, 10, intervalMs * 2 / 5);
-    return Optional.of(
+    long intervalMs = number(INTERVAL_MS, DEFAULT_INTERVAL_MS, INTERVAL_MS_RANGE);
+    long timeoutMs = timeoutMs(intervalMs);
+    MembershipConfig membership =
         new MembershipConfig(
-            text("fleet", NAME).orElse("dillcross"),
+            text(FLEET, NAME_PATTERN).orElse(DEFAULT_FLEET),
             name,
-            text("zone", NAME_OR_EMPTY).orElse(sidecarZone),
-            address("bind").orElseThrow(() -> invalid(path("bind"), "is missing")),
-            address("advertise").orElse(""),
+            text(ZONE, NAME_OR_EMPTY_PATTERN).orElse(sidecarZone),
+            address(BIND).orElseThrow(() -> invalid(path(BIND), "is missing")),
+            address(ADVERTISE).orElse(""),
             new MembershipSettings(
                 seeds,
                 MICROS_PER_MILLI * intervalMs,
                 MICROS_PER_MILLI * timeoutMs,
-                (int) number("most_members", 4096, 2, 65_536),
-                (int) number("datagram_bytes", 1200, 1000, 8192),
-                number("bytes_per_s", 20_000, 2000, 100_000_000))));
+                (int) number(MAX_MEMBERS, DEFAULT_MAX_MEMBERS, MAX_MEMBERS_RANGE),
+                (int) number(DATAGRAM_BYTES, DEFAULT_DATAGRAM_BYTES, DATAGRAM_BYTES_RANGE),
+                number(BYTES_PER_SECOND, DEFAULT_BYTES_PER_SECOND, BYTES_PER_SECOND_RANGE)));
+    checkReachable(membership);
+    return Optional.of(membership);
+  }
+
+  private long timeoutMs(long intervalMs) {
+    long defaultMs = Math.max(MIN_TIMEOUT_MS, intervalMs * DEFAULT_TIMEOUT_PERCENT / PERCENT);
+    return number(
+        TIMEOUT_MS,
+        defaultMs,
+        new Range(MIN_TIMEOUT_MS, intervalMs * MAX_TIMEOUT_PERCENT / PERCENT));
+  }
+
+  /** Other members can't reach an ephemeral port unless an address is advertised. */
+  private void checkReachable(MembershipConfig membership) {
+    InetSocketAddress bind =
+        NumericAddress.parse(membership.bind())
+            .orElseThrow(
+                () ->
+                    new InvalidConfigException(
+                        file, path(BIND), "not a numeric address and port: " + membership.bind()));
+    if (membership.advertise().isEmpty() && bind.getPort() == 0) {
+      throw new InvalidConfigException(
+          file,
+          path(BIND),
+          "names no port, so membership.advertise has to say where others reach it");
+    }
   }
 
   private List<String> seeds() {
-    String path = path("seeds");
+    String path = path(SEEDS);
     if (!toml.contains(path)) {
       return List.of();
     }
@@ -165,7 +240,7 @@
     return Optional.of(toml.getString(path));
   }
 
-  private long number(String key, long defaultValue, long min, long max) {
+  private long number(String key, long defaultValue, Range range) {
     String path = path(key);
     if (!toml.contains(path)) {
       return defaultValue;
@@ -174,18 +249,22 @@
       throw invalid(path, "not a whole number: " + toml.get(path));
     }
     long number = toml.getLong(path);
-    if (number < min || number > max) {
-      throw invalid(path, "out of range " + min + " to " + max + ": " + number);
+    if (!range.contains(number)) {
+      throw invalid(path, "out of range " + range.min() + " to " + range.max() + ": " + number);
     }
     return number;
   }
 
   private InvalidConfigException invalid(String path, String reason) {
-    String line = position(path).map(position -> " line " + position.line()).orElse("");
-    return new InvalidConfigException(file + line + ", " + path, reason);
+    String location = position(path).map(position -> location(file, position)).orElse(file);
+    return new InvalidConfigException(location, path, reason);
+  }
+
+  private static String location(String file, TomlPosition position) {
+    return file + " line " + position.line();
   }
 
-  /** Where the value stands, or its table where it is absent. */
+  /** The position of the value, or of its table where it is absent. */
   private Optional<TomlPosition> position(String path) {
     if (toml.contains(path)) {
       return Optional.of(toml.inputPositionOf(path));
--- a/sidecar/src/main/java/dillcross/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dillcross/config/SidecarConfig.java
@@ -11,19 +11,20 @@
 import java.util.Optional;
 
 /**
- * The configuration of one sidecar, checked in all its parts.
+ * The complete and valid configuration of one sidecar.
  *
  * @param name of the sidecar; empty where it has none
  * @param listenAddress where clients connect
- * @param inheritsListeningSocket whether the process was handed that socket
- * @param discoveryAddress where the endpoint list is, as text
+ * @param inheritsListeningSocket whether the process inherits the socket of that address as
+ *     descriptor 0
+ * @param discoveryAddress of the discovery service: numeric address and port, as text
  * @param adminAddress of the admin endpoint; empty where there is none
  * @param knownEndpoints the endpoint list to start with; empty where there is none
- * @param seed of all that is drawn by chance
+ * @param seed of all random choices
  * @param pollsDiscovery whether the endpoint list has to be polled; else it is pushed
- * @param settings that a running sidecar can take on
- * @param limits of the process
- * @param values that all of it was read from
+ * @param settings that a reload can change
+ * @param limits of the process, which only a restart changes
+ * @param values the text values that all of it was read from
  */
 public record SidecarConfig(
     String name,
@@ -37,30 +38,32 @@
     SidecarSettings settings,
     SidecarLimits limits,
     ConfigValues values) {
-  private static final String SETTINGS = "settings";
   private static final List<String> RESTART_ONLY =
-      List.of("name", "listen", "admin_addr", "limits");
+      List.of(
+          ConfigKeys.NAME, ConfigKeys.LISTEN_ADDRESS, ConfigKeys.ADMIN_ADDRESS, ConfigKeys.LIMITS);
 
   /**
    * Reads and checks a configuration file; the environment stands in for keys that it leaves out.
    *
-   * @throws InvalidConfigException for the first value that can't be used
+   * @throws InvalidConfigException for the first value that is missing or invalid
    */
   public static SidecarConfig read(String file, Map<String, String> environment) {
     ConfigValues values = ConfigValues.fromFile(file, environment);
-    InetSocketAddress listen = address("listen", values.require("listen"));
-    address("discovery", values.require("discovery"));
+    InetSocketAddress listen =
+        address(ConfigKeys.LISTEN_ADDRESS, values.require(ConfigKeys.LISTEN_ADDRESS));
+    String discovery = values.require(ConfigKeys.DISCOVERY_ADDRESS);
+    address(ConfigKeys.DISCOVERY_ADDRESS, discovery);
     Optional<InetSocketAddress> admin =
-        values.find("admin_addr").map(text -> address("admin_addr", text));
+        values.find(ConfigKeys.ADMIN_ADDRESS).map(text -> address(ConfigKeys.ADMIN_ADDRESS, text));
     Optional<EndpointListUpdate> known = knownEndpoints(values);
-    ConfigValues settings = values.below(SETTINGS);
+    ConfigValues settings = values.section(ConfigKeys.SETTINGS);
     long seed = ConfigReader.seed(values);
     SidecarSettings sidecarSettings = ConfigReader.sidecarSettings(settings);
     return new SidecarConfig(
-        values.find("name").orElse(""),
+        values.find(ConfigKeys.NAME).orElse(""),
         listen,
-        values.has("fd"),
-        values.require("discovery"),
+        values.has(ConfigKeys.INHERITED_SOCKET),
+        discovery,
         admin,
         known,
         seed,
@@ -70,7 +73,7 @@
         values);
   }
 
-  /** The address; throws {@link InvalidConfigException} where the text is none. */
+  /** The numeric address; throws {@link InvalidConfigException} where the text is none. */
   public static InetSocketAddress address(String key, String text) {
     return NumericAddress.parse(text)
         .orElseThrow(
@@ -78,25 +81,25 @@
   }
 
   private static Optional<EndpointListUpdate> knownEndpoints(ConfigValues values) {
-    Map<?, ?> json = values.below("known").tree();
+    Map<?, ?> json = values.section(ConfigKeys.KNOWN_ENDPOINTS).json();
     try {
       return json.isEmpty() ? Optional.empty() : Optional.of(EndpointListUpdate.fromJson(json));
     } catch (MalformedEndpointListException e) {
-      throw new InvalidConfigException("known", e.getMessage());
+      throw new InvalidConfigException(ConfigKeys.KNOWN_ENDPOINTS, e.getMessage());
     }
   }
 
-  /** Throws {@link InvalidConfigException} where this may not take the place of {@code current}. */
+  /** Throws {@link InvalidConfigException} where this may not replace {@code current}. */
   public void checkReplaces(SidecarConfig current) {
     ConfigReplacement.check(values, current.values);
   }
 
-  /** Whether the settings, as they stand in the file, are those of {@code other}. */
+  /** Whether the settings of both files are equal, value by value. */
   public boolean hasSameSettings(SidecarConfig other) {
-    return values.isSame(other.values, SETTINGS);
+    return values.isSame(other.values, ConfigKeys.SETTINGS);
   }
 
-  /** Keys that differ from {@code current} and that only a restart takes on. */
+  /** Keys that differ from {@code current} and that only a restart changes. */
   public List<String> restartOnlyChanges(SidecarConfig current) {
     return RESTART_ONLY.stream().filter(key -> !values.isSame(current.values, key)).toList();
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberExpiry.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberExpiry.java
@@ -33,7 +33,7 @@
     table.all().forEach(entry -> entry.postponeSuspicion(byUs));
   }
 
-  /** When the next suspicion times out, in microseconds; empty where nobody is suspect. */
+  /** When the next suspicion times out, in microseconds; empty where no member is suspect. */
   OptionalLong nextDueUs() {
     return table.all().stream()
         .filter(MemberEntry::isSuspect)
--- a/sidecar/src/test/java/dillcross/config/ConfigReaderTest.java
+++ b/sidecar/src/test/java/dillcross/config/ConfigReaderTest.java
@@ -61,7 +61,7 @@
               ConfigValues values = values(json);
               ConfigReader.seed(values);
               ConfigReader.limits(values);
-              ConfigValues settings = values.below("settings");
+              ConfigValues settings = values.section("settings");
               ConfigReader.balancerSettings(settings, ConfigReader.pollsDiscovery(settings));
               ConfigReader.sidecarSettings(settings);
             });
@@ -112,7 +112,7 @@
     String reason = null;
     try {
       next.require("discovery");
-      ConfigReader.sidecarSettings(next.below("settings"));
+      ConfigReader.sidecarSettings(next.section("settings"));
       ConfigReplacement.check(next, before);
     } catch (InvalidConfigException faulty) {
       reason = faulty.getMessage();
@@ -127,7 +127,7 @@
     assertEquals("n1", values.require("name"));
     assertEquals(
         "NODE_CONFIG: is missing",
-        assertThrows(InvalidConfigException.class, () -> ConfigValues.fileNamedBy(Map.of()))
+        assertThrows(InvalidConfigException.class, () -> EnvironmentVariables.configFile(Map.of()))
             .getMessage());
     assertEquals("from-env", values.require("listen"));
     assertEquals(0x8c1f30d27a5be964L, ConfigReader.seed(values));
