--- a/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -1,82 +1,265 @@
 package dillcross.emulator.oracle;
 
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.time.TimeUnits;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 
 /**
- * One request as the world sees it: what a client sent, what came to endpoints of it, and what came
- * back.
+ * One request as observed outside the sidecars: what its client sent, which attempts of it reached
+ * endpoints, and what came back. Clients report what they do through the public methods; answers
+ * and attempts are recorded by the {@link Oracle}. Times are virtual and in µs.
  */
 public final class ObservedRequest {
-  /** An attempt of it, as an endpoint saw it. */
+  /** An attempt of the request, as an endpoint observed it. */
   public static final class Attempt {
-    public final String endpoint;
-    public final String zone;
-    public final int cell;
-    public final long sentUs;
-    public boolean taken; // carried out or waiting for it: it may run
-    public boolean read; // its sidecar has read all of its answer
-    public long endedUs; // 0 while neither answered nor given up
-
-    Attempt(String endpoint, String zone, int cell, long sentUs) {
-      this.endpoint = endpoint;
-      this.zone = zone;
-      this.cell = cell;
+    private final EndpointLocation location;
+    private final long sentUs;
+    private boolean mayRun;
+    private boolean isAnswerRead;
+    private long endedUs; // 0 while neither answered nor abandoned
+
+    Attempt(EndpointLocation location, long sentUs) {
+      this.location = location;
       this.sentUs = sentUs;
     }
+
+    EndpointLocation location() {
+      return location;
+    }
+
+    String endpoint() {
+      return location.endpoint();
+    }
+
+    /** When the sidecar sent the first byte of its head. */
+    long sentUs() {
+      return sentUs;
+    }
+
+    /** Records that the endpoint accepted it. */
+    void accept() {
+      mayRun = true;
+    }
+
+    /** Whether the endpoint accepted it, so that it runs or waits to run. */
+    boolean mayRun() {
+      return mayRun;
+    }
+
+    /** Records that the sidecar has read all of the endpoint's answer. */
+    public void markAnswerRead() {
+      isAnswerRead = true;
+    }
+
+    boolean isAnswerRead() {
+      return isAnswerRead;
+    }
+
+    /** Records that it was answered or abandoned; only the first call counts. */
+    public void end(long atUs) {
+      if (endedUs == 0) {
+        endedUs = atUs;
+      }
+    }
   }
 
-  public final String id;
-  public final String key; // of the work behind it, the same for a client's retry
-  public final Scenario.RequestClass requestClass;
-  public final int sidecar;
-  public final int attempt;
-  public final long bornUs;
-  public long sentUs = Long.MAX_VALUE; // its last byte; unknown while it still comes
-  public long answerUs; // when the first byte of its answer was sent; 0 while there is none
-  public int status; // of that
-  public int answers;
-  public long leftUs; // when its client closed its connection; 0 while it has not
-  public boolean excused; // its client left, or its sidecar was ended under it
-  public boolean
-      orphan; // that sidecar's process ended: what it wrote its system may send later than it would
-  // have allowed
-  public boolean over;
-  public final List<Attempt> attempts = new ArrayList<>(2);
+  private static final long NOT_SENT = Long.MAX_VALUE;
 
+  private final String id;
+  private final String key;
+  private final Scenario.RequestClass requestClass;
+  private final int sidecar;
+  private final int retryNumber;
+  private final long createdUs;
+  private final List<Attempt> attempts = new ArrayList<>(2);
+  private long sentUs = NOT_SENT;
+  private long answerUs; // 0 until answered
+  private int status;
+  private int answerCount;
+  private long clientLeftUs; // 0 until then
+  private boolean isExcused;
+  private boolean isOrphaned;
+  private boolean isOver;
+
+  /**
+   * A request that a client is about to send.
+   *
+   * @param key identifies the work, and is the same for a client's retry
+   * @param sidecar index of the sidecar that it goes to
+   * @param retryNumber 0 for the first request, 1 for the client's first retry
+   * @param createdUs when the client started it
+   */
   public ObservedRequest(
       String id,
       String key,
       Scenario.RequestClass requestClass,
       int sidecar,
-      int attempt,
-      long bornUs) {
+      int retryNumber,
+      long createdUs) {
     this.id = id;
     this.key = key;
     this.requestClass = requestClass;
     this.sidecar = sidecar;
-    this.attempt = attempt;
-    this.bornUs = bornUs;
+    this.retryNumber = retryNumber;
+    this.createdUs = createdUs;
+  }
+
+  /** Unique within the run. */
+  public String id() {
+    return id;
+  }
+
+  /** Identifies the work behind the request, across retries of the client. */
+  public String key() {
+    return key;
+  }
+
+  /** The request class that determines deadline, effect and work. */
+  public Scenario.RequestClass requestClass() {
+    return requestClass;
+  }
+
+  int sidecar() {
+    return sidecar;
+  }
+
+  /** How many requests of the client for the same work came before this one. */
+  public int retryNumber() {
+    return retryNumber;
+  }
+
+  long createdUs() {
+    return createdUs;
+  }
+
+  /** The attempts that reached endpoints, in the order of arrival. */
+  public List<Attempt> attempts() {
+    return Collections.unmodifiableList(attempts);
+  }
+
+  void addAttempt(Attempt attempt) {
+    attempts.add(attempt);
+  }
+
+  // ---- Client
+
+  /** Records that the client has sent the last byte. */
+  public void markSent(long atUs) {
+    sentUs = atUs;
+  }
+
+  /** Records that the client sends all of it again on a new connection. */
+  public void markResending() {
+    sentUs = NOT_SENT;
+  }
+
+  /** Whether the client has sent the last byte. */
+  public boolean isSent() {
+    return sentUs != NOT_SENT;
+  }
+
+  /** When the client sent the last byte; {@link Long#MAX_VALUE} while it has not. */
+  public long sentUs() {
+    return sentUs;
+  }
+
+  /** Records that the client closed its connection before the answer. */
+  public void markClientLeft(long atUs) {
+    isExcused = true;
+    clientLeftUs = atUs;
+  }
+
+  /** When the client closed its connection; 0 if it has not. */
+  long clientLeftUs() {
+    return clientLeftUs;
+  }
+
+  /** Records that no process accepted the client's connection. */
+  public void markNotAccepted() {
+    isExcused = true;
+  }
+
+  /** Records that the sidecar's process ended before the answer. */
+  public void markOrphaned() {
+    isExcused = true;
+    isOrphaned = true;
+    isOver = true;
+  }
+
+  /**
+   * Whether the sidecar's process ended before the answer. What it had written may still arrive at
+   * endpoints, later than the process would have allowed.
+   */
+  boolean isOrphaned() {
+    return isOrphaned;
+  }
+
+  /** Records that the sidecar closed the connection before the request had arrived whole. */
+  public void markRejectedUnsent() {
+    isExcused = true;
+    isOver = true;
+  }
+
+  /** Whether no answer is due, because the client left or nothing could answer it. */
+  public boolean isExcused() {
+    return isExcused;
+  }
+
+  // ---- Answer
+
+  /** Counts one more answer; the number of answers so far. */
+  int countAnswer() {
+    answerCount++;
+    return answerCount;
+  }
+
+  /** Records the first answer; {@code finalStatus} is 0 if the answer was cut off. */
+  void recordAnswer(int finalStatus, long atUs) {
+    isOver = true;
+    status = finalStatus;
+    answerUs = atUs;
+  }
+
+  /** Records that no answer is expected any more. */
+  void markOver() {
+    isOver = true;
+  }
+
+  /** Whether the request was answered, or no answer is expected any more. */
+  public boolean isOver() {
+    return isOver;
+  }
+
+  /** HTTP status of the answer; 0 without a complete one. */
+  public int status() {
+    return status;
+  }
+
+  /** When the sidecar sent the first byte of the answer; 0 without one. */
+  public long answerUs() {
+    return answerUs;
   }
 
+  /** Time in µs from the last byte sent by which the answer is due. */
   public long timeoutUs() {
-    return Math.round(requestClass.timeoutMs() * 1000);
+    return TimeUnits.toMicros(requestClass.timeoutMs());
   }
 
+  /** Latency objective in µs. */
   public long targetUs() {
-    return Math.round(requestClass.targetMs() * 1000);
+    return TimeUnits.toMicros(requestClass.targetMs());
   }
 
   /**
-   * When the last of its attempts ended that endpoints saw; {@link Long#MAX_VALUE} while one is
-   * out.
+   * When the last attempt known to endpoints ended; {@link Long#MAX_VALUE} while one is in flight.
    */
   long busyUntilUs() {
-    long until = sentUs == Long.MAX_VALUE ? bornUs : sentUs;
+    long untilUs = isSent() ? sentUs : createdUs;
     for (Attempt attempt : attempts) {
-      until = attempt.endedUs == 0 ? Long.MAX_VALUE : Math.max(until, attempt.endedUs);
+      untilUs = attempt.endedUs == 0 ? Long.MAX_VALUE : Math.max(untilUs, attempt.endedUs);
     }
-    return until;
+    return untilUs;
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
@@ -2,367 +2,170 @@
 
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.scenario.Scenario;
-import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.LongSupplier;
 
 /**
- * Checks the rules from the world's side alone: what clients sent and got, what came to endpoints
- * and when it was sent, what the list told whom. It never looks into the sidecars' books.
+ * Checks the rules of one run from outside the sidecars: from what clients sent and received, what
+ * endpoints received and when it was sent, and what the endpoint list told which process. It never
+ * reads the sidecars' own state. Each group of rules is a class of its own; this one receives all
+ * observations. All times are virtual and in µs unless named otherwise; one thread.
  */
 public final class Oracle {
-  private static final long NOTIFIED_WITHIN_US =
-      6_000_000; // after which news counts as told, whether or not it was had
-  private static final long GONE_US =
-      100_000; // after its client's close, by when nothing more of a request begins
-  private static final int MOST = 50; // violations that are kept; a broken day has thousands
-
-  /** What one sidecar knows of one endpoint, from what it has read of the list. */
-  private record Notified(boolean inService, long atUs, long startedMs) {}
-
-  private final LongSupplier now;
-  private final long startUs;
-  private final Scenario scenario;
-  private final int maxAttempts;
+  private final ViolationLog log;
+  private final Disturbances disturbances;
+  private final AnswerRules answerRules;
+  private final AttemptRules attemptRules;
+  private final DrainRules drainRules;
+  private final DuplicateRules duplicateRules;
   private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
-  private final Map<String, Map<String, Notified>> notified =
-      new HashMap<>(); // by sidecar's process, by endpoint
-  private final Map<String, String> effects = new HashMap<>(); // by key, where it was carried out
-  private final List<long[]> stalls = new ArrayList<>(); // sidecar, from, until
-  private final Map<String, Long> left =
-      new HashMap<>(); // by endpoint, when the list had it that it leaves
-  private final Map<String, Long> started = new HashMap<>(); // by sidecar's process
-  private final List<long[]> deaf =
-      new ArrayList<>(); // from, until: times in which the list can't be reached, or tells old news
-  private final List<long[]> unseen =
-      new ArrayList<>(); // from, until: times in which endpoints can't see all attempts
-  private final List<Violation> violations = new ArrayList<>();
-  private long broken;
 
-  /** Violations are told by the time since {@code startUs}. */
-  public Oracle(LongSupplier now, long startUs, Scenario scenario) {
-    this.now = now;
-    this.startUs = startUs;
-    this.scenario = scenario;
-    maxAttempts = Integer.parseInt(scenario.sidecarSettings().get("limits.max_pushes"));
+  /** Violations carry the time since {@code startUs}. */
+  public Oracle(LongSupplier nowUs, long startUs, Scenario scenario) {
+    int maxAttempts = Integer.parseInt(scenario.sidecarSettings().get("limits.max_pushes"));
+    log = new ViolationLog(nowUs, startUs);
+    disturbances = new Disturbances(nowUs, scenario.rules());
+    answerRules = new AnswerRules(nowUs, log, disturbances);
+    attemptRules = new AttemptRules(log, disturbances, maxAttempts);
+    drainRules = new DrainRules(nowUs, log, disturbances, scenario.rules());
+    duplicateRules = new DuplicateRules(log);
   }
 
+  /** The first violations, in the order in which they were found. */
   public List<Violation> violations() {
-    return violations;
+    return log.violations();
   }
 
+  /** Number of all violations, including those that were not kept. */
   public long broken() {
-    return broken;
+    return log.count();
   }
 
+  /** All requests by id, in the order in which they were created. */
   public Map<String, ObservedRequest> requests() {
-    return requests;
+    return Collections.unmodifiableMap(requests);
   }
 
+  /** The request with that id; null if there is none, or {@code id} is null. */
   public ObservedRequest request(String id) {
     return id == null ? null : requests.get(id);
   }
 
-  public void broke(Rule rule, ObservedRequest request, String what) {
-    if (broken++ < MOST) {
-      violations.add(
-          new Violation(
-              now.getAsLong() - startUs, rule, request == null ? null : request.id, what));
-    }
+  /** Reports a violation found outside the oracle; {@code request} is null if it concerns none. */
+  public void broke(Rule rule, ObservedRequest request, String message) {
+    log.report(rule, request, message);
   }
 
   // ---- Clients
 
+  /** A client has created a request. */
   public void requested(ObservedRequest request) {
-    requests.put(request.id, request);
+    requests.put(request.id(), request);
   }
 
   /**
-   * An answer has come whole, or has broken off where {@code whole} is false; its first byte was
-   * sent then.
+   * A client has received an answer.
+   *
+   * @param sentUs when the sidecar sent its first byte
+   * @param isComplete false if the connection ended within the answer
+   * @param isContentIntact whether the body is one that an endpoint made for this request
    */
   public void answered(
-      ObservedRequest request, int status, long sentUs, boolean complete, boolean content) {
-    request.answers++;
-    if (request.answers > 1) {
-      broke(Rule.ONE_ANSWER, request, "answer " + request.answers + ", " + status);
-      return;
-    }
-    request.over = true;
-    request.status = complete ? status : 0;
-    request.answerUs = sentUs;
-    long deadlineUs =
-        request.sentUs == Long.MAX_VALUE
-            ? Long.MAX_VALUE
-            : request.sentUs + request.timeoutUs() + slackUs(request);
-    if (sentUs > deadlineUs) {
-      broke(
-          Rule.IN_TIME,
-          request,
-          String.format(
-              java.util.Locale.ROOT,
-              "%d came %.1f ms after its TTL",
-              status,
-              (sentUs - request.sentUs - request.timeoutUs()) / 1000.0));
-    }
-    if (status == 200 && !content) {
-      broke(Rule.TRUE_CONTENT, request, "an answer that no endpoint made for it");
-    }
-    if (status == 200 && complete && request.attempts.stream().noneMatch(p -> p.taken)) {
-      broke(Rule.TRUE_CONTENT, request, "acked, and no endpoint had it");
-    }
-    if (!complete && request.attempts.stream().anyMatch(p -> p.read)) {
-      broke(Rule.TRUE_CONTENT, request, "its answer was cut, and its endpoint had given all of it");
-    }
-    long idleUs = sentUs - request.busyUntilUs();
-    if (status != 200
-        && request.sentUs != Long.MAX_VALUE
-        && idleUs > request.targetUs() + slackUs(request)
-        && allSeen(request.bornUs, sentUs)) {
-      broke(
-          Rule.NOT_HELD,
-          request,
-          status + " after " + idleUs / 1000 + " ms in which nothing of it was out");
-    }
-    for (ObservedRequest.Attempt attempt : request.attempts) {
-      if (attempt.sentUs > sentUs) {
-        broke(
-            Rule.NOTHING_AFTER,
-            request,
-            "a push to " + attempt.endpoint + " left after the answer");
-      }
-    }
+      ObservedRequest request,
+      int status,
+      long sentUs,
+      boolean isComplete,
+      boolean isContentIntact) {
+    answerRules.onAnswer(request, status, sentUs, isComplete, isContentIntact);
   }
 
-  /** Bytes that no request asked for. */
-  public void unasked(ObservedRequest last, int bytes) {
-    broke(Rule.ONE_ANSWER, last, bytes + " bytes that nobody asked for");
+  /** A client has received bytes while it awaited no answer. */
+  public void unasked(ObservedRequest lastRequest, int byteCount) {
+    answerRules.onUnexpectedBytes(lastRequest, byteCount);
   }
 
-  /** Its connection ended without an answer though nobody but the sidecar can have ended it. */
+  /** The sidecar has closed a client's connection without an answer, while its process runs on. */
   public void dropped(ObservedRequest request) {
-    request.over = true;
-    broke(Rule.ONE_ANSWER, request, "its connection ended without an answer");
+    answerRules.onConnectionDropped(request);
   }
 
-  /** Time is up, and nothing has come. */
+  /** A client has waited for its whole timeout; no violation if the request is over or excused. */
   public void silent(ObservedRequest request) {
-    if (!request.over && !request.excused) {
-      request.over = true;
-      broke(
-          Rule.ONE_ANSWER,
-          request,
-          "no answer " + (now.getAsLong() - request.sentUs) / 1000 + " ms after it was sent");
-    }
+    answerRules.onTimeout(request);
   }
 
-  private long slackUs(ObservedRequest request) {
-    long slack = Math.round(scenario.rules().answerSlackMs() * 1000);
-    for (long[] stall : stalls) {
-      boolean during =
-          stall[0] == request.sidecar && stall[1] <= now.getAsLong() && stall[2] >= request.bornUs;
-      slack += during ? stall[2] - stall[1] : 0;
-    }
-    return slack;
-  }
+  // ---- Faults
 
-  /** A sidecar's process stands still: no fault of what it decides. */
+  /** A sidecar process stands still; its deadlines are extended by as much. */
   public void stalled(int sidecar, long fromUs, long untilUs) {
-    stalls.add(new long[] {sidecar, fromUs, untilUs});
+    disturbances.addStall(sidecar, fromUs, untilUs);
   }
 
-  /** Connects may fail or hang, which endpoints do not see. */
+  /** Connects may fail or hang meanwhile, so that endpoints do not observe all attempts. */
   public void unseen(long fromUs, long untilUs) {
-    unseen.add(new long[] {fromUs, untilUs});
+    disturbances.addHiddenAttempts(fromUs, untilUs);
   }
 
-  private boolean allSeen(long fromUs, long untilUs) {
-    return unseen.stream().noneMatch(span -> span[0] <= untilUs && span[1] >= fromUs);
+  /** The endpoint list is unavailable to some sidecar meanwhile, or outdated. */
+  public void deaf(long fromUs, long untilUs) {
+    disturbances.addListOutage(fromUs, untilUs);
   }
 
-  // ---- The list
+  // ---- Endpoint list
 
-  /** The list has it that an endpoint is in service, or leaves. */
-  public void has(String endpoint, boolean inService) {
-    if (inService) {
-      left.remove(endpoint);
-    } else {
-      left.putIfAbsent(endpoint, now.getAsLong());
-    }
+  /** The endpoint list has changed: the endpoint is in service, or drains or is removed. */
+  public void has(String endpoint, boolean isInService) {
+    drainRules.onListChange(endpoint, isInService);
   }
 
-  /** The list can't be reached, by some at the least, or tells what is old. */
-  public void deaf(long fromUs, long untilUs) {
-    deaf.add(new long[] {fromUs, untilUs});
-  }
-
-  /** A sidecar's process has begun. */
+  /** A sidecar process has started. */
   public void started(String process) {
-    started.put(process, now.getAsLong());
-  }
-
-  /**
-   * From when on a process is held to it that an endpoint leaves: so long after the list had it and
-   * could be reached all the time.
-   */
-  private long dueUs(String process, String endpoint) {
-    long fromUs = Math.max(left.get(endpoint), started.getOrDefault(process, 0L));
-    for (boolean moved = true; moved; ) {
-      moved = false;
-      for (long[] span : deaf) {
-        if (span[0] < fromUs + NOTIFIED_WITHIN_US && span[1] > fromUs) {
-          fromUs = span[1];
-          moved = true;
-        }
-      }
-    }
-    return fromUs + NOTIFIED_WITHIN_US;
+    drainRules.onProcessStart(process);
   }
 
-  /** A sidecar's process has read what the list says of an endpoint. */
-  public void notified(String process, String endpoint, boolean inService, long startedMs) {
-    Map<String, Notified> known = notified.computeIfAbsent(process, p -> new HashMap<>());
-    Notified before = known.get(endpoint);
-    if (before == null || before.inService != inService || before.startedMs != startedMs) {
-      known.put(endpoint, new Notified(inService, now.getAsLong(), startedMs));
-    }
+  /** A sidecar process has read the endpoint's entry in the list. */
+  public void notified(String process, String endpoint, boolean isInService, long startedMs) {
+    drainRules.onEntryRead(process, endpoint, isInService, startedMs);
   }
 
-  /** ... and that was all of them. */
-  public void notifiedOnly(String process, java.util.Set<String> endpoints) {
-    Map<String, Notified> known = notified.computeIfAbsent(process, p -> new HashMap<>());
-    known.replaceAll(
-        (id, was) ->
-            endpoints.contains(id) || !was.inService
-                ? was
-                : new Notified(false, now.getAsLong(), was.startedMs));
+  /** A sidecar process has read a full list, in which all other endpoints are absent. */
+  public void notifiedOnly(String process, Set<String> endpoints) {
+    drainRules.onFullListRead(process, endpoints);
   }
 
-  /** Whether a sidecar's process knows that an endpoint began anew then. */
+  /** Whether the process has read that the endpoint started at that time, in ms since 1970. */
   public boolean knowsStart(String process, String endpoint, long startedMs) {
-    Notified last = notified.getOrDefault(process, Map.of()).get(endpoint);
-    return last != null && last.startedMs == startedMs;
+    return drainRules.knowsStart(process, endpoint, startedMs);
   }
 
   // ---- Endpoints
 
   /**
-   * The head of an attempt has come to an endpoint; null where it belongs to no request, which is a
-   * fault.
+   * The head of an attempt has arrived at an endpoint.
+   *
+   * @param process name of the sidecar process that sent it
+   * @param sentUs when the process sent its first byte
    */
-  public ObservedRequest.Attempt pushed(
-      ObservedRequest request,
-      String process,
-      String endpoint,
-      String zone,
-      int cell,
-      long sentUs) {
-    ObservedRequest.Attempt attempt = new ObservedRequest.Attempt(endpoint, zone, cell, sentUs);
-    request.attempts.add(attempt);
-    if (request.attempts.size() > maxAttempts) {
-      broke(Rule.PUSH_LIMIT, request, "push " + request.attempts.size() + " to " + endpoint);
-    }
-    if (request.answerUs > 0 && sentUs > request.answerUs) {
-      broke(
-          Rule.NOTHING_AFTER,
-          request,
-          "a push to "
-              + endpoint
-              + " left "
-              + (sentUs - request.answerUs)
-              + " us after the answer");
-    }
-    if (request.sentUs != Long.MAX_VALUE
-        && sentUs > request.sentUs + request.timeoutUs() + slackUs(request)) {
-      broke(Rule.NOTHING_AFTER, request, "a push to " + endpoint + " left after its TTL");
-    }
-    if (request.leftUs > 0 && sentUs > request.leftUs + GONE_US + slackUs(request)) {
-      broke(
-          Rule.NOTHING_AFTER,
-          request,
-          "a push to "
-              + endpoint
-              + " left "
-              + (sentUs - request.leftUs) / 1000
-              + " ms after its client had gone");
-    }
-    Notified last = notified.getOrDefault(process, Map.of()).get(endpoint);
-    if (last != null
-        && !last.inService
-        && sentUs > last.atUs + scenario.rules().drainSlackMs() * 1000) {
-      broke(
-          Rule.DRAIN_KEPT,
-          request,
-          "a push to "
-              + endpoint
-              + " left "
-              + (sentUs - last.atUs) / 1000
-              + " ms after it was told to drain");
-    } else if (left.containsKey(endpoint)
-        && sentUs > dueUs(process, endpoint) + scenario.rules().drainSlackMs() * 1000) {
-      broke(
-          Rule.DRAIN_KEPT,
-          request,
-          "a push to "
-              + endpoint
-              + " left "
-              + (sentUs - dueUs(process, endpoint)) / 1000
-              + " ms after its drain counted as told");
-    }
+  public ObservedRequest.Attempt attemptReceived(
+      ObservedRequest request, String process, EndpointLocation location, long sentUs) {
+    ObservedRequest.Attempt attempt = new ObservedRequest.Attempt(location, sentUs);
+    request.addAttempt(attempt);
+    attemptRules.onAttempt(request, attempt);
+    drainRules.onAttempt(process, request, attempt);
     return attempt;
   }
 
-  /** An attempt has come whole and may run from now on. */
+  /** An endpoint has accepted a complete attempt, which may run from now on. */
   public void taken(ObservedRequest request, ObservedRequest.Attempt attempt) {
-    attempt.taken = true;
-    if (request.requestClass.effect().equals("idempotent")) {
-      return;
-    }
-    for (ObservedRequest.Attempt before : request.attempts) {
-      if (before != attempt && before.taken) {
-        boolean same =
-            switch (request.requestClass.scope()) {
-              case "all" -> true;
-              case "zone" -> before.zone.equals(attempt.zone);
-              default -> before.cell == attempt.cell;
-            };
-        if (request.requestClass.effect().equals("at_most_once")) {
-          broke(
-              Rule.NO_EFFECT_TWICE,
-              request,
-              "pushed to " + before.endpoint + ", which may run it, and to " + attempt.endpoint);
-        } else if (!same) {
-          broke(
-              Rule.NO_EFFECT_TWICE,
-              request,
-              "pushed to "
-                  + before.endpoint
-                  + ", which may run it, and to "
-                  + attempt.endpoint
-                  + " of another group");
-        } else if (attempt.sentUs - before.sentUs > request.requestClass.windowMs() * 1000) {
-          broke(
-              Rule.NO_EFFECT_TWICE,
-              request,
-              "pushed again to " + attempt.endpoint + " when its group had forgotten it");
-        }
-      }
-    }
+    duplicateRules.onAccepted(request, attempt);
   }
 
-  /** A request is being carried out. */
+  /** An endpoint carries out the request, and not as a recognised repeat. */
   public void effect(ObservedRequest request, String endpoint) {
-    if (!request.requestClass.effect().equals("idempotent")) {
-      String before = effects.putIfAbsent(request.key, endpoint);
-      if (before != null && !request.orphan) {
-        broke(
-            Rule.NO_EFFECT_TWICE,
-            request,
-            "carried out at " + before + " and again at " + endpoint);
-      }
-    }
+    duplicateRules.onExecuted(request, endpoint);
   }
 }
--- /dev/null
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
@@ -0,0 +1,236 @@
+package dillcross.emulator.simulation;
+
+import dillcross.emulator.network.SocketEndpoint;
+import dillcross.emulator.oracle.ObservedRequest;
+import dillcross.emulator.oracle.Violation.Rule;
+import dillcross.emulator.time.TimeUnits;
+
+/**
+ * A client's connection to its sidecar, which carries one request at a time. Reads answers, checks
+ * them with the oracle, and tells why the connection ended.
+ */
+final class ClientConnection implements SocketEndpoint.Owner {
+  private final SimulationContext context;
+  private final EmulatedClients clients;
+  private final SidecarProcess sidecar;
+  private final boolean isReserved;
+  private SocketEndpoint socket; // null before the first request
+  private HttpStreamReader incoming = new HttpStreamReader();
+  private ObservedRequest request; // that awaits its answer; null while idle
+  private ObservedRequest lastRequest;
+  private int requestByteCount;
+  private boolean isResent;
+  private boolean isClosed;
+  private String process; // name of the sidecar process when the request was sent
+
+  /** {@code isReserved} keeps the connection out of the pool of idle ones. */
+  ClientConnection(
+      SimulationContext context,
+      EmulatedClients clients,
+      SidecarProcess sidecar,
+      boolean isReserved) {
+    this.context = context;
+    this.clients = clients;
+    this.sidecar = sidecar;
+    this.isReserved = isReserved;
+  }
+
+  /** Whether it is open and carries no request. */
+  boolean isIdle() {
+    return !isClosed && request == null && socket != null && socket.isOpen() && !socket.wasReset();
+  }
+
+  boolean isClosed() {
+    return isClosed;
+  }
+
+  /** Sends the request, after connecting if this is the first. */
+  void send(ObservedRequest next) {
+    clients.onRequestStarted();
+    request = next;
+    isResent = false;
+    if (socket == null) {
+      connect();
+    } else {
+      send();
+    }
+  }
+
+  private void connect() {
+    incoming = new HttpStreamReader();
+    process = sidecar.process();
+    socket = context.network().connect(sidecar.app(), sidecar.address(), this);
+  }
+
+  @Override
+  public void up(SocketEndpoint same) {
+    if (request != null) {
+      send();
+    }
+  }
+
+  @Override
+  public void failed(SocketEndpoint same) {
+    isClosed = true;
+    ObservedRequest refused = request;
+    if (refused != null) {
+      finishRequest();
+      clients.onNotAccepted();
+      refused.markNotAccepted();
+      context.note("nobody", "op", refused.id());
+    }
+  }
+
+  private void send() {
+    process = sidecar.process();
+    ClientRequestSender sender =
+        new ClientRequestSender(
+            context, this, socket, request, clients.random().named(request.id()));
+    requestByteCount = sender.byteCount();
+    sender.send(clients.leaveShare());
+  }
+
+  /** Whether the request still awaits its answer on that socket. */
+  boolean isWaitingOn(SocketEndpoint candidate, ObservedRequest candidateRequest) {
+    return candidate == socket && candidateRequest == request;
+  }
+
+  /** Starts the timeout of a request whose last byte was sent. */
+  void onSent(ObservedRequest sent) {
+    if (request != sent) {
+      return;
+    }
+    sent.markSent(context.now());
+    context.note(
+        "ask",
+        "op",
+        sent.id(),
+        "at",
+        sidecar.name(),
+        "kind",
+        sent.requestClass().name(),
+        "try",
+        sent.retryNumber());
+    double patienceMs = context.scenario().clients().patienceMs();
+    context.after(
+        sent.timeoutUs() + TimeUnits.toMicros(patienceMs),
+        () -> {
+          if (request == sent && !incoming.headCame()) {
+            context.oracle().silent(sent);
+            close();
+            finishRequest();
+          }
+        });
+  }
+
+  /** Closes the connection if the request still awaits its answer. */
+  void leave(ObservedRequest left) {
+    if (request == left) {
+      context.note("leave", "op", left.id());
+      left.markClientLeft(context.now());
+      close();
+      finishRequest();
+    }
+  }
+
+  private void close() {
+    isClosed = true;
+    socket.close();
+  }
+
+  private void finishRequest() {
+    clients.onRequestFinished();
+    lastRequest = request;
+    request = null;
+  }
+
+  // ---- Answer
+
+  @Override
+  public void readable(SocketEndpoint same) {
+    if (same != socket || isClosed) {
+      return;
+    }
+    byte[] bytes = socket.readAll();
+    if (bytes.length > 0) {
+      if (request == null) {
+        context.oracle().unasked(lastRequest, bytes.length);
+      }
+      incoming.add(bytes, socket.firstSentUs());
+    }
+    if (request != null && incoming.complete()) {
+      handleAnswer();
+    }
+    if (!isClosed && socket.over()) {
+      handleEnd();
+    }
+  }
+
+  private void handleAnswer() {
+    ObservedRequest answered = request;
+    int status = Integer.parseInt(incoming.word(1));
+    boolean wasSentWhole = answered.isSent();
+    long latencyUs = wasSentWhole ? incoming.headSentUs() - answered.sentUs() : -1;
+    context.note("answer", "op", answered.id(), "status", status, "us", latencyUs);
+    context
+        .oracle()
+        .answered(answered, status, incoming.headSentUs(), true, isContentIntact(status));
+    if (HttpStatus.isInvalidRequest(status)) {
+      String message = "a good request was turned down with " + status;
+      context.oracle().broke(Rule.TRUE_CONTENT, answered, message);
+    }
+    boolean isLast = !wasSentWhole || "close".equalsIgnoreCase(incoming.field("connection"));
+    String retryAfter = incoming.field("retry-after");
+    incoming.next();
+    finishRequest();
+    if (isLast) {
+      close();
+    } else if (!isReserved) {
+      clients.addIdle(this);
+    }
+    if (HttpStatus.isRejection(status)) {
+      clients.onRejected(answered, retryAfter);
+    }
+  }
+
+  private boolean isContentIntact(int status) {
+    return status != HttpStatus.OK
+        || (incoming.start().startsWith(request.id() + " ")
+            && incoming.length() >= request.requestClass().answerBytes());
+  }
+
+  /** The sidecar has closed the connection, or its process has ended. */
+  private void handleEnd() {
+    boolean isUnread =
+        request != null && !isResent && incoming.empty() && socket.unreadByPeer(requestByteCount);
+    boolean hasProcessEnded = !sidecar.running() || !sidecar.process().equals(process);
+    socket.close();
+    if (request == null) {
+      isClosed = true;
+    } else if (isUnread && !hasProcessEnded) {
+      // The request crossed the sidecar's close of an idle connection: sent again once.
+      isResent = true;
+      request.markResending();
+      connect();
+    } else {
+      isClosed = true;
+      judgeEnd(hasProcessEnded);
+      finishRequest();
+    }
+  }
+
+  private void judgeEnd(boolean hasProcessEnded) {
+    if (hasProcessEnded) {
+      request.markOrphaned();
+      context.note("ended", "op", request.id());
+    } else if (incoming.headCame()) {
+      context.note("cut", "op", request.id());
+      int status = Integer.parseInt(incoming.word(1));
+      context.oracle().answered(request, status, incoming.headSentUs(), false, true);
+    } else if (!request.isSent()) {
+      request.markRejectedUnsent();
+    } else {
+      context.oracle().dropped(request);
+    }
+  }
+}
--- a/emulator/src/main/java/dillcross/emulator/simulation/DeduplicationMemory.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DeduplicationMemory.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a group of endpoints remembers of the keyed work that it carried out. */
+/** The keyed work that a group of endpoints remembers having carried out. */
 final class DeduplicationMemory {
-  private final Map<String, Long> seen = new HashMap<>();
+  private final Map<String, Long> executedAtUs = new HashMap<>();
 
-  /** Whether this is the first time within the window. */
+  /** Records an execution and tells whether it is the first one of its key within the window. */
   boolean first(String key, long nowUs, long windowUs) {
-    Long before = seen.get(key);
-    if (before != null && nowUs - before <= windowUs) {
+    Long previousUs = executedAtUs.get(key);
+    if (previousUs != null && nowUs - previousUs <= windowUs) {
       return false;
     }
-    seen.put(key, nowUs);
+    executedAtUs.put(key, nowUs);
     return true;
   }
 }
--- /dev/null
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryCall.java
@@ -0,0 +1,112 @@
+package dillcross.emulator.simulation;
+
+import dillcross.emulator.network.SocketEndpoint;
+import dillcross.emulator.time.TimeUnits;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * One connection to the discovery service, and the request on it: a list, or a watch that is
+ * answered once the list has changed or its timeout has passed.
+ */
+final class DiscoveryCall implements SocketEndpoint.Owner {
+  private static final long MAX_WATCH_MS = 60_000;
+
+  private final SimulationContext context;
+  private final DiscoveryService service;
+  private final SocketEndpoint socket;
+  private final HttpStreamReader incoming = new HttpStreamReader();
+  private long sinceVersion;
+  private boolean isRequested;
+
+  DiscoveryCall(SimulationContext context, DiscoveryService service, SocketEndpoint socket) {
+    this.context = context;
+    this.service = service;
+    this.socket = socket;
+  }
+
+  @Override
+  public void readable(SocketEndpoint same) {
+    byte[] bytes = socket.readAll();
+    if (bytes.length > 0) {
+      incoming.add(bytes, socket.firstSentUs());
+    }
+    if (incoming.complete() && !isRequested) {
+      isRequested = true;
+      double delayMs = service.drawDelayMs(socket.other());
+      context.after(TimeUnits.toMicros(delayMs), this::begin);
+    }
+    if (socket.over()) {
+      service.remove(this);
+      socket.close();
+    }
+  }
+
+  private void begin() {
+    if (!service.isOpen(this)) {
+      return;
+    }
+    if (service.isOut()) {
+      if (service.outage() == DiscoveryService.Outage.ERROR) {
+        byte[] body = "{}".getBytes(StandardCharsets.US_ASCII);
+        send(HttpStatus.SERVICE_UNAVAILABLE, body, null);
+      }
+      return;
+    }
+    String target = incoming.word(1);
+    sinceVersion = parameter(target, "since=");
+    long timeoutMs = Math.min(MAX_WATCH_MS, parameter(target, "timeout_ms="));
+    if (hasNews()) {
+      answerIfNews();
+      return;
+    }
+    service.addWatch(this);
+    context.after(
+        timeoutMs * TimeUnits.MICROS_PER_MILLI,
+        () -> {
+          if (service.isWatching(this)) {
+            answer();
+          }
+        });
+  }
+
+  private boolean hasNews() {
+    return sinceVersion != service.registry().publishedVersion();
+  }
+
+  /** Answers if the list is available and has changed since the version that the caller knows. */
+  void answerIfNews() {
+    if (!service.isOut() && hasNews()) {
+      answer();
+    }
+  }
+
+  private void answer() {
+    service.removeWatch(this);
+    EndpointRegistry.Update update = service.registry().updateSince(sinceVersion);
+    send(
+        HttpStatus.OK,
+        DiscoveryService.toJsonBytes(update.toJson()),
+        () -> service.onUpdateRead(socket.other(), update));
+  }
+
+  private void send(int status, byte[] body, Runnable onRead) {
+    String statusLine = "HTTP/1.1 " + status + " x";
+    socket.send(
+        HttpStreamReader.message(statusLine, body, false, "Content-Type", "application/json"),
+        onRead);
+    isRequested = false;
+    incoming.next();
+  }
+
+  private static long parameter(String target, String name) {
+    int start = target.indexOf(name);
+    if (start < 0) {
+      return 0;
+    }
+    int end = start + name.length();
+    while (end < target.length() && Character.isDigit(target.charAt(end))) {
+      end++;
+    }
+    return Long.parseLong(target.substring(start + name.length(), end));
+  }
+}
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -5,77 +5,77 @@
 import dillcross.emulator.network.VirtualMachine;
 import dillcross.emulator.network.VirtualNetwork;
 import dillcross.emulator.random.RandomStream;
+import dillcross.emulator.time.TimeUnits;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** The service that knows the endpoints: a list, watches of it, and what can be wrong with both. */
+/**
+ * The discovery service: serves the endpoint list and watches of it at two addresses, and can be
+ * unavailable, slow or outdated.
+ */
 final class DiscoveryService implements VirtualNetwork.Entry {
+  /** The address that sidecars are configured with at first. */
   static final String ADDRESS = "127.10.0.1:8500";
-  static final String OTHER_ADDRESS = "127.10.0.2:8500"; // of the same service
-
-  private record Entry(
-      String id,
-      String address,
-      String zone,
-      int cell,
-      String state,
-      double weight,
-      long startedMs,
-      long version) {
-    Map<String, Object> words() {
-      Map<String, Object> words = new LinkedHashMap<>();
-      words.put("id", id);
-      words.put("addr", address);
-      words.put("zone", zone);
-      words.put("kind", "any");
-      words.put("cell", cell);
-      words.put("state", state);
-      words.put("weight", weight);
-      words.put("started_ms", startedMs);
-      return words;
+
+  /** Another address of the same service, for reloads that move the client. */
+  static final String OTHER_ADDRESS = "127.10.0.2:8500";
+
+  /** How an unavailable service behaves. */
+  enum Outage {
+    /** Refuses connections. */
+    REFUSE,
+    /** Accepts connections and never answers. */
+    SILENT,
+    /** Answers each request with an error. */
+    ERROR;
+
+    /** The behaviour that a scenario's {@code mode} names; {@link #REFUSE} for any other word. */
+    static Outage of(String mode) {
+      return switch (mode) {
+        case "silent" -> SILENT;
+        case "error" -> ERROR;
+        default -> REFUSE;
+      };
     }
   }
 
-  private final SimulationContext world;
+  private final SimulationContext context;
   private final VirtualMachine host;
   private final RandomStream random;
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final Set<Call> calls = new LinkedHashSet<>();
-  private final Set<Call> watches = new LinkedHashSet<>(); // those that wait for news
-  private final Map<String, Integer> numbers = new LinkedHashMap<>(); // of calls, by who calls
+  private final EndpointRegistry registry = new EndpointRegistry();
+  private final Set<DiscoveryCall> calls = new LinkedHashSet<>();
+  private final Set<DiscoveryCall> watches = new LinkedHashSet<>();
+  private final Map<String, Integer> callCounts = new LinkedHashMap<>(); // by caller
   private SidecarProcesses sidecars;
-  private long version = 100;
-  private Map<String, Entry> stale; // what is told in place of the list
-  private long staleVersion;
-  private int stales;
-  private int outs;
-  private String outMode;
-  private double slowMs;
-  private boolean telling; // is arranged
-
-  DiscoveryService(SimulationContext world) {
-    this.world = world;
-    host = new VirtualMachine("list", world.scenario().endpoints().zones().get(0));
-    random = world.random().named("list");
-    listens(true);
+  private int outageCount;
+  private Outage outage = Outage.REFUSE;
+  private int staleCount;
+  private double extraDelayMs;
+  private boolean isNotificationScheduled;
+
+  /** Starts to listen at both addresses, with an empty list. */
+  DiscoveryService(SimulationContext context) {
+    this.context = context;
+    host = new VirtualMachine("list", context.scenario().endpoints().zones().get(0));
+    random = context.random().named("list");
+    setListening(true);
   }
 
-  private void listens(boolean now) {
+  private void setListening(boolean isListening) {
     for (String address : List.of(ADDRESS, OTHER_ADDRESS)) {
-      world.fabric().unlisten(address);
-      if (now) {
-        world.fabric().listen(address, this);
+      context.network().unlisten(address);
+      if (isListening) {
+        context.network().listen(address, this);
       }
     }
   }
 
+  /** Sets the sidecars, which are created after the service. */
   void sidecars(SidecarProcesses all) {
     sidecars = all;
   }
@@ -85,101 +85,77 @@
     return host;
   }
 
-  // ---- What is known
-
-  void put(EmulatedEndpoint server, String state, long startedMs) {
-    version++;
-    world.oracle().has(server.id, state.equals("in_service"));
-    entries.put(
-        server.id,
-        new Entry(
-            server.id,
-            server.address,
-            server.zone,
-            server.cell,
-            state,
-            Math.round(server.weight() * 100) / 100.0,
-            startedMs,
-            version));
-    news();
+  EndpointRegistry registry() {
+    return registry;
   }
 
-  void remove(EmulatedEndpoint server) {
-    version++;
-    Entry was = entries.get(server.id);
-    world.oracle().has(server.id, false);
-    entries.put(
-        server.id,
-        new Entry(
-            was.id,
-            was.address,
-            was.zone,
-            was.cell,
-            "terminated",
-            was.weight,
-            was.startedMs,
-            version));
-    news();
+  // ---- List
+
+  /** Adds or changes the entry of an endpoint, and notifies watches. */
+  void put(EmulatedEndpoint endpoint, String state, long startedMs) {
+    context.oracle().has(endpoint.id(), state.equals(ListedEndpoint.IN_SERVICE));
+    registry.put(endpoint, state, startedMs);
+    notifyWatches();
   }
 
-  private void news() {
-    if (!telling) {
-      telling = true;
-      world
-          .time()
-          .after(
-              Math.round(world.scenario().list().tellMs() * 1000),
-              () -> {
-                telling = false;
-                for (Call call : List.copyOf(watches)) {
-                  call.tell();
-                }
-              });
+  /** Removes an endpoint, and notifies watches. */
+  void remove(EmulatedEndpoint endpoint) {
+    context.oracle().has(endpoint.id(), false);
+    registry.remove(endpoint.id());
+    notifyWatches();
+  }
+
+  private void notifyWatches() {
+    if (isNotificationScheduled) {
+      return;
     }
+    isNotificationScheduled = true;
+    context.after(
+        TimeUnits.toMicros(context.scenario().list().tellMs()),
+        () -> {
+          isNotificationScheduled = false;
+          List.copyOf(watches).forEach(DiscoveryCall::answerIfNews);
+        });
   }
 
-  // ---- Troubles
+  // ---- Faults
 
-  void out(String mode, boolean now) {
-    outs += now ? 1 : -1;
-    outMode = mode;
-    if (now && !mode.equals("silent")) {
-      world.fabric().kill(host);
-      calls.clear();
-      watches.clear();
-    }
-    if (now && mode.equals("silent")) {
-      watches.clear(); // they stay open, and nothing comes on them any more
+  /** Starts or ends one outage; with several at a time, the latest call's kind applies. */
+  void setOutage(Outage kind, boolean isStarting) {
+    outageCount += isStarting ? 1 : -1;
+    outage = kind;
+    if (isStarting && kind == Outage.SILENT) {
+      watches.clear(); // their connections stay open
+    } else if (isStarting) {
+      dropCalls();
     }
-    listens(outs == 0 || !outMode.equals("refuse"));
+    setListening(outageCount == 0 || outage != Outage.REFUSE);
   }
 
-  void slow(double ms) {
-    slowMs += ms;
+  /** Changes the delay of each answer, in ms. */
+  void addDelay(double millis) {
+    extraDelayMs += millis;
   }
 
-  void stale(boolean now) {
-    stales += now ? 1 : -1;
-    if (now && stales == 1) {
-      stale = new LinkedHashMap<>(entries);
-      staleVersion = version;
-    } else if (stales == 0) {
-      stale = null;
-      news();
+  /** Starts or ends one period in which the service serves the list as it was at the start. */
+  void setStale(boolean isStarting) {
+    staleCount += isStarting ? 1 : -1;
+    if (isStarting && staleCount == 1) {
+      registry.freeze();
+    } else if (staleCount == 0) {
+      registry.unfreeze();
+      notifyWatches();
     }
   }
 
-  /**
-   * Its numbers begin anew, as with a service that lost its memory: all it knows is of the first
-   * version.
-   */
+  /** Restarts the service with new version numbers. */
   void renumber() {
-    version = 1;
-    entries.values().removeIf(e -> e.state.equals("terminated"));
-    entries.replaceAll(
-        (id, e) -> new Entry(e.id, e.address, e.zone, e.cell, e.state, e.weight, e.startedMs, 1));
-    stale = null;
-    world.fabric().kill(host);
+    registry.renumber();
+    dropCalls();
+  }
+
+  private void dropCalls() {
+    context.network().kill(host);
     calls.clear();
     watches.clear();
   }
@@ -188,172 +164,94 @@
 
   @Override
   public void connected(SocketEndpoint end) {
-    Call call = new Call(end);
+    DiscoveryCall call = new DiscoveryCall(context, this, end);
     end.owner(call);
     calls.add(call);
   }
 
-  /** One connection, and the call on it. */
-  private final class Call implements SocketEndpoint.Owner {
-    private final SocketEndpoint end;
-    private final HttpStreamReader incoming = new HttpStreamReader();
-    private long since;
-    private boolean requested;
+  boolean isOut() {
+    return outageCount > 0;
+  }
 
-    Call(SocketEndpoint end) {
-      this.end = end;
-    }
+  Outage outage() {
+    return outage;
+  }
 
-    @Override
-    public void readable(SocketEndpoint same) {
-      byte[] bytes = end.readAll();
-      if (bytes.length > 0) {
-        incoming.add(bytes, end.firstSentUs());
-      }
-      if (incoming.complete() && !requested) {
-        requested = true;
-        int number = numbers.merge(end.other().toString(), 1, Integer::sum);
-        double delayMs =
-            world.scenario().list().delayMs().draw(random.named(end.other() + " " + number))
-                + slowMs;
-        world.time().after(Math.round(delayMs * 1000), this::begin);
-      }
-      if (end.over()) {
-        calls.remove(this);
-        watches.remove(this);
-        end.close();
-      }
-    }
+  /** Delay in ms of the caller's next answer; each caller's calls have draws of their own. */
+  double drawDelayMs(VirtualMachine caller) {
+    int callNumber = callCounts.merge(caller.toString(), 1, Integer::sum);
+    RandomStream draws = random.named(caller + " " + callNumber);
+    return context.scenario().list().delayMs().draw(draws) + extraDelayMs;
+  }
 
-    private void begin() {
-      if (!calls.contains(this)) {
-        return;
-      }
-      if (outs > 0) {
-        if (outMode.equals("error")) {
-          send(503, "{}".getBytes(StandardCharsets.US_ASCII), null);
-        }
-        return;
-      }
-      String target = incoming.word(1);
-      since = number(target, "since=");
-      long timeoutMs = Math.min(60_000, number(target, "timeout_ms="));
-      if (news(since)) {
-        tell();
-      } else {
-        watches.add(this);
-        world
-            .time()
-            .after(
-                timeoutMs * 1000,
-                () -> {
-                  if (watches.contains(this)) {
-                    answer();
-                  }
-                });
-      }
-    }
+  boolean isOpen(DiscoveryCall call) {
+    return calls.contains(call);
+  }
 
-    private boolean news(long of) {
-      return of != (stale == null ? version : staleVersion);
-    }
+  /** Forgets a call whose connection has ended. */
+  void remove(DiscoveryCall call) {
+    calls.remove(call);
+    watches.remove(call);
+  }
 
-    void tell() {
-      if (outs == 0 && news(since)) {
-        answer();
-      }
-    }
+  void addWatch(DiscoveryCall call) {
+    watches.add(call);
+  }
 
-    private void answer() {
-      watches.remove(this);
-      Map<String, Entry> known = stale == null ? entries : stale;
-      long at = stale == null ? version : staleVersion;
-      boolean full = since == 0 || since > at;
-      List<Entry> listed =
-          known.values().stream()
-              .filter(e -> full ? !e.state.equals("terminated") : e.version > since)
-              .toList();
-      Map<String, Object> words = new LinkedHashMap<>();
-      words.put("version", at);
-      words.put("full", full);
-      words.put("servers", listed.stream().map(Entry::words).toList());
-      send(
-          200,
-          json(words),
-          () -> {
-            String process = sidecars.process(end.other());
-            listed.forEach(
-                e ->
-                    world
-                        .oracle()
-                        .notified(process, e.id, e.state.equals("in_service"), e.startedMs));
-            if (full) {
-              world
-                  .oracle()
-                  .notifiedOnly(
-                      process, new LinkedHashSet<>(listed.stream().map(Entry::id).toList()));
-            }
-            if (!listed.isEmpty()) {
-              world
-                  .trace()
-                  .note(
-                      "told",
-                      "sidecar",
-                      end.other().toString(),
-                      "version",
-                      at,
-                      "full",
-                      full,
-                      "entries",
-                      listed.size());
-            }
-          });
-    }
+  void removeWatch(DiscoveryCall call) {
+    watches.remove(call);
+  }
+
+  boolean isWatching(DiscoveryCall call) {
+    return watches.contains(call);
+  }
+
+  // ---- What sidecars have read
 
-    private void send(int status, byte[] body, Runnable read) {
-      end.send(
-          HttpStreamReader.message(
-              "HTTP/1.1 " + status + " x", body, false, "Content-Type", "application/json"),
-          read);
-      requested = false;
-      incoming.next();
+  /** Reports to the oracle what the process on the caller's machine has read. */
+  void onUpdateRead(VirtualMachine caller, EndpointRegistry.Update update) {
+    String process = sidecars.process(caller);
+    reportRead(process, update.entries());
+    if (update.isFull()) {
+      List<String> ids = update.entries().stream().map(ListedEndpoint::id).toList();
+      context.oracle().notifiedOnly(process, new LinkedHashSet<>(ids));
+    }
+    if (!update.entries().isEmpty()) {
+      context.note(
+          "told",
+          "sidecar",
+          caller.toString(),
+          "version",
+          update.version(),
+          "full",
+          update.isFull(),
+          "entries",
+          update.entries().size());
     }
   }
 
-  /** All of it, as a sidecar knew it before it started. */
-  Map<String, Object> known() {
-    List<Map<String, Object>> all = new ArrayList<>();
-    entries.values().stream()
-        .filter(e -> !e.state.equals("terminated"))
-        .forEach(e -> all.add(e.words()));
-    return Map.of("version", version, "full", true, "servers", all);
+  /** The list in JSON as a sidecar reads it from its cache before it starts. */
+  Map<String, Object> cachedList() {
+    return registry.current().toJson();
   }
 
-  /** What a process knows that starts from it. */
-  void knows(String process) {
-    entries.values().stream()
-        .filter(e -> !e.state.equals("terminated"))
-        .forEach(
-            e -> world.oracle().notified(process, e.id, e.state.equals("in_service"), e.startedMs));
+  /** Reports to the oracle that a starting process knows the cached list. */
+  void onCachedListRead(String process) {
+    reportRead(process, registry.current().entries());
   }
 
-  private static byte[] json(Map<String, Object> words) {
-    try {
-      return JSON.std.asBytes(words);
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+  private void reportRead(String process, List<ListedEndpoint> entries) {
+    for (ListedEndpoint entry : entries) {
+      context.oracle().notified(process, entry.id(), entry.isInService(), entry.startedMs());
     }
   }
 
-  private static long number(String target, String name) {
-    int at = target.indexOf(name);
-    if (at < 0) {
-      return 0;
-    }
-    int end = at + name.length();
-    while (end < target.length() && Character.isDigit(target.charAt(end))) {
-      end++;
+  /** The object as UTF-8 JSON. */
+  static byte[] toJsonBytes(Map<String, Object> json) {
+    try {
+      return JSON.std.asBytes(json);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
-    return Long.parseLong(target.substring(at + name.length(), end));
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
@@ -1,154 +1,169 @@
 package dillcross.emulator.simulation;
 
 import dillcross.emulator.network.VirtualMachine;
+import dillcross.emulator.oracle.EndpointLocation;
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.time.TimeUnits;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * All endpoints, those that took the place of others among them, and the groups that recognise
- * repeats.
+ * All endpoints of a run by their place, including replacements, and the groups that recognise
+ * repeated work. Keeps the discovery service up to date about starts and departures.
  */
 final class EmulatedEndpoints {
-  private final SimulationContext world;
-  private final List<EmulatedEndpoint> places = new ArrayList<>(); // who is there now, by place
+
+  private static final int ADDRESSES_PER_SUBNET = 250;
+  private static final int FIRST_SUBNET = 20;
+  private static final int GENERATION_SUBNETS = 200;
+  private static final String PORT = ":9000";
+
+  private final SimulationContext context;
+  private final List<EmulatedEndpoint> byPlace = new ArrayList<>(); // the current one of each place
   private final List<Integer> generations = new ArrayList<>();
-  private final Map<String, DeduplicationMemory> groups = new HashMap<>();
-  private final DiscoveryService list;
+  private final Map<String, DeduplicationMemory> deduplicationGroups = new HashMap<>();
+  private final DiscoveryService discovery;
   private SidecarProcesses sidecars;
 
-  EmulatedEndpoints(SimulationContext world, DiscoveryService list) {
-    this.world = world;
-    this.list = list;
-    for (int i = 0; i < world.scenario().endpoints().count(); i++) {
+  /** Starts all endpoints of the scenario, warm, and lists them. */
+  EmulatedEndpoints(SimulationContext context, DiscoveryService discovery) {
+    this.context = context;
+    this.discovery = discovery;
+    for (int place = 0; place < context.scenario().endpoints().count(); place++) {
       generations.add(0);
-      places.add(make(i));
-      places.get(i).start(0);
-      list.put(places.get(i), "in_service", 0);
+      EmulatedEndpoint endpoint = create(place);
+      byPlace.add(endpoint);
+      endpoint.start(0);
+      discovery.put(endpoint, ListedEndpoint.IN_SERVICE, 0);
     }
   }
 
+  /** Sets the sidecars, which are created after the endpoints. */
   void sidecars(SidecarProcesses all) {
     sidecars = all;
   }
 
-  private EmulatedEndpoint make(int place) {
-    Scenario.EndpointSettings settings = world.scenario().endpoints();
+  private EmulatedEndpoint create(int place) {
+    Scenario.EndpointSettings settings = context.scenario().endpoints();
     int generation = generations.get(place);
     String id = "e" + place + (generation == 0 ? "" : "." + generation);
-    String address =
-        "127." + (20 + generation % 200) + "." + place / 250 + "." + (1 + place % 250) + ":9000";
-    return new EmulatedEndpoint(
-        world,
-        this,
-        id,
-        settings.zones().get(place % settings.zones().size()),
-        place % settings.cells(),
-        address);
+    String zone = settings.zones().get(place % settings.zones().size());
+    EndpointLocation location = new EndpointLocation(id, zone, place % settings.cells());
+    return new EmulatedEndpoint(context, this, location, address(place, generation));
+  }
+
+  private static String address(int place, int generation) {
+    int subnet = FIRST_SUBNET + generation % GENERATION_SUBNETS;
+    int thirdOctet = place / ADDRESSES_PER_SUBNET;
+    int fourthOctet = 1 + place % ADDRESSES_PER_SUBNET;
+    return "127." + subnet + "." + thirdOctet + "." + fourthOctet + PORT;
   }
 
   int count() {
-    return places.size();
+    return byPlace.size();
   }
 
   EmulatedEndpoint at(int place) {
-    return places.get(place);
+    return byPlace.get(place);
   }
 
-  /** Those that a trouble's target names. */
+  /** The current endpoints that a fault's target names: all, a zone, or one place. */
   List<EmulatedEndpoint> named(String target) {
-    return places.stream()
+    return byPlace.stream()
         .filter(
-            s ->
+            endpoint ->
                 target.equals("all")
-                    || target.equals("zone " + s.zone)
-                    || target.equals(s.id)
-                    || s.id.startsWith(target + "."))
+                    || target.equals("zone " + endpoint.zone())
+                    || target.equals(endpoint.id())
+                    || endpoint.id().startsWith(target + "."))
         .toList();
   }
 
-  /** The name of the process that runs on a sidecar's machine. */
-  String process(VirtualMachine host) {
+  /** Name of the sidecar process that runs on that machine. */
+  String sidecarProcess(VirtualMachine host) {
     return sidecars.process(host);
   }
 
-  /** Every sidecar that runs has been told that it began anew then. */
-  boolean allKnow(String id, long startedMs) {
-    return sidecars.processes().stream().allMatch(p -> world.oracle().knowsStart(p, id, startedMs));
+  /** Whether every running sidecar has read the endpoint's latest start from the endpoint list. */
+  boolean allKnowStart(EmulatedEndpoint endpoint) {
+    String id = endpoint.id();
+    long startedMs = endpoint.startedMs();
+    return sidecars.processes().stream()
+        .allMatch(process -> context.oracle().knowsStart(process, id, startedMs));
   }
 
-  DeduplicationMemory group(Scenario.RequestClass requestClass, EmulatedEndpoint server) {
-    String name =
-        requestClass.name()
-            + switch (requestClass.scope()) {
-              case "all" -> "";
-              case "zone" -> "/zone " + server.zone;
-              default -> "/cell " + server.cell;
-            };
-    return groups.computeIfAbsent(name, n -> new DeduplicationMemory());
+  /** The memory of the group that the endpoint belongs to for that request class. */
+  DeduplicationMemory deduplicationMemory(
+      Scenario.RequestClass requestClass, EmulatedEndpoint endpoint) {
+    String scopeSuffix =
+        switch (requestClass.scope()) {
+          case "all" -> "";
+          case "zone" -> "/zone " + endpoint.zone();
+          default -> "/cell " + endpoint.cell();
+        };
+    return deduplicationGroups.computeIfAbsent(
+        requestClass.name() + scopeSuffix, name -> new DeduplicationMemory());
   }
 
-  // ---- What happens to them
+  // ---- Faults
 
-  void die(EmulatedEndpoint server) {
-    if (server.up()) {
-      world.trace().note("die", "endpoint", server.id);
-      server.die();
+  /** Ends the endpoint's process if it runs. */
+  void kill(EmulatedEndpoint endpoint) {
+    if (endpoint.isRunning()) {
+      context.note("die", "endpoint", endpoint.id());
+      endpoint.kill();
     }
   }
 
-  void vanish(EmulatedEndpoint server) {
-    if (server.up()) {
-      world.trace().note("vanish", "endpoint", server.id);
-      server.vanish();
+  /** Turns the endpoint's machine off if its process runs. */
+  void vanish(EmulatedEndpoint endpoint) {
+    if (endpoint.isRunning()) {
+      context.note("vanish", "endpoint", endpoint.id());
+      endpoint.vanish();
     }
   }
 
-  /** It starts again, warming up, and the list says when. */
-  void back(EmulatedEndpoint server) {
-    if (!server.up() && !server.left) {
-      world.trace().note("back", "endpoint", server.id);
-      server.back();
-      server.start(world.nowMs());
-      list.put(server, "in_service", world.nowMs());
+  /** Starts the endpoint again, warming up, and lists its start time. */
+  void restore(EmulatedEndpoint endpoint) {
+    if (!endpoint.isRunning() && !endpoint.isRetired()) {
+      context.note("back", "endpoint", endpoint.id());
+      endpoint.restore();
+      endpoint.start(context.nowMs());
+      discovery.put(endpoint, ListedEndpoint.IN_SERVICE, context.nowMs());
     }
   }
 
-  /** It is told to drain, leaves after its grace, and another has taken its place by then. */
-  void replace(EmulatedEndpoint server) {
-    int place = places.indexOf(server);
-    if (place < 0 || server.draining || !server.up()) {
+  /**
+   * Drains the endpoint, retires it after the grace period, and starts a replacement halfway. It
+   * accepts requests for the first half, because the list may not have reached all sidecars.
+   */
+  void replace(EmulatedEndpoint endpoint) {
+    int place = byPlace.indexOf(endpoint);
+    if (place < 0 || endpoint.isDraining() || !endpoint.isRunning()) {
       return;
     }
-    world.trace().note("drain", "endpoint", server.id);
-    list.put(server, "terminating", server.startedMs);
-    long graceUs = Math.round(world.scenario().endpoints().graceMs() * 1000);
-    world
-        .time()
-        .after(
-            graceUs / 2, () -> server.draining = true); // until then the list may not have told all
-    world
-        .time()
-        .after(
-            graceUs,
-            () -> {
-              server.left = true;
-              die(server);
-              list.remove(server);
-            });
+    context.note("drain", "endpoint", endpoint.id());
+    discovery.put(endpoint, ListedEndpoint.TERMINATING, endpoint.startedMs());
+    long graceUs = TimeUnits.toMicros(context.scenario().endpoints().graceMs());
+    context.after(graceUs / 2, endpoint::drain);
+    context.after(graceUs, () -> retire(endpoint));
     generations.set(place, generations.get(place) + 1);
-    EmulatedEndpoint next = make(place);
-    places.set(place, next);
-    world
-        .time()
-        .after(
-            graceUs / 2,
-            () -> {
-              next.start(world.nowMs());
-              world.trace().note("join", "endpoint", next.id);
-              list.put(next, "in_service", world.nowMs());
-            });
+    EmulatedEndpoint replacement = create(place);
+    byPlace.set(place, replacement);
+    context.after(graceUs / 2, () -> join(replacement));
+  }
+
+  private void retire(EmulatedEndpoint endpoint) {
+    endpoint.retire();
+    kill(endpoint);
+    discovery.remove(endpoint);
+  }
+
+  private void join(EmulatedEndpoint endpoint) {
+    endpoint.start(context.nowMs());
+    context.note("join", "endpoint", endpoint.id());
+    discovery.put(endpoint, ListedEndpoint.IN_SERVICE, context.nowMs());
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -3,6 +3,9 @@
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Fault;
 import dillcross.emulator.scenario.Fault.Drawn;
+import dillcross.emulator.scenario.Fault.Kind;
+import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.time.TimeUnits;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -10,89 +13,118 @@
 import java.util.function.Consumer;
 
 /**
- * What goes wrong in a day: drawn ahead, each from a stream of its own, then let loose when its
- * time comes.
+ * The faults of one run: drawn in advance, each from a stream of its own, and started and ended
+ * when their time comes.
  */
 public final class FaultInjector {
-  private final SimulationContext world;
-  private final EmulatedEndpoints servers;
-  private final DiscoveryService list;
+  /** Time after a fault during which endpoints may still miss attempts. */
+  private static final long HIDDEN_ATTEMPTS_TAIL_US = 2_000_000;
+
+  /** How often a restart checks whether the previous process has ended. */
+  private static final long RESTART_POLL_US = 50_000;
+
+  private final SimulationContext context;
+  private final EmulatedEndpoints endpoints;
+  private final DiscoveryService discovery;
   private final SidecarProcesses sidecars;
   private final List<EmulatedClients> clients;
 
+  /** {@code clients} are in the order of their sidecars' index. */
   FaultInjector(
-      SimulationContext world,
-      EmulatedEndpoints servers,
-      DiscoveryService list,
+      SimulationContext context,
+      EmulatedEndpoints endpoints,
+      DiscoveryService discovery,
       SidecarProcesses sidecars,
       List<EmulatedClients> clients) {
-    this.world = world;
-    this.servers = servers;
-    this.list = list;
+    this.context = context;
+    this.endpoints = endpoints;
+    this.discovery = discovery;
     this.sidecars = sidecars;
     this.clients = clients;
   }
 
-  /** The troubles of one day, in the order of the scenario; {@code chance} is the day's. */
-  public static List<Drawn> draw(
-      dillcross.emulator.scenario.Scenario scenario, RandomStream random) {
+  /** Draws the faults of one run, in the scenario's order, from streams below {@code random}. */
+  public static List<Drawn> draw(Scenario scenario, RandomStream random) {
     List<Drawn> drawn = new ArrayList<>();
     for (Fault fault : scenario.faults()) {
       for (int i = 0; i < fault.count(); i++) {
         String id = fault.count() == 1 ? fault.id() : fault.id() + "." + i;
-        RandomStream own = random.named("trouble " + id);
-        long atUs = fault.atMs().drawUs(own);
-        long forUs = fault.forMs().drawUs(own);
-        double factor = fault.factor().draw(own);
-        String target = fault.target();
-        if (target.equals("any")) {
-          target =
-              switch (fault.kind().on) {
-                case ENDPOINT -> "e" + own.between(0, scenario.endpoints().count() - 1);
-                case SIDECAR, CLIENTS -> "s" + own.between(0, scenario.sidecars().count() - 1);
-                case ZONE -> own.oneOf(scenario.endpoints().zones());
-                default -> "all";
-              };
-        }
-        Fault fixed =
-            new Fault(
-                id,
-                fault.kind(),
-                fault.atMs(),
-                fault.forMs(),
-                target,
-                fault.factor(),
-                fault.share(),
-                fault.mode(),
-                1);
-        drawn.add(new Drawn(fixed, atUs, forUs, target, factor));
+        drawn.add(draw(scenario, fault, id, random.named("trouble " + id)));
       }
     }
     return drawn;
   }
 
-  /** Arranges one; times count from the first arrival. */
-  void arrange(Drawn drawn, long firstUs) {
-    world.time().at(firstUs + drawn.atUs(), () -> begin(drawn));
+  private static Drawn draw(Scenario scenario, Fault fault, String id, RandomStream draws) {
+    long atUs = fault.atMs().drawUs(draws);
+    long durationUs = fault.forMs().drawUs(draws);
+    double factor = fault.factor().draw(draws);
+    String target =
+        fault.target().equals("any") ? drawTarget(scenario, fault.kind(), draws) : fault.target();
+    Fault single =
+        new Fault(
+            id,
+            fault.kind(),
+            fault.atMs(),
+            fault.forMs(),
+            target,
+            fault.factor(),
+            fault.share(),
+            fault.mode(),
+            1);
+    return new Drawn(single, atUs, durationUs, target, factor);
+  }
+
+  private static String drawTarget(Scenario scenario, Kind kind, RandomStream draws) {
+    return switch (kind.on) {
+      case ENDPOINT -> "e" + draws.between(0, scenario.endpoints().count() - 1);
+      case SIDECAR, CLIENTS -> "s" + draws.between(0, scenario.sidecars().count() - 1);
+      case ZONE -> draws.oneOf(scenario.endpoints().zones());
+      default -> "all";
+    };
+  }
+
+  /** Schedules a fault, whose time counts from {@code firstArrivalUs}. */
+  void schedule(Drawn drawn, long firstArrivalUs) {
+    context.at(firstArrivalUs + drawn.atUs(), () -> begin(drawn));
   }
 
   private void begin(Drawn drawn) {
     Fault fault = drawn.from();
-    world
-        .trace()
-        .note(
-            "trouble",
-            "id",
-            fault.id(),
-            "kind",
-            fault.kind().word(),
-            "target",
-            drawn.target(),
-            "for",
-            drawn.forUs());
-    RandomStream own = world.random().named("strikes " + fault.id());
-    long endUs = world.now() + drawn.forUs();
-    switch (fault.kind()) {
+    context.note(
+        "trouble",
+        "id",
+        fault.id(),
+        "kind",
+        fault.kind().word(),
+        "target",
+        drawn.target(),
+        "for",
+        drawn.forUs());
+    long endUs = context.now() + drawn.forUs();
+    if (hidesAttempts(fault.kind())) {
+      context.oracle().unseen(context.now(), endUs + HIDDEN_ATTEMPTS_TAIL_US);
+    }
+    if (disturbsList(fault.kind())) {
+      context.oracle().deaf(context.now(), endUs);
+    }
+    switch (fault.kind().on) {
+      case ENDPOINT ->
+          endpoints
+              .named(drawn.target())
+              .forEach(endpoint -> beginAtEndpoint(endpoint, drawn, endUs));
+      case ENDPOINTS -> deploy(drawn);
+      case LIST -> beginAtDiscovery(drawn, endUs);
+      case ZONE, NETWORK -> beginInNetwork(drawn, endUs);
+      case SIDECAR ->
+          sidecars.named(drawn.target()).forEach(sidecar -> beginAtSidecar(sidecar, drawn, endUs));
+      case CLIENTS -> beginAtClients(drawn, endUs);
+    }
+  }
+
+  /** Whether attempts may be sent meanwhile that no endpoint observes. */
+  private static boolean hidesAttempts(Kind kind) {
+    return switch (kind) {
       case VANISH,
           CUT,
           BLACKHOLE,
@@ -110,167 +142,151 @@
           RUDE,
           WAKE,
           RELOAD ->
-          world.oracle().unseen(world.now(), endUs + 2_000_000);
-      default -> {}
-    }
-    switch (fault.kind()) {
-      case CUT, LAG, STALL, LIST_OUT, LIST_STALE -> world.oracle().deaf(world.now(), endUs);
-      default -> {}
-    }
-    switch (fault.kind().on) {
-      case ENDPOINT -> endpoints(drawn, endUs);
-      case ENDPOINTS -> deploy(drawn);
-      case LIST -> list(drawn, endUs);
-      case ZONE, NETWORK -> network(drawn, endUs);
-      case SIDECAR -> sidecars(drawn, endUs);
-      case CLIENTS -> clients(drawn, endUs, own);
-    }
+          true;
+      default -> false;
+    };
+  }
+
+  /** Whether a sidecar may be unable meanwhile to read the current endpoint list. */
+  private static boolean disturbsList(Kind kind) {
+    return switch (kind) {
+      case CUT, LAG, STALL, LIST_OUT, LIST_STALE -> true;
+      default -> false;
+    };
+  }
+
+  /** Switches a fault on now, and off at its end. */
+  private void during(long endUs, Consumer<Boolean> setActive) {
+    setActive.accept(true);
+    context.at(endUs, () -> setActive.accept(false));
   }
 
-  /** What begins now ends at that time. */
-  private void span(long endUs, Consumer<Boolean> does) {
-    does.accept(true);
-    world.time().at(endUs, () -> does.accept(false));
+  /** Starts a fault now, and ends it at its end. */
+  private void during(long endUs, Runnable start, Runnable end) {
+    start.run();
+    context.at(endUs, end);
   }
 
-  private void endpoints(Drawn drawn, long endUs) {
+  private void beginAtEndpoint(EmulatedEndpoint endpoint, Drawn drawn, long endUs) {
     Fault fault = drawn.from();
     double factor = drawn.factor();
-    for (EmulatedEndpoint s : servers.named(drawn.target())) {
-      EmulatedEndpoint.Faults faults = s.faults;
-      switch (fault.kind()) {
-        case DIE ->
-            span(
-                endUs,
-                now -> {
-                  if (now) {
-                    servers.die(s);
-                  } else {
-                    servers.back(s);
-                  }
-                });
-        case VANISH ->
-            span(
-                endUs,
-                now -> {
-                  if (now) {
-                    servers.vanish(s);
-                  } else {
-                    servers.back(s);
-                  }
-                });
-        case SILENCE -> span(endUs, now -> faults.silent += now ? 1 : -1);
-        case SLOW -> span(endUs, now -> faults.slow *= now ? factor : 1 / factor);
-        case ERRORS -> span(endUs, now -> faults.errors = now ? fault.share() : 0);
-        case GARBLE -> span(endUs, now -> faults.garbled = now ? fault.share() : 0);
-        case RESETS ->
-            span(
-                endUs,
-                now -> {
-                  faults.resetsWhen = fault.mode();
-                  faults.resets = now ? fault.share() : 0;
-                });
-        case PAUSE -> span(endUs, s::pause);
-        case NARROW ->
-            span(endUs, now -> faults.connections = now ? (int) factor : Integer.MAX_VALUE);
-        case BLACKHOLE -> span(endUs, now -> s.listens(!now));
-        case DRAIN -> servers.replace(s);
-        default -> throw new IllegalStateException(fault.kind().word());
-      }
+    EndpointFaults faults = endpoint.faults();
+    switch (fault.kind()) {
+      case DIE -> during(endUs, () -> endpoints.kill(endpoint), () -> endpoints.restore(endpoint));
+      case VANISH ->
+          during(endUs, () -> endpoints.vanish(endpoint), () -> endpoints.restore(endpoint));
+      case SILENCE -> during(endUs, faults::setSilent);
+      case SLOW ->
+          during(
+              endUs,
+              () -> faults.multiplySlowdown(factor),
+              () -> faults.multiplySlowdown(1 / factor));
+      case ERRORS -> during(endUs, active -> faults.setErrorShare(active ? fault.share() : 0));
+      case GARBLE -> during(endUs, active -> faults.setMalformedShare(active ? fault.share() : 0));
+      case RESETS -> beginResets(faults, fault, endUs);
+      case PAUSE -> during(endUs, endpoint.cores()::setPaused);
+      case NARROW ->
+          during(
+              endUs, active -> faults.setMaxConnections(active ? (int) factor : Integer.MAX_VALUE));
+      case BLACKHOLE -> during(endUs, active -> endpoint.setReachable(!active));
+      case DRAIN -> endpoints.replace(endpoint);
+      default -> throw new IllegalStateException(fault.kind().word());
     }
   }
 
+  private void beginResets(EndpointFaults faults, Fault fault, long endUs) {
+    EndpointFaults.ResetMoment moment = EndpointFaults.ResetMoment.of(fault.mode());
+    during(endUs, active -> faults.setResets(moment, active ? fault.share() : 0));
+  }
+
   private void deploy(Drawn drawn) {
-    for (int i = 0; i < servers.count(); i++) {
+    for (int i = 0; i < endpoints.count(); i++) {
       int place = i;
-      world
-          .time()
-          .after(drawn.forUs() * i / servers.count(), () -> servers.replace(servers.at(place)));
+      long delayUs = drawn.forUs() * i / endpoints.count();
+      context.after(delayUs, () -> endpoints.replace(endpoints.at(place)));
     }
   }
 
-  private void list(Drawn drawn, long endUs) {
+  private void beginAtDiscovery(Drawn drawn, long endUs) {
     Fault fault = drawn.from();
+    double factor = drawn.factor();
     switch (fault.kind()) {
-      case LIST_OUT ->
-          span(
-              endUs,
-              now ->
-                  list.out(
-                      fault.mode().equals("silent") || fault.mode().equals("error")
-                          ? fault.mode()
-                          : "refuse",
-                      now));
-      case LIST_SLOW -> span(endUs, now -> list.slow(now ? drawn.factor() : -drawn.factor()));
-      case LIST_STALE -> span(endUs, list::stale);
-      case LIST_RENUMBER -> list.renumber();
+      case LIST_OUT -> {
+        DiscoveryService.Outage outage = DiscoveryService.Outage.of(fault.mode());
+        during(endUs, active -> discovery.setOutage(outage, active));
+      }
+      case LIST_SLOW ->
+          during(endUs, () -> discovery.addDelay(factor), () -> discovery.addDelay(-factor));
+      case LIST_STALE -> during(endUs, discovery::setStale);
+      case LIST_RENUMBER -> discovery.renumber();
       default -> throw new IllegalStateException(fault.kind().word());
     }
   }
 
-  private void network(Drawn drawn, long endUs) {
-    Set<String> others = new LinkedHashSet<>(world.scenario().endpoints().zones());
-    others.addAll(world.scenario().sidecars().zones());
-    others.remove(drawn.target());
+  private void beginInNetwork(Drawn drawn, long endUs) {
+    String zone = drawn.target();
+    Set<String> otherZones = new LinkedHashSet<>(context.scenario().endpoints().zones());
+    otherZones.addAll(context.scenario().sidecars().zones());
+    otherZones.remove(zone);
     switch (drawn.from().kind()) {
       case CUT ->
-          span(endUs, now -> others.forEach(zone -> world.fabric().cut(drawn.target(), zone, now)));
+          during(
+              endUs,
+              active -> otherZones.forEach(other -> context.network().cut(zone, other, active)));
       case LAG -> {
-        long us = Math.round(drawn.factor() * 1000);
-        span(
+        long lagUs = TimeUnits.toMicros(drawn.factor());
+        during(
             endUs,
-            now ->
-                others.forEach(zone -> world.fabric().lag(drawn.target(), zone, now ? us : -us)));
+            () -> otherZones.forEach(other -> context.network().lag(zone, other, lagUs)),
+            () -> otherZones.forEach(other -> context.network().lag(zone, other, -lagUs)));
+      }
+      case PIECES -> {
+        int maxPieceBytes = (int) Math.max(1, drawn.factor());
+        during(
+            endUs, active -> context.network().pieces(active ? maxPieceBytes : Integer.MAX_VALUE));
       }
-      case PIECES ->
-          span(
-              endUs,
-              now ->
-                  world
-                      .fabric()
-                      .pieces(now ? (int) Math.max(1, drawn.factor()) : Integer.MAX_VALUE));
       default -> throw new IllegalStateException(drawn.from().kind().word());
     }
   }
 
-  private void sidecars(Drawn drawn, long endUs) {
-    for (SidecarProcess s : sidecars.named(drawn.target())) {
-      switch (drawn.from().kind()) {
-        case STALL -> s.stall(drawn.forUs());
-        case RELOAD -> s.reload();
-        case DOOR -> span(endUs, now -> s.callAdmin(now ? "/-/drain" : "/-/resume"));
-        case KILL -> {
-          s.kill();
-          world.time().at(endUs, s::boot);
-        }
-        case TERM -> {
-          s.term();
-          world.time().at(endUs, () -> again(s));
-        }
-        default -> throw new IllegalStateException(drawn.from().kind().word());
-      }
+  private void beginAtSidecar(SidecarProcess sidecar, Drawn drawn, long endUs) {
+    switch (drawn.from().kind()) {
+      case STALL -> sidecar.stall(drawn.forUs());
+      case RELOAD -> sidecar.reload();
+      case DOOR -> during(endUs, active -> sidecar.callAdmin(active ? "/-/drain" : "/-/resume"));
+      case KILL -> during(endUs, sidecar::kill, sidecar::boot);
+      case TERM -> during(endUs, sidecar::term, () -> bootOnceEnded(sidecar));
+      default -> throw new IllegalStateException(drawn.from().kind().word());
     }
   }
 
-  /** A new process begins when the old one has gone. */
-  private void again(SidecarProcess s) {
-    if (s.running()) {
-      world.time().after(50_000, () -> again(s));
+  private void bootOnceEnded(SidecarProcess sidecar) {
+    if (sidecar.running()) {
+      context.after(RESTART_POLL_US, () -> bootOnceEnded(sidecar));
     } else {
-      s.boot();
+      sidecar.boot();
     }
   }
 
-  private void clients(Drawn drawn, long endUs, RandomStream own) {
-    for (SidecarProcess s : sidecars.named(drawn.target())) {
-      EmulatedClients of = clients.get(s.index);
-      switch (drawn.from().kind()) {
-        case BURST -> span(endUs, now -> of.times(now ? drawn.factor() : 1 / drawn.factor()));
-        case WAKE -> of.wake((int) drawn.factor(), drawn.forUs(), own);
-        case RUDE -> of.rude((int) drawn.factor(), drawn.forUs(), own);
-        case LEAVE -> span(endUs, now -> of.leaves(drawn.from().share(), now));
-        default -> throw new IllegalStateException(drawn.from().kind().word());
-      }
+  private void beginAtClients(Drawn drawn, long endUs) {
+    RandomStream draws = context.random().named("strikes " + drawn.from().id());
+    for (SidecarProcess sidecar : sidecars.named(drawn.target())) {
+      beginAtClients(clients.get(sidecar.index()), drawn, endUs, draws);
+    }
+  }
+
+  private void beginAtClients(
+      EmulatedClients affected, Drawn drawn, long endUs, RandomStream draws) {
+    Fault fault = drawn.from();
+    double factor = drawn.factor();
+    switch (fault.kind()) {
+      case BURST ->
+          during(
+              endUs, () -> affected.multiplyRate(factor), () -> affected.multiplyRate(1 / factor));
+      case WAKE -> affected.wakeReserved((int) factor, drawn.forUs(), draws);
+      case RUDE -> affected.startInvalid((int) factor, drawn.forUs(), draws);
+      case LEAVE -> during(endUs, active -> affected.setLeaveShare(fault.share(), active));
+      default -> throw new IllegalStateException(fault.kind().word());
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
@@ -1,175 +1,223 @@
 package dillcross.emulator.simulation;
 
+import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
 
 /**
- * HTTP as the world reads it, with no line in common with the sidecar's reader: one message at a
- * time, of whose body the length and the first bytes are kept.
+ * Reads HTTP messages as the simulated peers do, and shares no code with the sidecar's parser. One
+ * message at a time; of its body only the length and the first bytes are kept.
  */
 final class HttpStreamReader {
-  private static final int KEPT = 96; // bytes of a body that tell whose it is
-  private byte[] bytes = new byte[512];
+  private static final int MAX_KEPT_BODY_BYTES = 96; // enough to tell whose body it is
+  private static final int INITIAL_BUFFER_BYTES = 512;
+  private static final int CHUNK_BYTES = 7000;
+  private static final int FRAMING_BYTES = 32;
+  private static final int HEX_RADIX = 16;
+  private static final int START_LINE_WORDS = 3;
+  private static final byte[] LINE_END = {'\r', '\n'};
+  private static final byte[] HEAD_END = {'\r', '\n', '\r', '\n'};
+  private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+
+  /** Position within a chunked body. */
+  private enum ChunkState {
+    BEFORE_SIZE,
+    IN_DATA,
+    AFTER_LAST
+  }
+
+  private final StringBuilder bodyStart = new StringBuilder();
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
   private int size;
-  private String[] first; // of the message that is read; null before its head has come
+  private String[] startLine; // null before the head has arrived
   private Map<String, String> fields;
-  private long left; // of the body, or of the chunk
-  private boolean chunked;
-  private boolean inChunk;
-  private boolean complete;
-  private long length;
-  private final StringBuilder start = new StringBuilder();
-  private boolean broken;
+  private long remaining; // of the body or the chunk
+  private boolean isChunked;
+  private ChunkState chunkState = ChunkState.BEFORE_SIZE;
+  private boolean isComplete;
+  private boolean isMalformed;
+  private long bodyLength;
   private long headSentUs;
 
-  /** Takes more bytes. */
-  void add(byte[] more, long sentUs) {
-    if (size == 0 && first == null) {
+  /** Takes bytes that the peer sent at that time, and reads as far as they reach. */
+  void add(byte[] bytes, long sentUs) {
+    if (empty()) {
       headSentUs = sentUs;
     }
-    if (size + more.length > bytes.length) {
-      bytes = java.util.Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more.length));
+    if (size + bytes.length > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + bytes.length));
     }
-    System.arraycopy(more, 0, bytes, size, more.length);
-    size += more.length;
+    System.arraycopy(bytes, 0, buffer, size, bytes.length);
+    size += bytes.length;
     read();
   }
 
-  /** When the first byte of its head was sent. */
+  /** When the peer sent the first byte of the head, in µs. */
   long headSentUs() {
     return headSentUs;
   }
 
+  /** Whether the head of a final response or of a request has arrived. */
   boolean headCame() {
-    return first != null;
+    return startLine != null;
   }
 
+  /** Whether the message has arrived whole. */
   boolean complete() {
-    return complete;
-  }
-
-  boolean broken() {
-    return broken;
+    return isComplete;
   }
 
-  /** Nothing of a message has come. */
+  /** Whether nothing of the next message has arrived. */
   boolean empty() {
-    return first == null && size == 0;
+    return startLine == null && size == 0;
   }
 
+  /** Bytes that have arrived and are not read yet. */
   int waiting() {
     return size;
   }
 
+  /** A word of the start line; empty if it has fewer. */
   String word(int index) {
-    return index < first.length ? first[index] : "";
+    return index < startLine.length ? startLine[index] : "";
   }
 
+  /** The value of a field by its lower-case name; null if absent. */
   String field(String name) {
     return fields.get(name);
   }
 
+  /** Length of the body as far as it has arrived. */
   long length() {
-    return length;
+    return bodyLength;
   }
 
+  /** The first bytes of the body, as ISO 8859-1. */
   String start() {
-    return start.toString();
+    return bodyStart.toString();
   }
 
   /** Goes on to the next message. */
   void next() {
-    first = null;
-    complete = false;
-    length = 0;
-    start.setLength(0);
+    startLine = null;
+    isComplete = false;
+    bodyLength = 0;
+    bodyStart.setLength(0);
     read();
   }
 
   private void read() {
-    while (first == null && !broken) {
-      int end = -1;
-      for (int i = 0; i + 3 < size && end < 0; i++) {
-        end =
-            bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n'
-                ? i
-                : -1;
+    boolean hasProgress = true;
+    while (hasProgress && !isComplete && !isMalformed) {
+      if (startLine == null) {
+        hasProgress = readHead();
+      } else if (isChunked && chunkState != ChunkState.IN_DATA) {
+        hasProgress = readChunkLine();
+      } else {
+        hasProgress = readBody();
       }
-      if (end < 0) {
-        return;
-      }
-      String[] lines = new String(bytes, 0, end, StandardCharsets.ISO_8859_1).split("\r\n");
-      drop(end + 4);
-      first = lines[0].split(" ", 3);
-      fields = new LinkedHashMap<>();
-      for (int i = 1; i < lines.length; i++) {
-        int colon = lines[i].indexOf(':');
-        if (colon > 0) {
-          fields.put(
-              lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
-              lines[i].substring(colon + 1).trim());
-        }
-      }
-      if (first[0].startsWith("HTTP/") && first.length > 1 && first[1].startsWith("1")) {
-        first = null; // an interim answer
-        continue;
-      }
-      chunked = "chunked".equalsIgnoreCase(fields.get("transfer-encoding"));
-      inChunk = false;
-      left = chunked ? 0 : Long.parseLong(fields.getOrDefault("content-length", "0"));
-    }
-    while (first != null && !complete && !broken) {
-      if (chunked && !inChunk) {
-        int end = -1;
-        for (int i = 0; i + 1 < size && end < 0; i++) {
-          end = bytes[i] == '\r' && bytes[i + 1] == '\n' ? i : -1;
-        }
-        if (end < 0) {
-          return;
-        }
-        String line = new String(bytes, 0, end, StandardCharsets.ISO_8859_1).trim();
-        drop(end + 2);
-        if (line.isEmpty()) {
-          if (left < 0) {
-            complete = true; // behind the last chunk
-          }
-          continue;
-        }
-        try {
-          left = Long.parseLong(line, 16);
-        } catch (NumberFormatException noise) {
-          broken = true;
-          return;
-        }
-        inChunk = left > 0;
-        left = left == 0 ? -1 : left;
-        continue;
-      }
-      int count = (int) Math.min(left, size);
-      for (int i = 0; i < count && start.length() < KEPT; i++) {
-        start.append((char) (bytes[i] & 0xff));
+    }
+  }
+
+  private boolean readHead() {
+    int end = indexOf(HEAD_END);
+    if (end < 0) {
+      return false;
+    }
+    String[] lines = new String(buffer, 0, end, StandardCharsets.ISO_8859_1).split("\r\n");
+    discard(end + HEAD_END.length);
+    startLine = lines[0].split(" ", START_LINE_WORDS);
+    fields = parseFields(lines);
+    if (isInterimResponse()) {
+      startLine = null;
+      return true;
+    }
+    isChunked = "chunked".equalsIgnoreCase(fields.get("transfer-encoding"));
+    chunkState = ChunkState.BEFORE_SIZE;
+    remaining = isChunked ? 0 : Long.parseLong(fields.getOrDefault("content-length", "0"));
+    return true;
+  }
+
+  private static Map<String, String> parseFields(String[] lines) {
+    Map<String, String> parsed = new LinkedHashMap<>();
+    for (int i = 1; i < lines.length; i++) {
+      int colon = lines[i].indexOf(':');
+      if (colon > 0) {
+        String name = lines[i].substring(0, colon).toLowerCase(Locale.ROOT);
+        parsed.put(name, lines[i].substring(colon + 1).trim());
       }
-      length += count;
-      left -= count;
-      drop(count);
-      if (left > 0) {
-        return;
+    }
+    return parsed;
+  }
+
+  private boolean isInterimResponse() {
+    return startLine[0].startsWith("HTTP/") && startLine.length > 1 && startLine[1].startsWith("1");
+  }
+
+  /** Reads a chunk's size, or an empty line: behind a chunk, or at the end of the body. */
+  private boolean readChunkLine() {
+    int end = indexOf(LINE_END);
+    if (end < 0) {
+      return false;
+    }
+    String line = new String(buffer, 0, end, StandardCharsets.ISO_8859_1).trim();
+    discard(end + LINE_END.length);
+    if (line.isEmpty()) {
+      isComplete = chunkState == ChunkState.AFTER_LAST;
+      return true;
+    }
+    try {
+      remaining = Long.parseLong(line, HEX_RADIX);
+    } catch (NumberFormatException malformed) {
+      isMalformed = true;
+      return false;
+    }
+    chunkState = remaining > 0 ? ChunkState.IN_DATA : ChunkState.AFTER_LAST;
+    return true;
+  }
+
+  private boolean readBody() {
+    int count = (int) Math.min(remaining, size);
+    for (int i = 0; i < count && bodyStart.length() < MAX_KEPT_BODY_BYTES; i++) {
+      bodyStart.append((char) Byte.toUnsignedInt(buffer[i]));
+    }
+    bodyLength += count;
+    remaining -= count;
+    discard(count);
+    if (remaining > 0) {
+      return false;
+    }
+    chunkState = ChunkState.BEFORE_SIZE;
+    isComplete = !isChunked;
+    return true;
+  }
+
+  private int indexOf(byte[] pattern) {
+    for (int i = 0; i + pattern.length <= size; i++) {
+      if (Arrays.equals(buffer, i, i + pattern.length, pattern, 0, pattern.length)) {
+        return i;
       }
-      inChunk = false;
-      complete = !chunked;
     }
+    return -1;
   }
 
-  private void drop(int count) {
-    System.arraycopy(bytes, count, bytes, 0, size - count);
+  private void discard(int count) {
+    System.arraycopy(buffer, count, buffer, 0, size - count);
     size -= count;
   }
 
-  /** A message as bytes: its first line, its fields (name, value, ...), its body. */
-  static byte[] message(String first, byte[] body, boolean inChunks, String... pairs) {
-    StringBuilder head = new StringBuilder(first).append("\r\n");
+  /**
+   * A message as bytes.
+   *
+   * @param body null for a message without one
+   * @param inChunks whether the body is sent with chunked transfer encoding
+   * @param pairs field names, each followed by its value; a field whose value is null is left out
+   */
+  static byte[] message(String startLine, byte[] body, boolean inChunks, String... pairs) {
+    StringBuilder head = new StringBuilder(startLine).append("\r\n");
     for (int i = 0; i < pairs.length; i += 2) {
       if (pairs[i + 1] != null) {
         head.append(pairs[i]).append(": ").append(pairs[i + 1]).append("\r\n");
@@ -181,28 +229,38 @@
       head.append("Content-Length: ").append(body.length).append("\r\n");
     }
     head.append("\r\n");
-    byte[] start = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+    byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
     if (body == null) {
-      return start;
-    }
-    java.io.ByteArrayOutputStream all =
-        new java.io.ByteArrayOutputStream(start.length + body.length + 32);
-    all.writeBytes(start);
-    for (int at = 0; inChunks && at < body.length; at += 7000) {
-      int count = Math.min(7000, body.length - at);
-      all.writeBytes((Integer.toHexString(count) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-      all.write(body, at, count);
-      all.writeBytes(new byte[] {'\r', '\n'});
-    }
-    all.writeBytes(inChunks ? "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII) : body);
-    return all.toByteArray();
-  }
-
-  /** A body that tells whose it is, so long. */
-  static byte[] body(String whose, int length) {
-    byte[] body = new byte[Math.max(length, whose.length())];
-    java.util.Arrays.fill(body, (byte) 'x');
-    System.arraycopy(whose.getBytes(StandardCharsets.ISO_8859_1), 0, body, 0, whose.length());
+      return headBytes;
+    }
+    ByteArrayOutputStream message =
+        new ByteArrayOutputStream(headBytes.length + body.length + FRAMING_BYTES);
+    message.writeBytes(headBytes);
+    if (inChunks) {
+      writeChunks(message, body);
+    } else {
+      message.writeBytes(body);
+    }
+    return message.toByteArray();
+  }
+
+  private static void writeChunks(ByteArrayOutputStream message, byte[] body) {
+    for (int from = 0; from < body.length; from += CHUNK_BYTES) {
+      int count = Math.min(CHUNK_BYTES, body.length - from);
+      String sizeLine = Integer.toHexString(count) + "\r\n";
+      message.writeBytes(sizeLine.getBytes(StandardCharsets.US_ASCII));
+      message.write(body, from, count);
+      message.writeBytes(LINE_END);
+    }
+    message.writeBytes(LAST_CHUNK);
+  }
+
+  /** A body that starts with the given prefix and is padded to the length in bytes. */
+  static byte[] body(String prefix, int length) {
+    byte[] body = new byte[Math.max(length, prefix.length())];
+    Arrays.fill(body, (byte) 'x');
+    byte[] prefixBytes = prefix.getBytes(StandardCharsets.ISO_8859_1);
+    System.arraycopy(prefixBytes, 0, body, 0, prefix.length());
     return body;
   }
 }
--- /dev/null
+++ b/emulator/src/main/java/dillcross/emulator/simulation/RunStatistics.java
@@ -0,0 +1,79 @@
+package dillcross.emulator.simulation;
+
+import dillcross.emulator.oracle.ObservedRequest;
+
+/** Totals over the requests of a run, by how each of them ended. */
+final class RunStatistics {
+  private long requestCount;
+  private long succeededCount;
+  private long inTimeCount;
+  private long rejectedCount;
+  private long failedCount;
+  private long excusedCount;
+  private long attemptCount;
+  private double earnedValue;
+  private double possibleValue;
+
+  /** Adds one request, after the end of the run. */
+  void add(ObservedRequest request) {
+    int status = request.status();
+    double value = request.requestClass().priorityWeight();
+    boolean isSuccess = status == HttpStatus.OK;
+    boolean isRejected = HttpStatus.isRejection(status);
+    boolean isInTime = isSuccess && request.answerUs() - request.sentUs() <= request.targetUs();
+    boolean isFailed = request.isOver() && !request.isExcused() && !isSuccess && !isRejected;
+    requestCount++;
+    succeededCount += isSuccess ? 1 : 0;
+    inTimeCount += isInTime ? 1 : 0;
+    rejectedCount += isRejected ? 1 : 0;
+    failedCount += isFailed ? 1 : 0;
+    excusedCount += request.isExcused() ? 1 : 0;
+    attemptCount += request.attempts().size();
+    earnedValue += isInTime ? value : 0;
+    possibleValue += request.retryNumber() == 0 && !request.isExcused() ? value : 0;
+  }
+
+  long requests() {
+    return requestCount;
+  }
+
+  /** Requests answered with status 200. */
+  long succeeded() {
+    return succeededCount;
+  }
+
+  /** Requests answered with status 200 within their latency objective. */
+  long inTime() {
+    return inTimeCount;
+  }
+
+  /** Requests that the sidecar rejected. */
+  long rejected() {
+    return rejectedCount;
+  }
+
+  /** Requests that ended in any other way, and were not excused. */
+  long failed() {
+    return failedCount;
+  }
+
+  /** Requests that no answer was due for. */
+  long excused() {
+    return excusedCount;
+  }
+
+  /** Attempts that reached endpoints. */
+  long attempts() {
+    return attemptCount;
+  }
+
+  /** Sum of the priority weights of requests answered in time. */
+  double earnedValue() {
+    return earnedValue;
+  }
+
+  /** Sum of the priority weights of all first requests that an answer was due for. */
+  double possibleValue() {
+    return possibleValue;
+  }
+}
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -1,305 +1,284 @@
 package dillcross.emulator.simulation;
 
 import dillcross.balancer.LoadBalancer;
-import dillcross.config.ConfigReader;
-import dillcross.config.ConfigValues;
 import dillcross.emulator.network.EmulatedNetwork;
-import dillcross.emulator.network.SocketEndpoint;
 import dillcross.emulator.network.VirtualMachine;
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.time.TimeUnits;
 import dillcross.net.SidecarServer;
 import dillcross.sidecar.EndpointListUpdate;
 import dillcross.sidecar.RequestCoordinator;
-import dillcross.sidecar.SidecarLimits;
 import dillcross.sidecar.SidecarSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.Optional;
 
-/** One sidecar: a machine, and on it one process after another that runs the sidecar's own code. */
+/**
+ * One sidecar: a machine, and on it one process after another that runs the sidecar's own code.
+ * Checks after each event loop iteration that the process keeps its limits and makes progress.
+ */
 final class SidecarProcess {
   private static final int ADMIN_PORT = 9900;
-  private static final long MOST_STOP_US =
-      700_000; // after SIGTERM and the longest deadline it is killed
+  private static final int CLIENT_PORT = 9000;
+  private static final int ADDRESSES_PER_SUBNET = 250;
 
-  final int index;
-  final String name;
-  final String address;
-  final VirtualMachine host;
-  final VirtualMachine app; // its clients, beside it
-  private final SimulationContext world;
-  private final DiscoveryService list;
+  /** Time from SIGTERM plus the longest request timeout by which the process should have ended. */
+  private static final long MAX_SHUTDOWN_US = 700_000;
+
+  /** Further time after which a process that should have ended is killed. */
+  private static final long SHUTDOWN_TOLERANCE_US = 300_000;
+
+  private final int index;
+  private final String name;
+  private final String ip;
+  private final VirtualMachine host;
+  private final VirtualMachine app;
+  private final SimulationContext context;
+  private final DiscoveryService discovery;
   private final RandomStream random;
-  private EmulatedNetwork network;
-  private SidecarServer server;
-  private String listAt = DiscoveryService.ADDRESS;
-  private int starts;
-  private boolean ready;
-  private boolean stopping;
-  private long turns; // of earlier processes
+  private EmulatedNetwork network; // null while no process runs
+  private SidecarServer server; // null while no process runs
+  private String discoveryAddress = DiscoveryService.ADDRESS;
+  private int startCount;
+  private boolean isReady;
+  private boolean isStopping;
+  private long turnsOfEarlierProcesses;
 
-  SidecarProcess(SimulationContext world, DiscoveryService list, int index) {
-    this.world = world;
-    this.list = list;
+  SidecarProcess(SimulationContext context, DiscoveryService discovery, int index) {
+    this.context = context;
+    this.discovery = discovery;
     this.index = index;
-    Scenario.SidecarGroup group = world.scenario().sidecars();
+    Scenario.SidecarGroup group = context.scenario().sidecars();
     name = "s" + index;
-    address = "127.1." + index / 250 + "." + (1 + index % 250) + ":9000";
+    ip = "127.1." + index / ADDRESSES_PER_SUBNET + "." + (1 + index % ADDRESSES_PER_SUBNET);
     host = new VirtualMachine(name, group.zones().get(index % group.zones().size()));
     app = new VirtualMachine("app of " + name, host);
-    random = world.random().named("sidecar " + name);
+    random = context.random().named("sidecar " + name);
   }
 
-  /** Of the one that runs, or ran last. */
+  int index() {
+    return index;
+  }
+
+  String name() {
+    return name;
+  }
+
+  /** Where it listens for clients, as {@code ip:port}. */
+  String address() {
+    return ip + ":" + CLIENT_PORT;
+  }
+
+  VirtualMachine host() {
+    return host;
+  }
+
+  /** The application process on the same machine, whose requests it takes. */
+  VirtualMachine app() {
+    return app;
+  }
+
+  /** Name of the process that runs, or ran last. */
   String process() {
-    return name + "#" + starts;
+    return name + "#" + startCount;
   }
 
   boolean running() {
     return server != null;
   }
 
-  boolean ready() {
-    return ready;
-  }
-
+  /** How many processes were started. */
   int starts() {
-    return starts;
+    return startCount;
   }
 
   int connections() {
     return host.connections();
   }
 
+  /** Event loop iterations of all its processes. */
   long turns() {
-    return turns + (network == null ? 0 : network.turnsMade());
+    return turnsOfEarlierProcesses + (network == null ? 0 : network.turnsMade());
   }
 
-  /** What its process holds; null where none runs. */
+  /** What its process holds; null while none runs. */
   SidecarServer.Usage usage() {
     return server == null ? null : server.usage();
   }
 
-  // ---- Its process
+  // ---- Start
 
-  /** Has a process begin; it listens after the time that one needs. */
+  /** Starts a process, which listens after a start-up time drawn from the scenario. */
   void boot() {
-    starts++;
-    int mine = starts;
-    world
-        .time()
-        .after(
-            world.scenario().sidecars().startMs().drawUs(random.named("boot " + starts)),
-            () -> {
-              if (mine == starts && server == null) {
-                start();
-              }
-            });
-  }
-
-  private ConfigValues settingValues() {
-    Map<String, String> values = new HashMap<>(world.scenario().sidecarSettings());
-    Scenario scenario = world.scenario();
-    values.put("locality", host.zone());
-    values.put("me", String.valueOf(index));
-    values.put("balancers", String.valueOf(scenario.sidecars().count()));
-    values.put("categories.count", String.valueOf(scenario.requestClasses().size()));
-    for (int i = 0; i < scenario.requestClasses().size(); i++) {
-      Scenario.RequestClass requestClass = scenario.requestClasses().get(i);
-      String at = "categories." + i + ".";
-      values.put(at + "name", requestClass.name());
-      values.put(at + "effect", requestClass.effect());
-      values.put(at + "key_scope", requestClass.scope());
-      values.put(at + "window_ms", String.valueOf(requestClass.windowMs()));
-      values.put(at + "target_latency_ms", String.valueOf(requestClass.targetMs()));
-      values.put(at + "ttl_ms", String.valueOf(requestClass.timeoutMs()));
-      values.put(at + "benefit", String.valueOf(requestClass.priorityWeight()));
-    }
-    return ConfigValues.ofPairs(values);
+    startCount++;
+    int ownStart = startCount;
+    RandomStream draws = random.named("boot " + startCount);
+    context.after(
+        context.scenario().sidecars().startMs().drawUs(draws),
+        () -> {
+          if (ownStart == startCount && server == null) {
+            start();
+          }
+        });
   }
 
   private void start() {
-    Scenario.SidecarGroup group = world.scenario().sidecars();
-    SidecarSettings settings = ConfigReader.sidecarSettings(settingValues());
-    long seed = random.named("start " + starts).any();
+    Scenario.SidecarGroup group = context.scenario().sidecars();
+    SidecarSettings settings = settings();
+    long seed = random.named("start " + startCount).any();
     RequestCoordinator coordinator =
         new RequestCoordinator(new LoadBalancer(seed, settings.balancer()));
-    EndpointListUpdate known = EndpointListUpdate.fromJson(list.known());
-    coordinator.onEndpointList(world.now(), known.version(), true, known.entries(), false);
-    list.knows(process());
-    world.oracle().started(process());
+    EndpointListUpdate cached = EndpointListUpdate.fromJson(discovery.cachedList());
+    coordinator.onEndpointList(context.now(), cached.version(), true, cached.entries(), false);
+    discovery.onCachedListRead(process());
+    context.oracle().started(process());
     network =
         new EmulatedNetwork(
-            world.time(),
-            world.fabric(),
-            host,
-            address.substring(0, address.indexOf(':')),
-            group.turnUs(),
-            this::turned);
+            context.clock(), context.network(), host, ip, group.turnUs(), this::onTurnEnd);
     server =
         new SidecarServer(
-            network, group.calls(), coordinator, world::now, settings, listAt, limits(group));
-    ready = false;
-    stopping = false;
+            network,
+            group.calls(),
+            coordinator,
+            context::now,
+            settings,
+            discoveryAddress,
+            SidecarSettingValues.limits(group));
+    isReady = false;
+    isStopping = false;
+    listen();
+    context.note("start", "sidecar", name, "process", process());
+  }
+
+  private void listen() {
     try {
-      server.open(
-          Optional.of(
-              new InetSocketAddress(address.substring(0, address.indexOf(':')), ADMIN_PORT)));
-      server.listen(new InetSocketAddress(address.substring(0, address.indexOf(':')), 9000));
+      server.open(Optional.of(new InetSocketAddress(ip, ADMIN_PORT)));
+      server.listen(new InetSocketAddress(ip, CLIENT_PORT));
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    world.trace().note("start", "sidecar", name, "process", process());
   }
 
-  private static SidecarLimits limits(Scenario.SidecarGroup group) {
-    ConfigValues memory =
-        ConfigValues.ofPairs(Map.of("limits.memory_mb", String.valueOf(group.memoryMb())));
-    SidecarLimits limits = ConfigReader.limits(memory);
-    return new SidecarLimits(group.descriptors(), limits.maxBodyBytes(), limits.bufferBytes());
+  private SidecarSettings settings() {
+    return SidecarSettingValues.settings(context.scenario(), host.zone(), index);
   }
 
-  private void turned() {
-    if (server.isWarm() && !ready) {
-      ready = true;
+  private void onTurnEnd() {
+    if (server.isWarm() && !isReady) {
+      isReady = true;
       server.markReady();
-      world.trace().note("ready", "sidecar", name);
+      context.note("ready", "sidecar", name);
     }
-    if (host.connections() + 1 > world.scenario().sidecars().descriptors()) {
-      world
-          .oracle()
-          .broke(Rule.WITHIN_LIMITS, null, name + " holds " + host.connections() + " connections");
+    if (host.connections() + 1 > context.scenario().sidecars().descriptors()) {
+      report(Rule.WITHIN_LIMITS, " holds " + host.connections() + " connections");
     }
     if (network.spins()) {
-      world.oracle().broke(Rule.TURNS_END, null, name + " makes turns while time stands still");
+      report(Rule.TURNS_END, " makes turns while time stands still");
       kill();
     } else if (server.usage().failedIterations() > 0) {
-      world.oracle().broke(Rule.NO_FAULT, null, name + " had a turn that failed; its log says how");
+      report(Rule.NO_FAULT, " had a turn that failed; its log says how");
       kill();
     } else if (server.isDone()) {
-      world.trace().note("exit", "sidecar", name);
+      context.note("exit", "sidecar", name);
       end();
     }
   }
 
-  /** SIGTERM, and SIGKILL where it does not go by itself. */
+  private void report(Rule rule, String message) {
+    context.oracle().broke(rule, null, name + message);
+  }
+
+  // ---- Faults and operations
+
+  /** Sends SIGTERM, and SIGKILL if the process has not ended in time. */
   void term() {
-    if (server != null && !stopping) {
-      stopping = true;
-      int mine = starts;
-      world.trace().note("term", "sidecar", name);
-      server.requestStop();
-      double maxTimeoutMs =
-          world.scenario().requestClasses().stream()
-              .mapToDouble(Scenario.RequestClass::timeoutMs)
-              .max()
-              .orElse(0);
-      world
-          .time()
-          .after(
-              Math.round(maxTimeoutMs * 1000) + MOST_STOP_US + 300_000,
-              () -> {
-                if (mine == starts && server != null && stopping) {
-                  world.trace().note("late", "sidecar", name);
-                  end();
-                }
-              });
+    if (server == null || isStopping) {
+      return;
     }
+    isStopping = true;
+    int ownStart = startCount;
+    context.note("term", "sidecar", name);
+    server.requestStop();
+    double maxTimeoutMs =
+        context.scenario().requestClasses().stream()
+            .mapToDouble(Scenario.RequestClass::timeoutMs)
+            .max()
+            .orElse(0);
+    context.after(
+        TimeUnits.toMicros(maxTimeoutMs) + MAX_SHUTDOWN_US + SHUTDOWN_TOLERANCE_US,
+        () -> {
+          if (ownStart == startCount && server != null && isStopping) {
+            context.note("late", "sidecar", name);
+            end();
+          }
+        });
   }
 
+  /** Sends SIGKILL. */
   void kill() {
     if (server != null) {
-      world.trace().note("kill", "sidecar", name);
+      context.note("kill", "sidecar", name);
       end();
     }
   }
 
   private void end() {
-    turns += network.turnsMade();
+    turnsOfEarlierProcesses += network.turnsMade();
     network.die();
     network = null;
     server = null;
-    ready = false;
-    world.fabric().end(host);
+    isReady = false;
+    context.network().end(host);
   }
 
-  /** An operator calls at its admin endpoint, and wants a yes while its process can serve. */
+  /**
+   * Sends a POST to its admin endpoint. Any status but 200 is a violation if the process was ready
+   * and is still the same.
+   */
   void callAdmin(String path) {
-    int mine = starts;
-    boolean able = server != null && ready && !stopping;
-    HttpStreamReader incoming = new HttpStreamReader();
-    world.trace().note("admin", "sidecar", name, "path", path);
-    world
-        .fabric()
-        .connect(
-            app,
-            address.substring(0, address.indexOf(':')) + ":" + ADMIN_PORT,
-            new SocketEndpoint.Owner() {
-              @Override
-              public void up(SocketEndpoint end) {
-                end.send(
-                    HttpStreamReader.message(
-                        "POST " + path + " HTTP/1.1", new byte[0], false, "Host", "admin"),
-                    null);
-              }
-
-              @Override
-              public void failed(SocketEndpoint end) {
-                answered(0);
-              }
-
-              @Override
-              public void readable(SocketEndpoint end) {
-                byte[] bytes = end.readAll();
-                if (bytes.length > 0) {
-                  incoming.add(bytes, end.firstSentUs());
-                }
-                if (end.over()) {
-                  end.close();
-                  answered(incoming.complete() ? Integer.parseInt(incoming.word(1)) : 0);
-                }
-              }
-
-              private void answered(int status) {
-                if (able && mine == starts && server != null && !stopping && status != 200) {
-                  world
-                      .oracle()
-                      .broke(
-                          Rule.TRUE_CONTENT,
-                          null,
-                          name + " answered " + status + " at its admin endpoint to " + path);
-                }
+    int ownStart = startCount;
+    boolean isExpectedToAnswer = server != null && isReady && !isStopping;
+    context.note("admin", "sidecar", name, "path", path);
+    AdminCall call =
+        new AdminCall(
+            path,
+            status -> {
+              boolean isSameProcess = ownStart == startCount && server != null && !isStopping;
+              if (isExpectedToAnswer && isSameProcess && status != HttpStatus.OK) {
+                String message = " answered " + status + " at its admin endpoint to " + path;
+                report(Rule.TRUE_CONTENT, message);
               }
             });
+    context.network().connect(app, ip + ":" + ADMIN_PORT, call);
   }
 
   /**
-   * The same settings come anew, and the list has moved; between two turns, as a reload does it.
+   * Reloads the configuration with the discovery service at its other address, between two event
+   * loop iterations as in service.
    */
   void reload() {
-    if (server != null) {
-      world.trace().note("reload", "sidecar", name);
-      SidecarSettings settings = ConfigReader.sidecarSettings(settingValues());
-      listAt =
-          listAt.equals(DiscoveryService.ADDRESS)
-              ? DiscoveryService.OTHER_ADDRESS
-              : DiscoveryService.ADDRESS;
-      server.beforeEvents();
-      server.moveDiscovery(listAt);
-      server.applySettings(settings);
-      network.wakeUp();
+    if (server == null) {
+      return;
     }
+    context.note("reload", "sidecar", name);
+    SidecarSettings settings = settings();
+    boolean isAtFirstAddress = discoveryAddress.equals(DiscoveryService.ADDRESS);
+    discoveryAddress = isAtFirstAddress ? DiscoveryService.OTHER_ADDRESS : DiscoveryService.ADDRESS;
+    server.beforeEvents();
+    server.moveDiscovery(discoveryAddress);
+    server.applySettings(settings);
+    network.wakeUp();
   }
 
-  void stall(long forUs) {
+  /** Suspends the process for the duration in µs. */
+  void stall(long durationUs) {
     if (network != null) {
-      world.trace().note("stall", "sidecar", name, "us", forUs);
-      network.stall(world.now() + forUs);
-      world.oracle().stalled(index, world.now(), world.now() + forUs);
+      context.note("stall", "sidecar", name, "us", durationUs);
+      long untilUs = context.now() + durationUs;
+      network.stall(untilUs);
+      context.oracle().stalled(index, context.now(), untilUs);
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
@@ -6,16 +6,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** All sidecars. */
+/** All sidecars of a run, in the order of their index. */
 final class SidecarProcesses {
   private final List<SidecarProcess> all = new ArrayList<>();
   private final Map<VirtualMachine, SidecarProcess> byHost = new HashMap<>();
 
-  SidecarProcesses(SimulationContext world, DiscoveryService list) {
-    for (int i = 0; i < world.scenario().sidecars().count(); i++) {
-      SidecarProcess one = new SidecarProcess(world, list, i);
-      all.add(one);
-      byHost.put(one.host, one);
+  /** Creates the sidecars of the scenario; none runs yet. */
+  SidecarProcesses(SimulationContext context, DiscoveryService discovery) {
+    for (int index = 0; index < context.scenario().sidecars().count(); index++) {
+      SidecarProcess sidecar = new SidecarProcess(context, discovery, index);
+      all.add(sidecar);
+      byHost.put(sidecar.host(), sidecar);
     }
   }
 
@@ -23,17 +24,21 @@
     return all;
   }
 
+  /** Name of the sidecar process on that machine; the machine's name if it has no sidecar. */
   String process(VirtualMachine host) {
-    SidecarProcess one = byHost.get(host);
-    return one == null ? host.toString() : one.process();
+    SidecarProcess sidecar = byHost.get(host);
+    return sidecar == null ? host.toString() : sidecar.process();
   }
 
-  /** Of those that run. */
+  /** Names of the processes that run. */
   List<String> processes() {
     return all.stream().filter(SidecarProcess::running).map(SidecarProcess::process).toList();
   }
 
+  /** The sidecars that a fault's target names: all, or one. */
   List<SidecarProcess> named(String target) {
-    return all.stream().filter(i -> target.equals("all") || target.equals(i.name)).toList();
+    return all.stream()
+        .filter(sidecar -> target.equals("all") || target.equals(sidecar.name()))
+        .toList();
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -1,13 +1,13 @@
 package dillcross.emulator.simulation;
 
 import dillcross.emulator.network.VirtualNetwork;
-import dillcross.emulator.oracle.ObservedRequest;
 import dillcross.emulator.oracle.Oracle;
 import dillcross.emulator.oracle.Violation;
 import dillcross.emulator.oracle.Violation.Rule;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.time.TimeUnits;
 import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.trace.Trace;
 import dillcross.net.SidecarServer;
@@ -15,19 +15,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One day: a scenario and a seed, played to its end. */
+/**
+ * One run: a scenario and a seed, played to its end on the calling thread. Runs share no state, and
+ * the same scenario, seed and faults always give the same result.
+ */
 public final class Simulation {
-  private static final long WARM_US = 1_000_000; // for the sidecars to start
-  private static final long REST_US =
-      2_500_000; // after the last request and the time that idle connections are kept
-  private static final long RESTING_BYTES =
-      2 * (7 << 10); // of the buffers' limit, that a connection may keep while it rests
-  private static final int MOST_RESTS = 30; // seconds more
-  private static final int RESTING_TIMERS =
-      3; // to ask for the list, and for the load balancer to wake
-  private static final long TOO_LONG_US = 600_000_000; // of the time after the last arrival
-
-  /** What became of a day. */
+  /** Time from the start of the sidecars to the first arrival. */
+  private static final long WARM_UP_US = 1_000_000;
+
+  /** Longest time after the last arrival for which open requests are waited for. */
+  private static final long MAX_COMPLETION_US = 600_000_000;
+
+  private static final long COMPLETION_POLL_US = 100_000;
+
+  /** Time after the last request and the idle timeout by which sidecars hold nothing any more. */
+  private static final long SETTLE_US = 2_500_000;
+
+  private static final int MAX_EXTRA_SETTLE_SECONDS = 30;
+
+  /** Buffer memory that an idle connection may keep. */
+  private static final long IDLE_CONNECTION_BYTES = 14 << 10;
+
+  /** Timers of an idle sidecar: for the endpoint list and for the load balancer. */
+  private static final int MAX_IDLE_TIMERS = 3;
+
+  private static final int DISCOVERY_CONNECTIONS = 1;
+
+  /** The outcome of a run. Counts are of requests unless named otherwise; times in µs. */
   public record Result(
       long seed,
       List<Drawn> faults,
@@ -49,6 +63,7 @@
       double earnedValue,
       double possibleValue,
       int restarts) {
+    /** Whether no rule was broken. */
     public boolean clean() {
       return broken == 0;
     }
@@ -57,9 +72,9 @@
   private final Scenario scenario;
   private final long seed;
   private final List<Drawn> drawn;
-  private final SimulationContext world;
+  private final SimulationContext context;
   private final Oracle oracle;
-  private final VirtualClock time = new VirtualClock(SimulationContext.START_US);
+  private final VirtualClock clock = new VirtualClock(SimulationContext.START_US);
   private final SidecarProcesses sidecars;
   private final List<EmulatedClients> clients = new ArrayList<>();
   private final FaultInjector faults;
@@ -70,40 +85,41 @@
     this.seed = seed;
     this.drawn = drawn;
     RandomStream random = RandomStream.of(seed);
-    Scenario.NetworkSettings net = scenario.network();
-    VirtualNetwork fabric =
-        new VirtualNetwork(
-            time,
-            random.named("network"),
-            Math.round(net.nearUs()),
-            Math.round(net.farUs()),
-            Math.round(net.jitterUs()));
+    VirtualNetwork network = network(scenario.network(), clock, random.named("network"));
     Trace trace =
-        new Trace(lines, () -> time.now() - SimulationContext.START_US, fabric::sum, reader);
-    oracle = new Oracle(time::now, SimulationContext.START_US, scenario);
-    world = new SimulationContext(scenario, time, random, fabric, oracle, trace);
-    DiscoveryService list = new DiscoveryService(world);
-    EmulatedEndpoints servers = new EmulatedEndpoints(world, list);
-    sidecars = new SidecarProcesses(world, list);
-    servers.sidecars(sidecars);
-    list.sidecars(sidecars);
-    sidecars.all().forEach(s -> clients.add(new EmulatedClients(world, s)));
-    faults = new FaultInjector(world, servers, list, sidecars, clients);
-  }
-
-  /** Plays it with the troubles that its seed draws. */
+        new Trace(lines, () -> clock.now() - SimulationContext.START_US, network::sum, reader);
+    oracle = new Oracle(clock::now, SimulationContext.START_US, scenario);
+    context = new SimulationContext(scenario, clock, random, network, oracle, trace);
+    DiscoveryService discovery = new DiscoveryService(context);
+    EmulatedEndpoints endpoints = new EmulatedEndpoints(context, discovery);
+    sidecars = new SidecarProcesses(context, discovery);
+    endpoints.sidecars(sidecars);
+    discovery.sidecars(sidecars);
+    sidecars.all().forEach(sidecar -> clients.add(new EmulatedClients(context, sidecar)));
+    faults = new FaultInjector(context, endpoints, discovery, sidecars, clients);
+  }
+
+  private static VirtualNetwork network(
+      Scenario.NetworkSettings settings, VirtualClock clock, RandomStream random) {
+    return new VirtualNetwork(
+        clock,
+        random,
+        Math.round(settings.nearUs()),
+        Math.round(settings.farUs()),
+        Math.round(settings.jitterUs()));
+  }
+
+  /** Plays a run with the faults that its seed draws. */
   public static Result play(Scenario scenario, long seed) {
-    return play(
-        scenario,
-        seed,
-        FaultInjector.draw(scenario, RandomStream.of(seed)),
-        OutputStream.nullOutputStream(),
-        null);
+    List<Drawn> drawn = FaultInjector.draw(scenario, RandomStream.of(seed));
+    return play(scenario, seed, drawn, OutputStream.nullOutputStream(), null);
   }
 
   /**
-   * Plays it with these troubles, its lines going there and its events to the reader, if there is
-   * one.
+   * Plays a run with the given faults in place of drawn ones.
+   *
+   * @param lines receives the trace
+   * @param reader is told of each event of the trace as it happens; null for none
    */
   public static Result play(
       Scenario scenario, long seed, List<Drawn> drawn, OutputStream lines, Trace.Reader reader) {
@@ -111,137 +127,127 @@
   }
 
   private Result play() {
-    world.trace().note("day", "scenario", scenario.name(), "seed", seed);
+    context.note("day", "scenario", scenario.name(), "seed", seed);
     sidecars.all().forEach(SidecarProcess::boot);
-    run(SimulationContext.START_US + WARM_US);
-    long firstUs = time.now();
-    long lastUs = firstUs + Math.round(scenario.seconds() * 1e6);
-    drawn.forEach(d -> faults.arrange(d, firstUs));
-    clients.forEach(c -> c.come(lastUs));
-    run(lastUs);
-    while (clients.stream().anyMatch(c -> c.open() > 0) && time.now() < lastUs + TOO_LONG_US) {
-      run(time.now() + 100_000);
-    }
-    long overUs =
-        drawn.stream()
-            .mapToLong(d -> d.atUs() + d.forUs())
-            .max()
-            .orElse(0); // what goes wrong late is over before
-    run(Math.max(time.now(), firstUs + overUs + Math.round(scenario.endpoints().graceMs() * 1000)));
-    run(
-        time.now()
-            + REST_US
-            + Math.round(
-                Double.parseDouble(scenario.sidecarSettings().get("limits.keepalive_ms")) * 1000));
-    rest();
+    runUntil(SimulationContext.START_US + WARM_UP_US);
+    long firstArrivalUs = clock.now();
+    long lastArrivalUs =
+        firstArrivalUs + Math.round(scenario.seconds() * TimeUnits.MICROS_PER_SECOND);
+    drawn.forEach(fault -> faults.schedule(fault, firstArrivalUs));
+    clients.forEach(ofSidecar -> ofSidecar.start(lastArrivalUs));
+    runUntil(lastArrivalUs);
+    awaitOpenRequests(lastArrivalUs + MAX_COMPLETION_US);
+    awaitFaults(firstArrivalUs);
+    awaitIdleSidecars();
+    checkIdle();
+    oracle.requests().values().forEach(oracle::silent);
     return result();
   }
 
-  private void run(long untilUs) {
-    while (time.step(untilUs)) {
-      // the oracle and the sidecars' own turns check as they go
+  private void runUntil(long untilUs) {
+    boolean hasEvents = true;
+    while (hasEvents) {
+      hasEvents = clock.step(untilUs);
     }
   }
 
-  /** All is over: nothing may be left of it. */
-  private void rest() {
-    for (int i = 0;
-        i < MOST_RESTS && sidecars.all().stream().anyMatch(s -> restless(s) != null);
-        i++) {
-      run(time.now() + 1_000_000); // timers of what is over go when they are due
+  private void awaitOpenRequests(long untilUs) {
+    while (clients.stream().anyMatch(ofSidecar -> ofSidecar.open() > 0) && clock.now() < untilUs) {
+      runUntil(clock.now() + COMPLETION_POLL_US);
     }
-    for (SidecarProcess s : sidecars.all()) {
-      String left = restless(s);
-      if (left != null) {
-        oracle.broke(
-            Rule.BACK_TO_REST,
-            null,
-            s.name + " with " + s.connections() + " connections still holds " + left);
-      }
+  }
+
+  private void awaitFaults(long firstArrivalUs) {
+    long lastEndUs =
+        drawn.stream().mapToLong(fault -> fault.atUs() + fault.forUs()).max().orElse(0);
+    long graceUs = TimeUnits.toMicros(scenario.endpoints().graceMs());
+    runUntil(Math.max(clock.now(), firstArrivalUs + lastEndUs + graceUs));
+  }
+
+  private void awaitIdleSidecars() {
+    long idleTimeoutUs = TimeUnits.toMicros(context.sidecarSetting("limits.keepalive_ms"));
+    runUntil(clock.now() + SETTLE_US + idleTimeoutUs);
+    int extraSeconds = 0;
+    while (extraSeconds < MAX_EXTRA_SETTLE_SECONDS
+        && !sidecars.all().stream().allMatch(Simulation::isIdle)) {
+      runUntil(clock.now() + TimeUnits.MICROS_PER_SECOND);
+      extraSeconds++;
     }
-    for (ObservedRequest request : oracle.requests().values()) {
-      oracle.silent(request);
+  }
+
+  private void checkIdle() {
+    for (SidecarProcess sidecar : sidecars.all()) {
+      if (!isIdle(sidecar)) {
+        String holds =
+            " with " + sidecar.connections() + " connections still holds " + held(sidecar);
+        oracle.broke(Rule.BACK_TO_REST, null, sidecar.name() + holds);
+      }
     }
   }
 
-  /**
-   * What a sidecar holds that it should not when nothing is carried out; null where that is
-   * nothing.
-   */
-  private static String restless(SidecarProcess s) {
-    SidecarServer.Usage usage = s.usage();
-    int more = usage == null ? 0 : s.connections() - s.app.connections() - 1; // one is to the list
-    boolean rests =
-        usage == null
-            || (more <= 0
-                && usage.trackedRequests() + usage.attempts() + usage.openRequests() == 0
-                && usage.timers() <= RESTING_TIMERS
-                && usage.bufferBytes() <= RESTING_BYTES * s.connections());
-    return rests ? null : usage + (more > 0 ? " and " + more + " connections to endpoints" : "");
+  /** Whether a sidecar holds nothing that it should release when no request is open. */
+  private static boolean isIdle(SidecarProcess sidecar) {
+    SidecarServer.Usage usage = sidecar.usage();
+    return usage == null
+        || (endpointConnections(sidecar) <= 0
+            && usage.trackedRequests() + usage.attempts() + usage.openRequests() == 0
+            && usage.timers() <= MAX_IDLE_TIMERS
+            && usage.bufferBytes() <= IDLE_CONNECTION_BYTES * sidecar.connections());
+  }
+
+  private static int endpointConnections(SidecarProcess sidecar) {
+    return sidecar.connections() - sidecar.app().connections() - DISCOVERY_CONNECTIONS;
+  }
+
+  private static String held(SidecarProcess sidecar) {
+    int connections = endpointConnections(sidecar);
+    String suffix = connections > 0 ? " and " + connections + " connections to endpoints" : "";
+    return sidecar.usage() + suffix;
   }
 
   private Result result() {
-    long succeeded = 0;
-    long inTime = 0;
-    long rejected = 0;
-    long failed = 0;
-    long left = 0;
-    long attempts = 0;
-    double earnedValue = 0;
-    double possibleValue = 0;
-    for (ObservedRequest request : oracle.requests().values()) {
-      boolean soon =
-          request.status == 200 && request.answerUs - request.sentUs <= request.targetUs();
-      succeeded += request.status == 200 ? 1 : 0;
-      inTime += soon ? 1 : 0;
-      rejected += request.status == 503 || request.status == 429 ? 1 : 0;
-      failed +=
-          request.over
-                  && !request.excused
-                  && request.status != 200
-                  && request.status != 503
-                  && request.status != 429
-              ? 1
-              : 0;
-      left += request.excused ? 1 : 0;
-      attempts += request.attempts.size();
-      earnedValue += soon ? request.requestClass.priorityWeight() : 0;
-      possibleValue +=
-          request.attempt == 0 && !request.excused ? request.requestClass.priorityWeight() : 0;
-    }
-    Trace trace = world.trace();
-    trace.note(
-        "end",
-        "ops",
-        oracle.requests().size(),
-        "acked",
-        succeeded,
-        "nacked",
-        rejected,
-        "failed",
-        failed,
-        "violations",
-        oracle.broken());
+    RunStatistics statistics = new RunStatistics();
+    oracle.requests().values().forEach(statistics::add);
+    noteEnd(statistics);
     return new Result(
         seed,
         drawn,
         oracle.violations(),
         oracle.broken(),
-        trace.end(),
-        time.steps(),
+        context.trace().end(),
+        clock.steps(),
         sidecars.all().stream().mapToLong(SidecarProcess::turns).sum(),
-        time.now() - SimulationContext.START_US,
-        oracle.requests().size(),
-        succeeded,
-        inTime,
-        rejected,
-        failed,
-        left,
-        clients.stream().mapToLong(EmulatedClients::notTaken).sum(),
+        clock.now() - SimulationContext.START_US,
+        statistics.requests(),
+        statistics.succeeded(),
+        statistics.inTime(),
+        statistics.rejected(),
+        statistics.failed(),
+        statistics.excused(),
+        clients.stream().mapToLong(EmulatedClients::notAccepted).sum(),
         clients.stream().mapToLong(EmulatedClients::retries).sum(),
-        attempts,
-        earnedValue,
-        possibleValue,
-        sidecars.all().stream().mapToInt(s -> Math.max(0, s.starts() - 1)).sum());
+        statistics.attempts(),
+        statistics.earnedValue(),
+        statistics.possibleValue(),
+        sidecars.all().stream().mapToInt(Simulation::restarts).sum());
+  }
+
+  private static int restarts(SidecarProcess sidecar) {
+    return Math.max(0, sidecar.starts() - 1);
+  }
+
+  private void noteEnd(RunStatistics statistics) {
+    context.note(
+        "end",
+        "ops",
+        statistics.requests(),
+        "acked",
+        statistics.succeeded(),
+        "nacked",
+        statistics.rejected(),
+        "failed",
+        statistics.failed(),
+        "violations",
+        oracle.broken());
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
@@ -4,25 +4,50 @@
 import dillcross.emulator.oracle.Oracle;
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Scenario;
+import dillcross.emulator.time.TimeUnits;
 import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.trace.Trace;
 
-/** What the parts of a day share. */
+/**
+ * What the parts of one simulation run share. All of it belongs to the thread that plays the run.
+ */
 record SimulationContext(
     Scenario scenario,
-    VirtualClock time,
+    VirtualClock clock,
     RandomStream random,
-    VirtualNetwork fabric,
+    VirtualNetwork network,
     Oracle oracle,
     Trace trace) {
-  static final long START_US =
-      1_800_000_000_000_000L; // an arbitrary day: the list counts from 1970
+  /** Arbitrary start of each run in µs since 1970, as endpoint lists carry wall-clock times. */
+  static final long START_US = 1_800_000_000_000_000L;
 
+  /** Virtual time in µs since 1970. */
   long now() {
-    return time.now();
+    return clock.now();
   }
 
+  /** Virtual time in whole ms since 1970. */
   long nowMs() {
-    return time.now() / 1000;
+    return clock.now() / TimeUnits.MICROS_PER_MILLI;
+  }
+
+  /** Runs the action once the delay in µs has passed. */
+  void after(long delayUs, Runnable action) {
+    clock.after(delayUs, action);
+  }
+
+  /** Runs the action at the given virtual time in µs. */
+  void at(long atUs, Runnable action) {
+    clock.at(atUs, action);
+  }
+
+  /** Writes one event to the trace: its name, then pairs of a key and a value. */
+  void note(String event, Object... pairs) {
+    trace.note(event, pairs);
+  }
+
+  /** A numeric setting of the sidecars under test. */
+  double sidecarSetting(String key) {
+    return Double.parseDouble(scenario.sidecarSettings().get(key));
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/PackagesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PackagesTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What may know what: above all, the oracle must not see the books of those it judges, and no day
- * may read a clock.
+ * Permitted dependencies: the oracle does not depend on the code that it judges, the simulated
+ * peers share no code with the sidecar, and no simulation run reads a real clock.
  */
 class PackagesTest {
   private static final JavaClasses CLASSES =
@@ -25,7 +25,7 @@
   };
 
   @Test
-  void theOracleSeesTheWorldsSideAlone() {
+  void oracleDependsOnNeitherSidecarNorSimulation() {
     noClasses()
         .that()
         .resideInAnyPackage("dillcross.emulator.oracle..")
@@ -42,17 +42,21 @@
         .check(CLASSES);
   }
 
+  /**
+   * Clients, endpoints and the discovery service read HTTP with code of their own; only what runs
+   * the sidecar itself, and the simulation that reads its usage, may depend on it.
+   */
   @Test
-  void theWorldReadsNothingOfTheSidecarsCodec() {
+  void simulatedPeersDoNotDependOnTheSidecar() {
     noClasses()
         .that()
-        .haveSimpleName("HttpStreamReader")
-        .or()
-        .haveSimpleName("EmulatedEndpoint")
-        .or()
-        .haveSimpleName("EmulatedClients")
-        .or()
-        .haveSimpleName("DiscoveryService")
+        .resideInAPackage("dillcross.emulator.simulation..")
+        .and()
+        .doNotHaveFullyQualifiedName("dillcross.emulator.simulation.SidecarProcess")
+        .and()
+        .doNotHaveFullyQualifiedName("dillcross.emulator.simulation.SidecarSettingValues")
+        .and()
+        .doNotHaveFullyQualifiedName("dillcross.emulator.simulation.Simulation")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(SIDECAR)
@@ -60,7 +64,7 @@
   }
 
   @Test
-  void onlyWhatCountsRealTimeReadsAClock() {
+  void onlySearchAndCommandsReadTheRealClock() {
     noClasses()
         .that()
         .resideOutsideOfPackages("dillcross.emulator.search..", "dillcross.emulator.cli..")
