--- /dev/null
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedListeningSocket.java
@@ -0,0 +1,80 @@
+package dillcross.emulator.network;
+
+import dillcross.net.transport.Network;
+import java.util.ArrayDeque;
+
+/** A listening socket; connections that arrive while it does not accept wait in its backlog. */
+final class EmulatedListeningSocket implements Network.ListeningSocket, VirtualNetwork.Entry {
+  private final EmulatedNetwork network;
+  private final String address;
+  private final Network.ConnectionAcceptor acceptor;
+  private final ArrayDeque<EmulatedSocket> backlog = new ArrayDeque<>();
+  private boolean isAccepting = true;
+  private boolean isOpen = true;
+
+  /** A socket for {@code ip:port}, which is not registered in the virtual network yet. */
+  EmulatedListeningSocket(
+      EmulatedNetwork network, String address, Network.ConnectionAcceptor acceptor) {
+    this.network = network;
+    this.address = address;
+    this.acceptor = acceptor;
+  }
+
+  @Override
+  public VirtualMachine host() {
+    return network.host();
+  }
+
+  @Override
+  public void connected(SocketEndpoint end) {
+    EmulatedSocket socket = EmulatedSocket.arriving(network, this, end);
+    backlog.add(socket);
+    if (isAccepting) {
+      network.markReady(socket);
+    }
+  }
+
+  @Override
+  public String address() {
+    return address;
+  }
+
+  @Override
+  public boolean isOpen() {
+    return isOpen;
+  }
+
+  boolean isAccepting() {
+    return isAccepting;
+  }
+
+  @Override
+  public void setAccepting(boolean isNowAccepting) {
+    isAccepting = isNowAccepting;
+    if (isNowAccepting) {
+      backlog.forEach(network::markReady);
+    }
+  }
+
+  /** Takes the connection out of the backlog. */
+  void removeFromBacklog(EmulatedSocket socket) {
+    backlog.remove(socket);
+  }
+
+  Network.ConnectionAcceptor acceptor() {
+    return acceptor;
+  }
+
+  @Override
+  public void close() {
+    while (isAccepting && !backlog.isEmpty()) {
+      EmulatedSocket socket = backlog.poll();
+      socket.accept();
+      network.markReady(socket);
+    }
+    isOpen = false;
+    network.stopListening(address);
+    backlog.forEach(EmulatedSocket::refuse);
+    backlog.clear();
+  }
+}
--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
@@ -1,139 +1,184 @@
 package dillcross.emulator.network;
 
+import dillcross.emulator.time.TimeUnits;
 import dillcross.emulator.time.VirtualClock;
 import dillcross.net.transport.Network;
-import dillcross.net.transport.TransportChannel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /**
- * What one sidecar's process stands on in place of sockets. Its one thread waits, as at a selector,
- * for what is ready or due, gathers it, makes a turn, and waits again; a turn takes time, in which
- * more becomes ready.
+ * The network interface of one sidecar process on the emulated network, with its event loop. The
+ * loop waits, as at a selector, for a socket that is ready or a time that is due, runs one
+ * iteration, and waits again. An iteration takes virtual time, in which more may become ready.
  */
 public final class EmulatedNetwork implements Network {
-  private static final int MOST_IDLE_TURNS = 20_000; // within a millisecond: it spins
+  /** More iterations than this within a millisecond mean that the loop spins. */
+  private static final int MAX_TURNS_PER_MILLI = 20_000;
 
-  private final VirtualClock time;
-  private final VirtualNetwork fabric;
+  private static final long NOT_SCHEDULED = Long.MAX_VALUE;
+
+  private final VirtualClock clock;
+  private final VirtualNetwork network;
   private final VirtualMachine host;
   private final String ip;
   private final long turnUs;
-  private final Runnable turned;
-  private final Set<Socket> ready = new LinkedHashSet<>();
+  private final Runnable onTurnEnd;
+  private final Set<EmulatedSocket> ready = new LinkedHashSet<>();
+  private final Set<EmulatedListeningSocket> listeningSockets = new LinkedHashSet<>();
   private EventLoopTask task;
-  private long sleeps; // number of the wait that is on; an older one's end is no longer of interest
-  private long wakesUs = Long.MAX_VALUE;
+  private long wakeUpNumber; // of the latest wake-up; earlier ones are void
+  private long wakeUpUs = NOT_SCHEDULED;
   private long busyUntilUs;
-  private boolean dead;
-  private boolean spins;
-  private long turnsMade;
-  private long turnsInMs;
-  private long msOfTurns;
-  private final Set<EmulatedListeningSocket> listeningSockets = new LinkedHashSet<>();
+  private boolean isDead;
+  private boolean isSpinning;
+  private long turnCount;
+  private long turnsInMilli;
+  private long milliOfTurns;
 
-  /** {@code turned} is called after each turn. */
+  /**
+   * The network of a process on that machine.
+   *
+   * @param ip the address of its listening sockets
+   * @param turnUs virtual time that an iteration takes, in µs
+   * @param onTurnEnd called after each iteration
+   */
   public EmulatedNetwork(
-      VirtualClock time,
-      VirtualNetwork fabric,
+      VirtualClock clock,
+      VirtualNetwork network,
       VirtualMachine host,
       String ip,
       long turnUs,
-      Runnable turned) {
-    this.time = time;
-    this.fabric = fabric;
+      Runnable onTurnEnd) {
+    this.clock = clock;
+    this.network = network;
     this.host = host;
     this.ip = ip;
     this.turnUs = turnUs;
-    this.turned = turned;
+    this.onTurnEnd = onTurnEnd;
   }
 
-  /** It makes turns without end while time stands still. */
+  /** Whether the event loop iterates without end while time stands still. */
   public boolean spins() {
-    return spins;
+    return isSpinning;
   }
 
+  /** Number of iterations so far. */
   public long turnsMade() {
-    return turnsMade;
+    return turnCount;
   }
 
-  /** The process makes no turn until then. */
+  /** Suspends the process until the given time in µs. */
   public void stall(long untilUs) {
     busyUntilUs = Math.max(busyUntilUs, untilUs);
   }
 
-  /** The process ends, by its own will or not. */
+  /** Ends the process; its machine closes its connections separately. */
   public void die() {
-    dead = true;
-    listeningSockets.forEach(listening -> fabric.unlisten(listening.address));
+    isDead = true;
+    listeningSockets.forEach(socket -> network.unlisten(socket.address()));
   }
 
+  // ---- Event loop
+
   @Override
   public void start(EventLoopTask newTask) {
     task = newTask;
-    wakeAt(time.now());
+    wakeUp();
   }
 
   @Override
   public void wakeUp() {
-    wakeAt(time.now());
+    wakeUpAt(clock.now());
+  }
+
+  private void wakeUpAt(long requestedUs) {
+    long atUs = Math.max(requestedUs, busyUntilUs);
+    if (isDead || task == null || atUs >= wakeUpUs) {
+      return;
+    }
+    wakeUpUs = atUs;
+    wakeUpNumber++;
+    long number = wakeUpNumber;
+    clock.at(
+        atUs,
+        () -> {
+          if (number == wakeUpNumber && !isDead) {
+            onWakeUp();
+          }
+        });
   }
 
-  private void wakeAt(long us) {
-    long atUs = Math.max(us, busyUntilUs);
-    if (!dead && task != null && atUs < wakesUs) {
-      wakesUs = atUs;
-      long number = ++sleeps;
-      time.at(
-          atUs,
-          () -> {
-            if (number == sleeps && !dead) {
-              wakesUs = Long.MAX_VALUE;
-              if (time.now() < busyUntilUs) {
-                wakeAt(busyUntilUs); // it was stalled meanwhile
-              } else {
-                round();
-              }
-            }
-          });
+  private void onWakeUp() {
+    wakeUpUs = NOT_SCHEDULED;
+    if (clock.now() < busyUntilUs) {
+      wakeUpAt(busyUntilUs); // suspended after the wake-up was scheduled
+    } else {
+      runTurn();
     }
   }
 
-  private void round() {
+  private void runTurn() {
     task.beforeEvents();
-    Socket[] now = ready.toArray(new Socket[0]);
+    EmulatedSocket[] readyNow = ready.toArray(new EmulatedSocket[0]);
     ready.clear();
-    for (Socket socket : now) {
-      socket.tell();
+    for (EmulatedSocket socket : readyNow) {
+      socket.dispatch();
     }
     task.afterEvents();
-    turnsMade++;
-    long ms = time.now() / 1000;
-    turnsInMs = ms == msOfTurns ? turnsInMs + 1 : 0;
-    msOfTurns = ms;
-    spins |= turnsInMs > MOST_IDLE_TURNS;
-    turned.run();
-    if (dead || spins) {
+    countTurn();
+    onTurnEnd.run();
+    if (isDead || isSpinning) {
       return;
     }
-    busyUntilUs = Math.max(busyUntilUs, time.now() + turnUs);
+    busyUntilUs = Math.max(busyUntilUs, clock.now() + turnUs);
     if (!ready.isEmpty()) {
-      wakeAt(time.now());
+      wakeUp();
     }
-    long us = task.maxWaitUs();
-    wakeAt(
-        us <= 0
-            ? time.now()
-            : time.now() + (us + 999) / 1000 * 1000); // a selector counts in milliseconds
+    wakeUpAt(clock.now() + selectTimeoutUs(task.maxWaitUs()));
+  }
+
+  private void countTurn() {
+    turnCount++;
+    long milli = clock.now() / TimeUnits.MICROS_PER_MILLI;
+    turnsInMilli = milli == milliOfTurns ? turnsInMilli + 1 : 0;
+    milliOfTurns = milli;
+    isSpinning |= turnsInMilli > MAX_TURNS_PER_MILLI;
+  }
+
+  /** A selector waits for whole milliseconds, rounded up here. */
+  private static long selectTimeoutUs(long maxWaitUs) {
+    if (maxWaitUs <= 0) {
+      return 0;
+    }
+    long millis = (maxWaitUs + TimeUnits.MICROS_PER_MILLI - 1) / TimeUnits.MICROS_PER_MILLI;
+    return millis * TimeUnits.MICROS_PER_MILLI;
+  }
+
+  /** Has the event loop dispatch the socket in its next iteration, and wakes it up. */
+  void markReady(EmulatedSocket socket) {
+    ready.add(socket);
+    wakeUp();
   }
 
-  private void mark(Socket socket) {
+  /** Has the next iteration dispatch the socket again, as a level-triggered selector does. */
+  void keepReady(EmulatedSocket socket) {
     ready.add(socket);
-    wakeAt(time.now());
+  }
+
+  // ---- Sockets
+
+  VirtualMachine host() {
+    return host;
+  }
+
+  SocketEndpoint connect(String address, SocketEndpoint.Owner owner) {
+    return network.connect(host, address, owner);
+  }
+
+  void stopListening(String address) {
+    network.unlisten(address);
   }
 
   @Override
@@ -142,13 +187,13 @@
   }
 
   /**
-   * Days of requests play no talk among sidecars; {@code dillcross.emulator.membership} carries
-   * datagrams between memberships.
+   * Always fails: simulation runs exchange no datagrams. {@code dillcross.emulator.membership}
+   * carries them between members.
    */
   @Override
   public DatagramTransport bindDatagrams(
       InetSocketAddress address, int maxBytes, DatagramHandler handler) throws IOException {
-    throw new IOException("no datagrams on the emulated wire");
+    throw new IOException("no datagrams on the emulated network");
   }
 
   @Override
@@ -157,240 +202,20 @@
   }
 
   @Override
-  public ListeningSocket bind(InetSocketAddress at, ConnectionAcceptor acceptor)
+  public ListeningSocket bind(InetSocketAddress address, ConnectionAcceptor acceptor)
       throws IOException {
-    EmulatedListeningSocket listening =
-        new EmulatedListeningSocket(ip + ":" + at.getPort(), acceptor);
-    if (!fabric.listen(listening.address, listening)) {
-      throw new IOException("Address already in use: " + listening.address);
+    EmulatedListeningSocket socket =
+        new EmulatedListeningSocket(this, ip + ":" + address.getPort(), acceptor);
+    if (!network.listen(socket.address(), socket)) {
+      throw new IOException("Address already in use: " + socket.address());
     }
-    listeningSockets.add(listening);
-    return listening;
+    listeningSockets.add(socket);
+    return socket;
   }
 
   @Override
-  public void connect(InetSocketAddress to, ConnectCallback callback) {
-    Socket socket = new Socket();
-    socket.callback = callback;
-    socket.end =
-        fabric.connect(host, to.getAddress().getHostAddress() + ":" + to.getPort(), socket);
-    socket.handler = callback.onOpening(socket);
-  }
-
-  /** A listening socket; what connects while it accepts nothing waits in its queue. */
-  private final class EmulatedListeningSocket implements ListeningSocket, VirtualNetwork.Entry {
-    private final String address;
-    private final ConnectionAcceptor acceptor;
-    private final ArrayDeque<Socket> queue = new ArrayDeque<>();
-    private boolean accepts = true;
-    private boolean open = true;
-
-    EmulatedListeningSocket(String address, ConnectionAcceptor acceptor) {
-      this.address = address;
-      this.acceptor = acceptor;
-    }
-
-    @Override
-    public VirtualMachine host() {
-      return host;
-    }
-
-    @Override
-    public void connected(SocketEndpoint end) {
-      Socket socket = new Socket();
-      socket.end = end;
-      socket.listening = this;
-      end.owner(socket);
-      queue.add(socket);
-      if (accepts) {
-        mark(socket);
-      }
-    }
-
-    @Override
-    public String address() {
-      return address;
-    }
-
-    @Override
-    public boolean isOpen() {
-      return open;
-    }
-
-    @Override
-    public void setAccepting(boolean now) {
-      accepts = now;
-      if (now) {
-        queue.forEach(EmulatedNetwork.this::mark);
-      }
-    }
-
-    @Override
-    public void close() {
-      for (Socket waits; accepts && (waits = queue.poll()) != null; ) {
-        waits.listening = null;
-        waits.handler = acceptor.onAccepted(waits);
-        mark(waits);
-      }
-      open = false;
-      fabric.unlisten(address);
-      queue.forEach(socket -> socket.end.breakOff());
-      queue.clear();
-    }
-  }
-
-  /** One connection of the process. */
-  private final class Socket implements TransportChannel, SocketEndpoint.Owner {
-    private SocketEndpoint end;
-    private ConnectionHandler handler;
-    private ConnectCallback callback; // until it is up
-    private EmulatedListeningSocket listening; // until it is accepted
-    private boolean cameUp;
-    private boolean failed;
-    private boolean isTaken;
-    private WriteCallback writing; // of the write that is on
-    private boolean tells = true;
-    private boolean again;
-    private boolean closed;
-
-    @Override
-    public void up(SocketEndpoint up) {
-      cameUp = true;
-      mark(this);
-    }
-
-    @Override
-    public void failed(SocketEndpoint dead) {
-      failed = true;
-      mark(this);
-    }
-
-    @Override
-    public void readable(SocketEndpoint from) {
-      if (tells && listening == null && callback == null) {
-        mark(this);
-      } else if (listening != null && listening.accepts) {
-        mark(this);
-      }
-    }
-
-    @Override
-    public void taken(SocketEndpoint by) {
-      isTaken = true;
-      mark(this);
-    }
-
-    /** Tells the process what has become ready. */
-    void tell() {
-      if (closed) {
-        return;
-      }
-      if (listening != null) {
-        if (!listening.accepts || !listening.open) {
-          return;
-        }
-        listening.queue.remove(this);
-        ConnectionAcceptor acceptor = listening.acceptor;
-        listening = null;
-        handler = acceptor.onAccepted(this);
-      }
-      if (callback != null) {
-        ConnectCallback by = callback;
-        if (failed) {
-          callback = null;
-          closed = true;
-          by.onConnectFailed();
-          return;
-        } else if (!cameUp) {
-          return;
-        }
-        callback = null;
-        by.onConnected();
-      }
-      if (isTaken && !closed) {
-        isTaken = false;
-        WriteCallback by = writing;
-        writing = null;
-        if (end.wasReset()) {
-          by.onWriteFailed();
-        } else {
-          by.onWritten();
-        }
-      }
-      boolean once = again;
-      again = false;
-      if (!closed && (once || (tells && end.hasNews()))) {
-        handler.onReadable();
-      }
-      if (!closed && tells && end.hasNews()) {
-        ready.add(this); // a selector tells of it until it is read
-      }
-    }
-
-    @Override
-    public int read(ByteBuffer into) throws IOException {
-      if (closed) {
-        throw new IOException("closed");
-      }
-      int got = end.read(into);
-      if (got == -2) {
-        throw new IOException("Connection reset");
-      }
-      return got;
-    }
-
-    @Override
-    public void write(ByteBuffer run, WriteCallback by) {
-      if (closed || end.wasReset()) {
-        by.onWriteFailed();
-        return;
-      }
-      writing = by;
-      if (!end.send(run)) {
-        writing = null;
-        by.onWritten();
-      }
-    }
-
-    @Override
-    public void setReadInterest(boolean now) {
-      tells = now;
-      if (now && !closed && end.hasNews()) {
-        mark(this);
-      }
-    }
-
-    @Override
-    public void scheduleRead() {
-      again = true;
-      mark(this);
-    }
-
-    @Override
-    public void shutdownOutput() {
-      end.endSending();
-    }
-
-    @Override
-    public void resetOnClose() {
-      end.cuts();
-    }
-
-    @Override
-    public boolean isOpen() {
-      return !closed;
-    }
-
-    @Override
-    public void close() {
-      if (!closed) {
-        closed = true;
-        boolean was = end.isUp() && callback == null && handler != null;
-        end.close();
-        if (was) {
-          handler.onClosed();
-        }
-      }
-    }
+  public void connect(InetSocketAddress address, ConnectCallback callback) {
+    String target = address.getAddress().getHostAddress() + ":" + address.getPort();
+    EmulatedSocket.connecting(this, target, callback);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
@@ -4,280 +4,338 @@
 import java.util.ArrayDeque;
 
 /**
- * One side of a connection: what has come and was not read, what was sent and not taken over.
- * Behaves as a TCP socket of a running system does, as far as a program above it can tell.
+ * One side of a connection, which behaves as a TCP socket does as far as the program above can
+ * tell: a bounded window, half close, and resets. Owned by the thread of the simulation run.
  */
 public final class SocketEndpoint {
-  /** Who is behind it; each call comes from an event of its own. */
+  /** Receives the events of one side of a connection, each from an event of the clock. */
   public interface Owner {
-    /** The connection that was asked for is up. */
+    /** The connection that this side asked for is up. */
     default void up(SocketEndpoint end) {
-      throw new IllegalStateException("it asked for nothing");
+      throw new IllegalStateException("this side did not connect");
     }
 
-    /** It can't be had. */
+    /** The connection that this side asked for was refused. */
     default void failed(SocketEndpoint end) {
-      // there is nobody, and nothing to do about it
+      // Ignored by owners that do not retry.
     }
 
-    /** There is something to read, or the end of it, or word of a reset. */
+    /** Bytes, the end of input or a reset can be read. */
     void readable(SocketEndpoint end);
 
-    /** All that was handed over is taken; who sends all at once never waits for it. */
+    /** All bytes of the latest {@link SocketEndpoint#send(ByteBuffer)} were sent or discarded. */
     default void taken(SocketEndpoint end) {
-      // it never waits
+      // Ignored by owners that send without flow control.
     }
   }
 
-  private static final int WINDOW = 256 << 10; // bytes on their way, or come and not read
-
-  private record Piece(byte[] bytes, long sentUs, Runnable read) {}
-
-  final VirtualNetwork fabric;
-  final VirtualMachine host;
-  final long line; // the same at both sides
-  final boolean requests; // this side connected
-  SocketEndpoint peer;
-  Owner owner;
-  long events; // of its that were carried
-  long lastArrivalUs; // what is sent later does not come earlier
-  private final ArrayDeque<Piece> come = new ArrayDeque<>();
-  private int taken; // bytes of the first of them that were read
-  private long unread;
-  private long lent; // bytes sent that the other side has not read
-  private ByteBuffer waits; // handed over and not sent yet
-  private boolean up;
-  private boolean open = true;
-  private boolean ended; // the other side's end has come
-  private boolean reset; // word has come that the connection is no more
-  private boolean endsSending;
-  private boolean cuts;
-  private boolean hard; // it was closed with a reset: its system sends nothing again
-  private long firstSentUs; // of the bytes that were read last
-
-  SocketEndpoint(VirtualNetwork fabric, VirtualMachine host, long line, boolean requests) {
-    this.fabric = fabric;
+  /** Result of {@link #read} at the end of input. */
+  public static final int END_OF_INPUT = -1;
+
+  /** Result of {@link #read} after a reset. */
+  public static final int RESET = -2;
+
+  private static final int WINDOW_BYTES = 256 << 10;
+
+  private record Piece(byte[] bytes, long sentUs, Runnable onRead) {}
+
+  private final VirtualNetwork network;
+  private final VirtualMachine host;
+  private final long connectionId;
+  private final boolean isInitiator;
+  private final ArrayDeque<Piece> received = new ArrayDeque<>();
+  private SocketEndpoint peer;
+  private Owner owner; // null until accepted
+  private long transmissionCount;
+  private long lastArrivalUs;
+  private int firstPieceReadBytes;
+  private long unreadBytes;
+  private long unacknowledgedBytes; // sent and not read by the peer
+  private ByteBuffer pendingOutput; // null if none waits for the window
+  private boolean isUp;
+  private boolean isOpen = true;
+  private boolean hasInputEnded;
+  private boolean isReset;
+  private boolean hasOutputEnded;
+  private boolean resetsOnClose;
+  private boolean wasClosedWithReset;
+  private long firstSentUs;
+
+  /** One side of the connection with that id, which both sides share. */
+  SocketEndpoint(
+      VirtualNetwork network, VirtualMachine host, long connectionId, boolean isInitiator) {
+    this.network = network;
     this.host = host;
-    this.line = line;
-    this.requests = requests;
+    this.connectionId = connectionId;
+    this.isInitiator = isInitiator;
   }
 
-  /** Who hears from it from now on. */
-  public void owner(Owner by) {
-    owner = by;
+  /** Sets who receives its events from now on. */
+  public void owner(Owner newOwner) {
+    owner = newOwner;
   }
 
+  Owner owner() {
+    return owner;
+  }
+
+  void peer(SocketEndpoint other) {
+    peer = other;
+  }
+
+  SocketEndpoint peer() {
+    return peer;
+  }
+
+  /** The machine on this side. */
   public VirtualMachine host() {
     return host;
   }
 
+  /** The machine on the other side. */
   public VirtualMachine other() {
     return peer.host;
   }
 
+  long connectionId() {
+    return connectionId;
+  }
+
+  /** Whether this side asked for the connection. */
+  boolean isInitiator() {
+    return isInitiator;
+  }
+
+  /** Number of this transmission from this side, from 0 on. */
+  long nextTransmissionNumber() {
+    long number = transmissionCount;
+    transmissionCount++;
+    return number;
+  }
+
+  /** Arrival of a transmission in order: not before any that was sent earlier. */
+  long arrivalInOrderUs(long earliestUs) {
+    lastArrivalUs = Math.max(lastArrivalUs, earliestUs);
+    return lastArrivalUs;
+  }
+
+  /** Whether this side has not closed it. */
   public boolean isOpen() {
-    return open;
+    return isOpen;
   }
 
+  /** Whether the connection has come up. */
   public boolean isUp() {
-    return up;
+    return isUp;
   }
 
+  /** Whether the other side has reset it. */
   public boolean wasReset() {
-    return reset;
+    return isReset;
   }
 
-  /** The other side has read nothing of what was sent last, so many bytes of it. */
-  public boolean unreadByPeer(long bytes) {
-    return lent >= bytes;
+  /** Whether the peer has read none of the last {@code byteCount} bytes sent. */
+  public boolean unreadByPeer(long byteCount) {
+    return unacknowledgedBytes >= byteCount;
   }
 
-  /** There is something that its owner can learn by reading. */
+  /** Whether bytes, the end of input or a reset can be read. */
   public boolean hasNews() {
-    return unread > 0 || ended || reset;
+    return unreadBytes > 0 || hasInputEnded || isReset;
   }
 
-  /** All that has come was read, and nothing more will. */
+  /** Whether everything was read and nothing more can arrive. */
   public boolean over() {
-    return reset || (ended && unread == 0);
+    return isReset || (hasInputEnded && unreadBytes == 0);
   }
 
-  /** When the first of the bytes was sent that the last read gave. */
+  /** When the first byte of the last read was sent, in µs. */
   public long firstSentUs() {
     return firstSentUs;
   }
 
+  // ---- Reading
+
   /**
-   * As a socket without waiting: a count, 0 for nothing now, -1 at the end, -2 where it was reset.
+   * Reads without waiting: the number of bytes, 0 if there are none at present, {@link
+   * #END_OF_INPUT} or {@link #RESET}.
    */
   public int read(ByteBuffer into) {
-    if (reset) {
-      return -2;
+    if (isReset) {
+      return RESET;
     }
-    int all = 0;
-    for (Piece first; into.hasRemaining() && (first = come.peekFirst()) != null; ) {
-      int count = Math.min(into.remaining(), first.bytes.length - taken);
-      into.put(first.bytes, taken, count);
-      firstSentUs = all == 0 ? first.sentUs : firstSentUs;
-      taken += count;
-      all += count;
-      if (taken == first.bytes.length) {
-        come.pollFirst();
-        taken = 0;
-        if (first.read != null) {
-          first.read.run();
+    int total = 0;
+    while (into.hasRemaining() && !received.isEmpty()) {
+      Piece first = received.peekFirst();
+      int count = Math.min(into.remaining(), first.bytes.length - firstPieceReadBytes);
+      into.put(first.bytes, firstPieceReadBytes, count);
+      firstSentUs = total == 0 ? first.sentUs : firstSentUs;
+      firstPieceReadBytes += count;
+      total += count;
+      if (firstPieceReadBytes == first.bytes.length) {
+        received.pollFirst();
+        firstPieceReadBytes = 0;
+        if (first.onRead != null) {
+          first.onRead.run();
         }
       }
     }
-    if (all > 0) {
-      unread -= all;
-      peer.gaveBack(all);
-      return all;
+    if (total > 0) {
+      unreadBytes -= total;
+      peer.onReadByPeer(total);
+      return total;
     }
-    return ended ? -1 : 0;
+    return hasInputEnded ? END_OF_INPUT : 0;
   }
 
-  /** Everything that has come. */
+  /** Reads all bytes that have arrived; empty if there are none. */
   public byte[] readAll() {
-    ByteBuffer into = ByteBuffer.allocate((int) unread);
-    int got = read(into);
-    return got > 0 ? into.array() : new byte[0];
-  }
-
-  private void gaveBack(long bytes) {
-    lent -= bytes;
-    if (waits != null) {
-      fabric.after(
-          this,
-          host,
-          peer.host,
-          () -> {
-            if (open && waits != null && !reset) {
-              sendWaiting();
-              if (waits == null) {
-                owner.taken(this);
-              }
-            }
-          });
+    ByteBuffer into = ByteBuffer.allocate((int) unreadBytes);
+    int count = read(into);
+    return count > 0 ? into.array() : new byte[0];
+  }
+
+  private void onReadByPeer(long byteCount) {
+    unacknowledgedBytes -= byteCount;
+    if (pendingOutput != null) {
+      network.after(this, host, peer.host, this::onWindowUpdate);
+    }
+  }
+
+  private void onWindowUpdate() {
+    if (isOpen && pendingOutput != null && !isReset) {
+      sendPending();
+      if (pendingOutput == null) {
+        owner.taken(this);
+      }
     }
   }
 
-  /** Hands bytes over; false where all of them are taken, true where its owner is told later. */
-  public boolean send(ByteBuffer run) {
-    waits = run;
-    sendWaiting();
-    return waits != null;
+  // ---- Sending
+
+  /** Sends within the window; true if bytes remain, and {@link Owner#taken} follows. */
+  public boolean send(ByteBuffer bytes) {
+    pendingOutput = bytes;
+    sendPending();
+    return pendingOutput != null;
   }
 
   /**
-   * Sends all of these, as one that never waits; {@code read} runs when the other side has read the
-   * last of them.
+   * Sends all bytes regardless of the window, or none if output has ended.
+   *
+   * @param onRead runs when the peer has read the last byte; null for nothing
    */
-  public void send(byte[] bytes, Runnable read) {
-    if (open && !reset && !endsSending) {
-      lent += bytes.length;
-      fabric.carry(this, bytes, read);
+  public void send(byte[] bytes, Runnable onRead) {
+    if (isOpen && !isReset && !hasOutputEnded) {
+      unacknowledgedBytes += bytes.length;
+      network.carry(this, bytes, onRead);
     }
   }
 
-  private void sendWaiting() {
-    int count = (int) Math.min(waits.remaining(), Math.max(0, WINDOW - lent));
+  private void sendPending() {
+    long windowBytes = Math.max(0, WINDOW_BYTES - unacknowledgedBytes);
+    int count = (int) Math.min(pendingOutput.remaining(), windowBytes);
     if (count > 0) {
       byte[] bytes = new byte[count];
-      waits.get(bytes);
-      lent += count;
-      fabric.carry(this, bytes, null);
+      pendingOutput.get(bytes);
+      unacknowledgedBytes += count;
+      network.carry(this, bytes, null);
     }
-    waits = waits.hasRemaining() ? waits : null;
+    pendingOutput = pendingOutput.hasRemaining() ? pendingOutput : null;
   }
 
+  /** Ends output; input goes on. */
   public void endSending() {
-    if (open && !endsSending) {
-      endsSending = true;
-      fabric.carryEnd(this);
+    if (isOpen && !hasOutputEnded) {
+      hasOutputEnded = true;
+      network.carryEnd(this);
     }
   }
 
-  boolean sendsNoMore() {
-    return hard;
+  // ---- Closing
+
+  /** Whether it was closed with a reset, so that its data is not retransmitted. */
+  boolean wasClosedWithReset() {
+    return wasClosedWithReset;
   }
 
-  public void cuts() {
-    cuts = true;
+  /** Makes {@link #close()} reset the connection. */
+  public void resetOnClose() {
+    resetsOnClose = true;
   }
 
   /**
-   * Closes it. Where something is unread here the other side hears the end, and then of a reset, as
-   * with real sockets.
+   * Closes it. With unread bytes here, the peer receives the end of input and then a reset, as with
+   * sockets of a running system.
    */
   public void close() {
-    boolean also = unread > 0 && !cuts && open;
-    close(cuts);
-    if (also) {
-      fabric.soon(() -> fabric.carryReset(this)); // a channel is only closed with the next select
+    boolean isResetToFollow = unreadBytes > 0 && !resetsOnClose && isOpen;
+    close(resetsOnClose);
+    if (isResetToFollow) {
+      network.afterNextSelect(() -> network.carryReset(this));
     }
   }
 
-  /** Ends it with a reset. */
+  /** Closes it with a reset. */
   public void breakOff() {
     close(true);
   }
 
-  private void close(boolean hard) {
-    if (open) {
-      open = false;
-      host.ends.remove(this);
-      come.clear();
-      waits = null;
-      this.hard = hard;
-      if (hard) {
-        fabric.carryReset(this);
-      } else if (!endsSending) {
-        fabric.carryEnd(this);
-      }
+  private void close(boolean withReset) {
+    if (!isOpen) {
+      return;
+    }
+    host.remove(this);
+    discard();
+    wasClosedWithReset = withReset;
+    if (withReset) {
+      network.carryReset(this);
+    } else if (!hasOutputEnded) {
+      network.carryEnd(this);
     }
   }
 
-  /** The process behind it is no more, and the machine it ran on says nothing of it. */
-  void vanish() {
-    open = false;
-    come.clear();
-    waits = null;
+  /** Drops it without a word to the peer, as a machine does that was turned off. */
+  void discard() {
+    isOpen = false;
+    received.clear();
+    pendingOutput = null;
   }
 
-  // ---- What the fabric brings
+  // ---- Calls from the network
 
-  void isUpNow() {
-    up = true;
+  void markUp() {
+    isUp = true;
   }
 
-  void arrive(byte[] bytes, long sentUs, Runnable read) {
-    if (!open) {
-      fabric.carryReset(this); // as a system answers for a socket that it no longer has
-    } else if (!reset) {
-      come.addLast(new Piece(bytes, sentUs, read));
-      unread += bytes.length;
+  void arrive(byte[] bytes, long sentUs, Runnable onRead) {
+    if (!isOpen) {
+      network.carryReset(this); // as a system answers for a socket that it no longer has
+    } else if (!isReset) {
+      received.addLast(new Piece(bytes, sentUs, onRead));
+      unreadBytes += bytes.length;
       owner.readable(this);
     }
   }
 
   void arriveEnd() {
-    if (open && !ended && owner != null) { // without one it was never accepted
-      ended = true;
+    if (isOpen && !hasInputEnded && owner != null) {
+      hasInputEnded = true;
       owner.readable(this);
     }
   }
 
   void arriveReset() {
-    if (open && !reset && owner != null) {
-      reset = true;
-      come.clear();
-      unread = 0;
-      owner.readable(this);
-      if (waits != null) {
-        waits = null;
-        owner.taken(this);
-      }
+    if (!isOpen || isReset || owner == null) {
+      return;
+    }
+    isReset = true;
+    received.clear();
+    unreadBytes = 0;
+    owner.readable(this);
+    if (pendingOutput != null) {
+      pendingOutput = null;
+      owner.taken(this);
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
@@ -2,305 +2,289 @@
 
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.time.VirtualClock;
-import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.zip.CRC32C;
 
 /**
- * The network between the hosts: delays by zone, zones cut off from each other, machines that say
- * nothing, what is sent in one piece coming in several. What is cut waits, as a system sends again
- * until it is answered.
+ * The emulated network between machines: delays by zone, cuts between zones, machines that are off,
+ * and data that arrives in several pieces. Data sent into a cut arrives after its end, as TCP
+ * retransmits it. Owned by the thread of the simulation run.
  */
 public final class VirtualNetwork {
-  /** Who accepts connections at an address. */
+  /** Accepts connections at an address. */
   public interface Entry {
+    /** The machine that the address belongs to. */
     VirtualMachine host();
 
-    /** The other side's connect has come; the end is up when this returns. */
+    /** A connection has arrived, which is up; sets its owner. */
     void connected(SocketEndpoint end);
   }
 
-  private final VirtualClock time;
+  private static final long SAME_MACHINE_DELAY_US = 15;
+
+  /** Time until the next select, at which a Java channel that was closed is closed for good. */
+  private static final long NEXT_SELECT_US = 50;
+
+  private static final int TRANSMISSION_NUMBER_SHIFT = 20;
+  private static final long HASH_PRIME = 31;
+  private static final long MIX_MULTIPLIER = 0xD6E8FEB86659FD93L;
+  private static final int MIX_SHIFT = 32;
+
+  private final VirtualClock clock;
   private final long seed;
-  private final long nearUs; // within a zone, one way
-  private final long farUs; // between zones
+  private final long sameZoneDelayUs;
+  private final long otherZoneDelayUs;
   private final long jitterUs;
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final Map<String, Integer> cuts =
-      new LinkedHashMap<>(); // by pair of zones, how many faults hold it
-  private final Map<String, Long> lags = new LinkedHashMap<>(); // by pair of zones
-  private final Map<String, List<Runnable>> held =
-      new LinkedHashMap<>(); // by pair of zones, what waits for its cut to end
-  private final CRC32C all = new CRC32C();
-  private final byte[] mark = new byte[20];
-  private int pieceBytes = Integer.MAX_VALUE;
-  private final Map<String, Long> lines =
-      new LinkedHashMap<>(); // how many, by who connects to whom
+  private final Map<String, Entry> entries = new LinkedHashMap<>(); // by address
+  private final ZoneLinks links = new ZoneLinks();
+  private final TrafficChecksum checksum = new TrafficChecksum();
+  private final Map<String, Long> connectionCounts = new LinkedHashMap<>(); // by route
+  private int maxPieceBytes = Integer.MAX_VALUE;
 
+  /**
+   * A network with the given one-way delays in µs, each with up to {@code jitterUs} more. Draws one
+   * value from {@code random}, at construction.
+   */
   public VirtualNetwork(
-      VirtualClock time, RandomStream random, long nearUs, long farUs, long jitterUs) {
-    this.time = time;
+      VirtualClock clock,
+      RandomStream random,
+      long sameZoneDelayUs,
+      long otherZoneDelayUs,
+      long jitterUs) {
+    this.clock = clock;
     seed = random.any();
-    this.nearUs = nearUs;
-    this.farUs = farUs;
+    this.sameZoneDelayUs = sameZoneDelayUs;
+    this.otherZoneDelayUs = otherZoneDelayUs;
     this.jitterUs = jitterUs;
   }
 
-  /**
-   * A sum over every byte that was carried, when and where: two days that differ anywhere differ
-   * here.
-   */
+  /** Checksum over every byte carried so far, when and where; equal for equal runs. */
   public long sum() {
-    return all.getValue();
+    return checksum.value();
   }
 
-  /** A machine that is not there: what is sent to it nobody answers. */
+  /** A machine that is off: connects to it neither succeed nor fail. */
   public static VirtualMachine nowhere() {
     VirtualMachine nowhere = new VirtualMachine("nowhere", "nowhere");
-    nowhere.isSilent = true;
+    nowhere.setSilent(true);
     return nowhere;
   }
 
   // ---- Addresses
 
+  /** Accepts connections at {@code ip:port}; false if the address is in use. */
   public boolean listen(String address, Entry entry) {
     return entries.putIfAbsent(address, entry) == null;
   }
 
+  /** Stops to accept connections at the address. */
   public void unlisten(String address) {
     entries.remove(address);
   }
 
   // ---- Faults
 
-  /** Zones that hear nothing of each other, once more or once less. */
-  public void cut(String a, String b, boolean now) {
-    String pair = pair(a, b);
-    int count = cuts.merge(pair, now ? 1 : -1, Integer::sum);
-    if (count == 0) {
-      cuts.remove(pair);
-      List<Runnable> waiting = held.remove(pair);
-      if (waiting != null) {
-        waiting.forEach(Runnable::run); // each takes its way anew
-      }
-    }
+  /** Starts or ends one cut between two zones; cuts may overlap. */
+  public void cut(String zone, String otherZone, boolean isStarting) {
+    links.cut(zone, otherZone, isStarting);
   }
 
-  /** More delay between two zones, or less. */
-  public void lag(String a, String b, long us) {
-    lags.merge(pair(a, b), us, Long::sum);
+  /** Adds delay in µs between two zones; a negative value takes it back. */
+  public void lag(String zone, String otherZone, long lagUs) {
+    links.addLag(zone, otherZone, lagUs);
   }
 
-  /** The most that comes in one piece. */
-  public void pieces(int bytes) {
-    pieceBytes = bytes;
+  /** Sets the largest piece in bytes in which data arrives. */
+  public void pieces(int maxBytes) {
+    maxPieceBytes = maxBytes;
   }
 
-  /** The process on a host ends: its connections are reset. */
+  /** Ends the process on a machine; its connections are reset. */
   public void kill(VirtualMachine host) {
-    for (SocketEndpoint end : List.copyOf(host.ends)) {
-      end.breakOff();
-    }
+    host.sockets().forEach(SocketEndpoint::breakOff);
   }
 
-  /**
-   * The process on a host ends, and its system closes its connections: what was sent still comes.
-   */
+  /** Ends the process on a machine; its connections are closed, and what was sent arrives. */
   public void end(VirtualMachine host) {
-    for (SocketEndpoint end : List.copyOf(host.ends)) {
-      end.close();
-    }
+    host.sockets().forEach(SocketEndpoint::close);
   }
 
-  /** The machine says nothing from now on. */
+  /** Turns the machine off. */
   public void vanish(VirtualMachine host) {
-    host.isSilent = true;
+    host.setSilent(true);
   }
 
-  /** It is back, with a new process that knows nothing of what was open. */
+  /** Turns the machine on, with no knowledge of connections that were open. */
   public void back(VirtualMachine host) {
-    host.ends.forEach(SocketEndpoint::vanish);
-    host.ends.clear();
-    host.isSilent = false;
-  }
-
-  private static String pair(String a, String b) {
-    return a.compareTo(b) <= 0 ? a + "|" + b : b + "|" + a;
+    host.discardSockets();
+    host.setSilent(false);
   }
 
-  // ---- Carrying
+  // ---- Transmission
 
   /**
-   * The spread of a delay is drawn from where in which line it is: a day without one of its
-   * troubles stays like itself.
+   * The jitter is a hash of the connection and the transmission's number on it, not a draw, so that
+   * leaving out one fault does not change unrelated delays.
    */
-  private long delayUs(SocketEndpoint end, VirtualMachine from, VirtualMachine to) {
-    long base = from.beside(to) ? 15 : from.zone.equals(to.zone) ? nearUs : farUs;
-    Long lag = lags.isEmpty() ? null : lags.get(pair(from.zone, to.zone));
-    return base
-        + (lag == null ? 0 : lag)
-        + (from.beside(to) || jitterUs == 0
-            ? 0
-            : Math.floorMod(
-                mix(seed ^ end.line * 2 + (end.requests ? 1 : 0) ^ end.events++ << 20),
-                jitterUs + 1));
+  private long delayUs(SocketEndpoint socket, VirtualMachine from, VirtualMachine to) {
+    long delayUs = baseDelayUs(from, to) + links.lagUs(from, to);
+    if (from.isSameMachine(to) || jitterUs == 0) {
+      return delayUs;
+    }
+    long direction = socket.connectionId() * 2 + (socket.isInitiator() ? 1 : 0);
+    long number = socket.nextTransmissionNumber() << TRANSMISSION_NUMBER_SHIFT;
+    return delayUs + Math.floorMod(mix(seed ^ direction ^ number), jitterUs + 1);
   }
 
-  private static long mix(long x) {
-    long a = (x ^ x >>> 32) * 0xD6E8FEB86659FD93L;
-    long b = (a ^ a >>> 32) * 0xD6E8FEB86659FD93L;
-    return b ^ b >>> 32;
+  private long baseDelayUs(VirtualMachine from, VirtualMachine to) {
+    if (from.isSameMachine(to)) {
+      return SAME_MACHINE_DELAY_US;
+    }
+    return from.zone().equals(to.zone()) ? sameZoneDelayUs : otherZoneDelayUs;
   }
 
-  void soon(Runnable what) {
-    time.after(50, what);
+  private static long mix(long value) {
+    long first = (value ^ value >>> MIX_SHIFT) * MIX_MULTIPLIER;
+    long second = (first ^ first >>> MIX_SHIFT) * MIX_MULTIPLIER;
+    return second ^ second >>> MIX_SHIFT;
   }
 
-  /** Has something done when word of it gets from one host to the other. */
-  void after(SocketEndpoint end, VirtualMachine from, VirtualMachine to, Runnable what) {
-    if (from.isSilent || to.isSilent) {
-      return; // nobody ever hears of it
+  void afterNextSelect(Runnable action) {
+    clock.after(NEXT_SELECT_US, action);
+  }
+
+  /** Runs the action when word of it has come from one machine to the other. */
+  void after(SocketEndpoint socket, VirtualMachine from, VirtualMachine to, Runnable action) {
+    if (from.isSilent() || to.isSilent()) {
+      return;
     }
-    if (!from.beside(to) && !cuts.isEmpty() && cuts.containsKey(pair(from.zone, to.zone))) {
-      held.computeIfAbsent(pair(from.zone, to.zone), p -> new ArrayList<>())
-          .add(() -> after(end, from, to, what));
+    if (links.isCut(from, to)) {
+      links.holdBack(from, to, () -> after(socket, from, to, action));
       return;
     }
-    time.after(
-        delayUs(end, from, to),
-        () -> {
-          if (!to.isSilent) {
-            what.run();
-          }
-        });
+    clock.after(delayUs(socket, from, to), () -> runUnlessSilent(to, action));
   }
 
   /**
-   * The same in the order in which an end sends; {@code data} is let go with a reset of that end
-   * while it waits for a cut.
+   * Runs the action after all earlier transmissions from that side have arrived. Data that a cut
+   * holds back is dropped if its side is closed with a reset meanwhile.
    */
-  private void inOrder(SocketEndpoint from, boolean data, Runnable what) {
-    SocketEndpoint to = from.peer;
-    if (from.host.isSilent || to.host.isSilent) {
+  private void transmitInOrder(SocketEndpoint from, boolean isData, Runnable action) {
+    VirtualMachine source = from.host();
+    VirtualMachine destination = from.peer().host();
+    if (source.isSilent() || destination.isSilent()) {
       return;
     }
-    if (!from.host.beside(to.host)
-        && !cuts.isEmpty()
-        && cuts.containsKey(pair(from.host.zone, to.host.zone))) {
-      held.computeIfAbsent(pair(from.host.zone, to.host.zone), p -> new ArrayList<>())
-          .add(
-              () -> {
-                if (!data || !from.sendsNoMore()) {
-                  inOrder(from, data, what);
-                }
-              });
+    if (links.isCut(source, destination)) {
+      links.holdBack(source, destination, () -> retransmit(from, isData, action));
       return;
     }
-    from.lastArrivalUs =
-        Math.max(from.lastArrivalUs, time.now() + delayUs(from, from.host, to.host));
-    time.at(
-        from.lastArrivalUs,
-        () -> {
-          if (!to.host.isSilent) {
-            what.run();
-          }
-        });
+    long arrivalUs = from.arrivalInOrderUs(clock.now() + delayUs(from, source, destination));
+    clock.at(arrivalUs, () -> runUnlessSilent(destination, action));
   }
 
-  void carry(SocketEndpoint from, byte[] bytes, Runnable read) {
-    long sentUs = time.now();
-    SocketEndpoint to = from.peer;
-    for (int at = 0; at < bytes.length; at += pieceBytes) {
-      int end = (int) Math.min(bytes.length, (long) at + pieceBytes);
-      byte[] piece =
-          at == 0 && end == bytes.length ? bytes : java.util.Arrays.copyOfRange(bytes, at, end);
-      inOrder(
-          from,
-          true,
-          () -> {
-            count(from, piece);
-            to.arrive(piece, sentUs, end == bytes.length ? read : null);
-          });
-      if (pieceBytes == Integer.MAX_VALUE) {
-        break;
-      }
+  private void retransmit(SocketEndpoint from, boolean isData, Runnable action) {
+    if (!isData || !from.wasClosedWithReset()) {
+      transmitInOrder(from, isData, action);
     }
   }
 
-  void carryEnd(SocketEndpoint from) {
-    inOrder(from, false, from.peer::arriveEnd);
+  private static void runUnlessSilent(VirtualMachine destination, Runnable action) {
+    if (!destination.isSilent()) {
+      action.run();
+    }
   }
 
-  void carryReset(SocketEndpoint from) {
-    inOrder(from, false, from.peer::arriveReset);
+  /** Carries data to the peer; {@code onRead} runs when the peer has read all of it. */
+  void carry(SocketEndpoint from, byte[] bytes, Runnable onRead) {
+    if (maxPieceBytes == Integer.MAX_VALUE && bytes.length > 0) {
+      carryPiece(from, bytes, onRead);
+      return;
+    }
+    for (int start = 0; start < bytes.length; start += maxPieceBytes) {
+      int end = (int) Math.min(bytes.length, (long) start + maxPieceBytes);
+      boolean isWhole = start == 0 && end == bytes.length;
+      byte[] piece = isWhole ? bytes : Arrays.copyOfRange(bytes, start, end);
+      carryPiece(from, piece, end == bytes.length ? onRead : null);
+    }
   }
 
-  private void count(SocketEndpoint from, byte[] bytes) {
-    long now = time.now();
-    for (int i = 0; i < 8; i++) {
-      mark[i] = (byte) (now >>> (8 * i));
-      mark[8 + i] = (byte) (from.line >>> (8 * i));
-    }
-    mark[16] = (byte) (from.requests ? 1 : 0);
-    all.update(mark, 0, 17);
-    all.update(bytes, 0, bytes.length);
+  private void carryPiece(SocketEndpoint from, byte[] piece, Runnable onRead) {
+    long sentUs = clock.now();
+    transmitInOrder(
+        from,
+        true,
+        () -> {
+          checksum.add(clock.now(), from, piece);
+          from.peer().arrive(piece, sentUs, onRead);
+        });
+  }
+
+  void carryEnd(SocketEndpoint from) {
+    transmitInOrder(from, false, from.peer()::arriveEnd);
+  }
+
+  void carryReset(SocketEndpoint from) {
+    transmitInOrder(from, false, from.peer()::arriveReset);
   }
 
   // ---- Connecting
 
   /**
-   * Begins to connect; the owner hears what becomes of it, or nothing where the other side says
-   * nothing.
+   * Connects to {@code ip:port}. The owner is told of the result, or of nothing if the machine at
+   * the address is off.
    */
   public SocketEndpoint connect(VirtualMachine from, String address, SocketEndpoint.Owner owner) {
-    String way = from.name + ">" + address;
-    long line = mix(way.hashCode() * 31L + lines.merge(way, 1L, Long::sum));
-    SocketEndpoint near = new SocketEndpoint(this, from, line, true);
-    near.owner = owner;
-    from.ends.add(near);
+    SocketEndpoint near = new SocketEndpoint(this, from, connectionId(from, address), true);
+    near.owner(owner);
+    from.add(near);
     Entry entry = entries.get(address);
     VirtualMachine to = entry == null ? null : entry.host();
-    if (to == null) { // the machine answers for the process that is not there
-      time.after(from.zone.isEmpty() ? nearUs : 2 * nearUs, () -> refuse(near));
-      near.peer = new SocketEndpoint(this, from, near.line, false);
+    SocketEndpoint far =
+        new SocketEndpoint(this, to == null ? from : to, near.connectionId(), false);
+    near.peer(far);
+    if (to == null) {
+      // The machine is on and refuses for the process that is not there.
+      clock.after(
+          from.zone().isEmpty() ? sameZoneDelayUs : 2 * sameZoneDelayUs, () -> refuse(near));
       return near;
     }
-    SocketEndpoint far = new SocketEndpoint(this, to, near.line, false);
-    near.peer = far;
-    far.peer = near;
-    inOrder(
-        near,
-        true,
-        () -> { // a close that follows must not overtake it
-          Entry now = entries.get(address);
-          if (now == null || now.host() != to) {
-            after(near, to, from, () -> refuse(near));
-            return;
-          }
-          to.ends.add(far);
-          far.isUpNow();
-          after(
-              near,
-              to,
-              from,
-              () -> {
-                if (near.isOpen()) {
-                  near.isUpNow();
-                  near.owner.up(near);
-                }
-              });
-          now.connected(far);
-        });
+    far.peer(near);
+    transmitInOrder(near, true, () -> arriveConnect(near, address));
     return near;
   }
 
+  private long connectionId(VirtualMachine from, String address) {
+    String route = from.name() + ">" + address;
+    return mix(route.hashCode() * HASH_PRIME + connectionCounts.merge(route, 1L, Long::sum));
+  }
+
+  private void arriveConnect(SocketEndpoint near, String address) {
+    SocketEndpoint far = near.peer();
+    Entry entry = entries.get(address);
+    if (entry == null || entry.host() != far.host()) {
+      after(near, far.host(), near.host(), () -> refuse(near));
+      return;
+    }
+    far.host().add(far);
+    far.markUp();
+    after(near, far.host(), near.host(), () -> arriveAccept(near));
+    entry.connected(far);
+  }
+
+  private static void arriveAccept(SocketEndpoint near) {
+    if (near.isOpen()) {
+      near.markUp();
+      near.owner().up(near);
+    }
+  }
+
   private static void refuse(SocketEndpoint near) {
     if (near.isOpen() && !near.isUp()) {
-      near.owner.failed(near);
-      near.vanish();
-      near.host.ends.remove(near);
+      near.owner().failed(near);
+      near.discard();
+      near.host().remove(near);
     }
   }
 }
