--- a/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
+++ b/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
@@ -6,12 +6,15 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One stream of chance. Each part of the world, and each fault, has a stream of its own, named and
- * not numbered: what one draws, and whether it is there at all, shifts nothing of what another
- * draws.
+ * A stream of random numbers, determined by the seed of a run and the stream's name. Each part of a
+ * run and each fault draws from a stream of its own, so that the draws of one do not shift those of
+ * another. Not safe for use by several threads.
  */
 public final class RandomStream {
-  private static final long MIX = 0x9E3779B97F4A7C15L;
+  private static final long MIX_MULTIPLIER = 0x9E3779B97F4A7C15L;
+  private static final int MIX_SHIFT = 29;
+  private static final long NAME_HASH_START = 1125899906842597L;
+
   private final long seed;
   private final String path;
   private final UniformRandomProvider draws;
@@ -19,44 +22,57 @@
   private RandomStream(long seed, String path) {
     this.seed = seed;
     this.path = path;
-    long name = 1125899906842597L;
+    long nameHash = hash(path);
+    long[] state = {seed, nameHash, seed * MIX_MULTIPLIER + nameHash, ~nameHash};
+    draws = RandomSource.L64_X128_MIX.create(state);
+  }
+
+  private static long hash(String path) {
+    long hash = NAME_HASH_START;
     for (int i = 0; i < path.length(); i++) {
-      name = (name ^ path.charAt(i)) * MIX;
-      name ^= name >>> 29;
+      hash = (hash ^ path.charAt(i)) * MIX_MULTIPLIER;
+      hash ^= hash >>> MIX_SHIFT;
     }
-    draws = RandomSource.L64_X128_MIX.create(new long[] {seed, name, seed * MIX + name, ~name});
+    return hash;
   }
 
+  /** The root stream of a run with that seed. */
   public static RandomStream of(long seed) {
     return new RandomStream(seed, "");
   }
 
   /**
-   * The stream of that name below this one; the same for the same seed, whatever was drawn before.
+   * The stream with that name below this one, from its start. It depends on the seed and the names
+   * only, not on what was drawn before.
    */
   public RandomStream named(String name) {
     return new RandomStream(seed, path + "/" + name);
   }
 
-  public boolean happens(double share) {
-    return share > 0 && draws.nextDouble() < share;
+  /** True with the given probability; draws nothing if that is 0. */
+  public boolean happens(double probability) {
+    return probability > 0 && draws.nextDouble() < probability;
   }
 
-  /** Evenly from a range, its ends included. */
+  /** Uniform over a range including both ends; draws nothing if it has one value. */
   public long between(long min, long max) {
     return max <= min ? min : min + draws.nextLong(max - min + 1);
   }
 
+  /** Uniform over a range without its upper end. */
   public double between(double min, double max) {
     return min + (max - min) * draws.nextDouble();
   }
 
-  /** Of a mean, with the spread of independent arrivals. */
+  /** Exponential with the given mean; 0 without a draw if the mean is not positive. */
   public double exponential(double mean) {
     return mean <= 0 ? 0 : ZigguratSampler.Exponential.of(draws, mean).sample();
   }
 
-  /** Of a mean; the spread is that of the logarithm, 0 for none. */
+  /**
+   * Log-normal with the given mean; {@code spread} is the standard deviation of the logarithm. The
+   * mean without a draw if it is 0.
+   */
   public double logNormal(double mean, double spread) {
     if (spread <= 0) {
       return mean;
@@ -65,10 +81,12 @@
     return mean * Math.exp(spread * normal - spread * spread / 2);
   }
 
-  public <T> T oneOf(List<T> all) {
-    return all.get(draws.nextInt(all.size()));
+  /** One of the elements, each with the same probability. */
+  public <T> T oneOf(List<T> elements) {
+    return elements.get(draws.nextInt(elements.size()));
   }
 
+  /** Any long, uniformly; for instance the seed of something else. */
   public long any() {
     return draws.nextLong();
   }
--- a/emulator/src/main/java/dillcross/emulator/time/VirtualClock.java
+++ b/emulator/src/main/java/dillcross/emulator/time/VirtualClock.java
@@ -3,45 +3,57 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: whole microseconds, and what is to happen when. What is due together happens in the
- * order of asking.
+ * Virtual time in whole µs, and the events scheduled on it. Events due at the same time run in the
+ * order in which they were scheduled. Not safe for use by several threads.
  */
 public final class VirtualClock {
-  private record Event(long atUs, long order, Runnable what) implements Comparable<Event> {
+  private record Event(long atUs, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
     }
   }
 
-  private final PriorityQueue<Event> events = new PriorityQueue<>(1024);
+  private static final int INITIAL_CAPACITY = 1024;
+
+  private final PriorityQueue<Event> events = new PriorityQueue<>(INITIAL_CAPACITY);
   private long nowUs;
-  private long order;
-  private long steps;
+  private long scheduledCount;
+  private long stepCount;
 
+  /** A clock that shows the given time in µs and has no events. */
   public VirtualClock(long startUs) {
     nowUs = startUs;
   }
 
+  /** The time in µs. */
   public long now() {
     return nowUs;
   }
 
-  /** How many events have happened. */
+  /** Number of events that have run. */
   public long steps() {
-    return steps;
+    return stepCount;
   }
 
-  /** What was due already happens now, after all that is due now and was asked for before. */
-  public void at(long us, Runnable what) {
-    events.add(new Event(Math.max(us, nowUs), order++, what));
+  /**
+   * Runs the action at the given time in µs. A time in the past means now, after all events that
+   * are already scheduled for now.
+   */
+  public void at(long atUs, Runnable action) {
+    events.add(new Event(Math.max(atUs, nowUs), scheduledCount, action));
+    scheduledCount++;
   }
 
-  public void after(long us, Runnable what) {
-    at(nowUs + Math.max(0, us), what);
+  /** Runs the action after the delay in µs; a negative delay means 0. */
+  public void after(long delayUs, Runnable action) {
+    at(nowUs + Math.max(0, delayUs), action);
   }
 
-  /** The next event; false where there is none up to that time, which then is the time. */
+  /**
+   * Advances to the next event and runs it. If none is due up to {@code untilUs}, advances to that
+   * time and returns false.
+   */
   public boolean step(long untilUs) {
     Event next = events.peek();
     if (next == null || next.atUs > untilUs) {
@@ -50,8 +62,8 @@
     }
     events.poll();
     nowUs = next.atUs;
-    steps++;
-    next.what.run();
+    stepCount++;
+    next.action.run();
     return true;
   }
 }
