--- a/emulator/src/test/java/dillcross/emulator/PackagesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PackagesTest.java
@@ -21,7 +21,8 @@
     "dillcross.model..",
     "dillcross.sidecar..",
     "dillcross.net..",
-    "dillcross.config.."
+    "dillcross.config..",
+    "dillcross.endpointlist.."
   };
 
   @Test
