--- a/sidecar/src/main/java/dillcross/net/SidecarServer.java
+++ b/sidecar/src/main/java/dillcross/net/SidecarServer.java
@@ -30,9 +30,13 @@
  */
 public final class SidecarServer implements Network.EventLoopTask {
   private static final Logger LOG = Logger.getLogger(SidecarServer.class.getName());
-  private static final long FIRST_LIST_US = 3_000_000; // that a start may wait for its first list
+  private static final long FIRST_LIST_US = 3_000_000; // the longest wait for the first list
   private static final int MAX_LOGGED_FAILURES = 20;
   private static final int RESERVED_DESCRIPTORS = 48; // files, selector, sockets, and what closes
+  private static final int DESCRIPTOR_SHARES = 3;
+  private static final int CLIENT_SHARES = 2;
+  private static final int KEEP_ALIVE_MARGIN_DIVISOR = 10;
+  private static final int MICROS_PER_MILLI = 1000;
   private static final long MIN_DISCOVERY_CONNECT_US = 1_000_000;
   private static final long EXPIRY_INTERVAL_US = 200_000;
   private static final long STOPPING_INTERVAL_US = 5_000;
@@ -83,10 +87,10 @@
     now = clock.getAsLong();
     startedUs = now;
     budget = new MemoryBudget(limits.bufferBytes());
-    // Clients need more: some come once and stay, some say nothing; a connection to an endpoint
-    // serves one request after another.
-    int third = (limits.maxDescriptors() - RESERVED_DESCRIPTORS) / 3;
-    clients = new ClientConnections(this::now, 2 * third);
+    // Clients get two of three shares of the descriptors, endpoints one: clients' connections may
+    // be idle, whereas those to endpoints are reused for one request after another.
+    int share = (limits.maxDescriptors() - RESERVED_DESCRIPTORS) / DESCRIPTOR_SHARES;
+    clients = new ClientConnections(this::now, CLIENT_SHARES * share);
     listener =
         new ClientListener(
             coordinator, lifecycle, this::now, clients, limits.maxBodyBytes(), budget);
@@ -96,7 +100,7 @@
             network,
             coordinator,
             this::now,
-            new EndpointConnectionPool(this::now, third),
+            new EndpointConnectionPool(this::now, share),
             limits.maxBodyBytes(),
             budget,
             this::readPending);
@@ -127,9 +131,10 @@
     long timeoutUs = settings.maxTimeoutUs();
     maxTimeoutUs = Math.max(maxTimeoutUs, timeoutUs);
     listener.configure(settings.balancer().requestClasses(), timeoutUs);
-    // Idle connections close a tenth early: the endpoint's clock began before ours.
+    // Idle connections close early, because the endpoint started to time them earlier.
     long keepAliveUs = settings.keepAliveUs();
-    attempts.configure(settings.connectTimeoutUs(), keepAliveUs - keepAliveUs / 10);
+    attempts.configure(
+        settings.connectTimeoutUs(), keepAliveUs - keepAliveUs / KEEP_ALIVE_MARGIN_DIVISOR);
     discovery.configure(Math.max(settings.connectTimeoutUs(), MIN_DISCOVERY_CONNECT_US));
   }
 
@@ -181,12 +186,11 @@
     runBetweenIterations(this::markReady);
   }
 
-  /** A change that may fail. */
   private interface FallibleChange {
     void make() throws IOException;
   }
 
-  /** Not made once it is to stop: nobody would answer what is accepted then. */
+  /** Makes a change that may fail, unless shutdown has begun. */
   private void makeChange(FallibleChange change) throws IOException, InterruptedException {
     AtomicReference<IOException> failure = new AtomicReference<>();
     runBetweenIterations(
@@ -239,8 +243,8 @@
   /** Reports itself as ready; between two iterations. */
   public void markReady() {
     lifecycle.markReady(now);
-    if (lifecycle.isReady()) { // it was not told to stop meanwhile
-      long elapsedMs = (now - startedUs) / 1000;
+    if (lifecycle.isReady()) { // it may be stopping meanwhile
+      long elapsedMs = (now - startedUs) / MICROS_PER_MILLI;
       LOG.info(() -> "ready on " + listeningSocket.address() + " after " + elapsedMs + " ms");
     }
   }
--- a/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
+++ b/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
@@ -1,11 +1,12 @@
 package dillcross.net.admin;
 
 /**
- * Where this process stands, in one place: health, admin endpoint, listener and SIGTERM read it
- * here and keep no flags of their own. Belongs to the selector thread.
+ * The stage of this process: starting, serving, draining or stopping. Health check, admin endpoint,
+ * listener and shutdown all read it here. Times are in microseconds. Belongs to the selector
+ * thread.
  */
 public final class Lifecycle {
-  // After a drain began: the front has seen the health check fail, busy clients have come back.
+  // From the start of a drain until idle connections close: clients' health checks have failed.
   private static final long DRAIN_NOTICE_US = 1_500_000;
   // After SIGTERM: it must leave the longest deadline for what arrives until then.
   private static final long SHUTDOWN_NOTICE_US = 450_000;
@@ -66,7 +67,7 @@
     return stage == Stage.SERVING;
   }
 
-  /** Whether this process can serve: what operators are told. */
+  /** Whether this process can serve: what the admin endpoint reports as ready. */
   public boolean isReady() {
     return stage == Stage.SERVING || stage == Stage.DRAINING;
   }
--- a/sidecar/src/main/java/dillcross/net/buffer/RingBuffer.java
+++ b/sidecar/src/main/java/dillcross/net/buffer/RingBuffer.java
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Gives its memory back for good: what is still put in must not take memory again, as nobody
-   * would give that back.
+   * Returns its memory to the budget for good. What is added later takes none, because it would
+   * never be returned.
    */
   public void release() {
     shrink();
--- a/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -14,13 +14,15 @@
  * accepting. Belongs to the selector thread.
  */
 public final class ClientConnections {
-  /** At the limit: that a client has to come back with the next request. */
+  /** At the limit: how long a client may wait before it sends the next request. */
   static final long RECENT_US = 2_000_000;
 
-  /** At the limit: that a new client has to send its first byte. */
+  /** At the limit: how long a new client may wait before it sends its first byte. */
   static final long FIRST_BYTE_US = 200_000;
 
   private static final long PARTIAL_REQUEST_US = 1_000_000; // at the limit: for all of its request
+  private static final int CROWDED_NUMERATOR = 3; // the share of the limit that counts as crowded
+  private static final int CROWDED_DENOMINATOR = 8;
   private static final long LOG_INTERVAL_US = 10_000_000;
   private static final Logger LOG = Logger.getLogger(ClientConnections.class.getName());
 
@@ -55,7 +57,7 @@
     connections.remove(connection);
   }
 
-  /** From now on it carries nothing: it goes to the end of those that wait to be closed. */
+  /** Notes that the connection carries nothing from now on; it moves to the end of the order. */
   void markIdle(Connection connection) {
     connection.activity().markIdle(clock.getAsLong());
     connections.remove(connection);
@@ -63,9 +65,9 @@
   }
 
   /**
-   * Closes one with no open request: one that sent nothing, or half a request, and had the time to,
-   * or that brought none of late; or else the one that brought at most one and none for the
-   * longest. Who came back again and again comes last.
+   * Closes one connection without an open request. Prefers one that has been idle for longer than
+   * {@link #allowedIdleUs}; then the longest idle one with at most one request so far; then the
+   * longest idle of all. Returns whether one was closed.
    */
   private boolean closeOneExcept(Connection newest) {
     Connection candidate = null;
@@ -97,8 +99,8 @@
   }
 
   /**
-   * Closes what seems to carry nothing; but for a request that has arrived and is not read yet,
-   * which would be lost. Whether it was closed.
+   * Closes a connection unless a request has arrived that is not read yet and would be lost.
+   * Returns whether it was closed.
    */
   static boolean closeIfIdle(Connection connection) {
     if (connection.hasUnreadInput()) {
@@ -110,11 +112,11 @@
   }
 
   /**
-   * Whether a good part of the limit is used up: clients may have a limit of their own, and reach
-   * it before we do.
+   * Whether a large share of the limit is in use. Below the limit itself, because clients may have
+   * a limit of their own and reach it earlier.
    */
   boolean isCrowded() {
-    return connections.size() > maxConnections * 3 / 8;
+    return connections.size() > maxConnections * CROWDED_NUMERATOR / CROWDED_DENOMINATOR;
   }
 
   private void pauseAccepting() {
@@ -148,12 +150,17 @@
   private void logLimit() {
     if (clock.getAsLong() - loggedUs > LOG_INTERVAL_US) { // not for each client of a crowd
       loggedUs = clock.getAsLong();
-      LOG.warning("limit of client connections reached, all with open requests; new ones wait");
+      LOG.warning(
+          () ->
+              "limit of "
+                  + maxConnections
+                  + " client connections reached, all with open requests; new ones wait");
     }
   }
 
   /**
-   * Where another process accepts from the socket too, what is in its queue is left to that one.
+   * Stops accepting for good. A socket that another process accepts from too stays open, so that
+   * what is in its queue is left to that process.
    */
   public void stopAccepting(boolean isShared) {
     if (listeningSocket == null) {
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -26,7 +26,10 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** The clients' side: takes their requests and sends them responses. On the selector thread. */
+/**
+ * Accepts clients' connections, reads and validates their requests, and sends them responses.
+ * Belongs to the selector thread.
+ */
 public final class ClientListener implements MessageHandler, Network.ConnectionAcceptor {
   private static final long LINGER_US = 500_000; // for the client to read a last response and close
   private static final long TRANSFER_US = 2_000_000; // for a first byte, or for a response's bytes
@@ -186,7 +189,7 @@
 
   // Responses
 
-  /** A bad request is answered, its connection closed, and nothing goes further. */
+  /** Answers a bad request and closes its connection. */
   private void rejectAndClose(Connection connection, HttpResponse response) {
     connection.discardRest();
     connections.markIdle(connection);
@@ -216,8 +219,9 @@
   }
 
   /**
-   * A client that comes once and stays would hold its place for good; told so with the response, no
-   * next request crosses the close.
+   * Whether the connection closes after its response. While connections are scarce, those of
+   * clients that sent one request only do; the response announces it, so that no next request
+   * crosses the close.
    */
   private boolean closesAfter(Connection connection, HttpRequest request) {
     boolean isLeastUsed = connections.isCrowded() && connection.activity().requestCount() <= 1;
@@ -250,7 +254,7 @@
     return head.remainingBytes() == HttpMessage.UNKNOWN;
   }
 
-  /** A streamed response has come to its end, or broke off, which the client is to see. */
+  /** Ends a streamed response; one that broke off is cut so that the client sees it. */
   public void finishStreaming(Caller caller, boolean complete) {
     Connection connection = caller.connection();
     connection.endExchange();
@@ -304,7 +308,7 @@
     }
   }
 
-  /** A request with a large body either way: neither may stand still for good. */
+  /** Ends an exchange whose large request or response body has stalled. */
   private void expireStreaming(
       Connection connection, PendingRequest pending, long nowUs, long stillUs) {
     boolean isBodyIncomplete = connection.parser().isStreaming();
--- a/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
+++ b/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
@@ -55,7 +55,7 @@
       return Optional.of(HeaderNames.IDEMPOTENCY_KEY + " is missing or malformed");
     }
     if (openIds.contains(id)) {
-      // Responses to two open requests of one id could not be told apart.
+      // Responses to two open requests of one id would be indistinguishable.
       return Optional.of(HeaderNames.REQUEST_ID + " is that of a request that is open");
     }
     return Optional.empty();
--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -17,9 +17,10 @@
  * accepted it. Belongs to the selector thread.
  */
 public final class Connection implements Network.ConnectionHandler, TransportChannel.WriteCallback {
-  private static final int MAX_DISCARDED_BYTES = 1 << 20; // that follow a last response
+  private static final int MAX_DISCARDED_BYTES = 1 << 20; // after the last response
   private static final int MAX_PIPELINED_BYTES = 512 << 10; // held behind an open request
-  private static final ByteBuffer DISCARDED = ByteBuffer.allocate(32 << 10); // nobody reads it
+  private static final ByteBuffer DISCARDED =
+      ByteBuffer.allocate(32 << 10); // its content is unused
 
   private final TransportChannel channel;
   private final MessageHandler handler;
@@ -189,8 +190,8 @@
   }
 
   /**
-   * How much may be buffered. Behind an open request more than one message may: that a client has
-   * gone is seen only once all that it sent before is read.
+   * How many bytes may be buffered. Behind an open request more than one message, because a
+   * client's disconnect is seen only once all that it sent before is read.
    */
   private int window() {
     boolean isStreaming = parser.isStreaming();
@@ -206,14 +207,16 @@
     return in.isFull() || in.size() >= window();
   }
 
-  /** Whether something has arrived that nobody has read: an idle connection must not close then. */
+  /** Reads what has arrived, and returns whether there was any: a request must not be lost. */
   public boolean hasUnreadInput() {
     int before = in.size();
     fill();
     return in.size() > before;
   }
 
-  /** Whether an idle connection may carry a message: what arrived meanwhile belongs to nobody. */
+  /**
+   * Whether an idle connection can carry the next message: open, and nothing unsolicited arrived.
+   */
   public boolean isReusable() {
     if (!isOpen() || hasInputEnded) {
       return false;
@@ -228,8 +231,9 @@
   }
 
   /**
-   * Reads on after a last response, so that no reset overtakes it, but not for ever: who has 60 MB
-   * to send would take the time of the others.
+   * Reads and discards what follows the last response, because closing with unread input would
+   * reset the connection and destroy the response. Limited, so that a large upload does not take
+   * the thread's time.
    *
    * @return whether no more is to be read
    */
@@ -241,12 +245,11 @@
     return got < 0 || (isClosing && discardedBytes > maxDiscardedBytes);
   }
 
-  /** Stops reading while what has arrived can't go on, or each select would report it again. */
+  /** Stops reading while the buffer is full, so that the selector does not report it again. */
   public void pauseIfFull() {
     boolean isBehindRequest = isServerSide && exchange != null && !parser.isStreaming();
     if (isBehindRequest && in.size() >= MAX_PIPELINED_BYTES) {
-      // No more is taken: only the end is still looked for, or the request of a client that sends
-      // without end and goes would be sent on long after. It closes with its response.
+      // Discards what follows, but reads on to see a disconnect; closes with the response.
       hasOverrun = true;
       in.clear();
     }
@@ -278,7 +281,7 @@
     return isPaused;
   }
 
-  /** Has what was left in the buffer read, within the next events. */
+  /** Has what is left in the buffer read with the next events. */
   public void scheduleRead() {
     try {
       channel.scheduleRead();
@@ -292,7 +295,7 @@
     return in.size() > 0 || parser.isInMessage();
   }
 
-  /** Its message was answered before it was complete: what still arrives is discarded. */
+  /** Discards what still arrives of a message that was answered before it was complete. */
   public void discardRest(long maxBytes) {
     maxDiscardedBytes = maxBytes;
     isClosing = true;
@@ -379,7 +382,7 @@
     }
   }
 
-  /** The other side then closes; closing at once could destroy what it has not read yet. */
+  /** The peer then closes; closing at once could destroy what it has not read yet. */
   private void shutdownOutput() {
     try {
       channel.shutdownOutput();
@@ -388,7 +391,7 @@
     }
   }
 
-  /** Closes it so that the other side can't take what arrived for the complete message. */
+  /** Closes it with a reset, so that the peer can't mistake a cut message for a complete one. */
   public void reset() {
     try {
       channel.resetOnClose();
@@ -403,7 +406,7 @@
     channel.close();
   }
 
-  /** After its close was reported to all: its memory goes to others. */
+  /** Returns its buffers' memory, after its close was reported. */
   public void releaseBuffers() {
     in.release();
     out.release();
--- a/sidecar/src/main/java/dillcross/net/connection/ConnectionActivity.java
+++ b/sidecar/src/main/java/dillcross/net/connection/ConnectionActivity.java
@@ -14,7 +14,9 @@
 
   ConnectionActivity() {}
 
-  /** Notes that the connection carries nothing from now on; the next message is timed anew. */
+  /**
+   * Notes that the connection carries nothing from now on; resets the time of a partial message.
+   */
   public void markIdle(long nowUs) {
     idleSinceUs = nowUs;
     partialSinceUs = 0;
--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -23,21 +23,21 @@
 import java.util.logging.Logger;
 
 /**
- * Watches the endpoint list on a connection that is kept open; {@link WatchTimings} says when. It
- * owns the deadline for updates; backoffs after a failure are drawn by the load balancer. On the
- * selector thread.
+ * Watches the endpoint list on a persistent connection. Owns the deadline for updates, see {@link
+ * WatchTimings}; the load balancer draws the backoff after a failure. Belongs to the selector
+ * thread.
  *
- * <p>A call that has to wait may only be slow (discovery works through a fleet's calls in turn, and
- * who gives up goes to the end of the queue): so it is left open beside the next, and what answers
- * first counts. Costs where discovery is overloaded for longer: it then has two calls of each
- * sidecar.
+ * <p>A call that gets no response in time stays open beside the next one, and the first response
+ * counts: discovery may be overloaded, and a repeated call would lose its place in the queue. The
+ * price is up to two calls of each sidecar in that queue.
  *
- * <p>When discovery moves, the watch at the address before goes on until the new one has answered:
- * a fleet that moves at once has to wait there. Costs where the old address is wrong: it is
- * believed for as long.
+ * <p>When discovery moves, the watch at the former address goes on until the new address has
+ * answered, because the new address may be overloaded by a fleet that moves at once. The price is
+ * that updates of a wrong former address are applied for as long.
  */
 public final class DiscoveryClient implements MessageHandler {
   private static final int MAX_LIST_BYTES = 1 << 20;
+  private static final int MAX_CALLS = 3; // the newest, an overdue one, and a former one
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   private final RequestCoordinator coordinator;
@@ -45,12 +45,12 @@
   private final ConnectionFactory connectionFactory;
   private String address;
   private long connectTimeoutUs;
-  private Connection idleConnection; // that brought the last response; null while a call uses it
-  private WatchCall newest; // null while no call is out that is in time
-  private WatchCall overdue; // had its time, and may still be answered
-  private WatchCall former; // at the address before, until the new one answers
+  private Connection idleConnection; // kept open after a response; null while a call uses it
+  private WatchCall newest; // the call whose time is not over; null if there is none
+  private WatchCall overdue; // its time is over, but it may still be answered; null if none
+  private WatchCall former; // at the former address, until the new one answers; null if none
   private boolean isFailing;
-  private boolean isBehind = true; // no call was answered since the start, a failure, or a move
+  private boolean isBehind = true; // no response since the start, a failure or a move
 
   /** A client of the discovery service at {@code address}; {@code clock} gives microseconds. */
   public DiscoveryClient(
@@ -66,12 +66,12 @@
         new ConnectionFactory(network, this, MAX_LIST_BYTES, MAX_LIST_BYTES, budget);
   }
 
-  /** The time-out of connecting, from now on. */
+  /** Sets the connect timeout of later calls, in microseconds. */
   public void configure(long newConnectTimeoutUs) {
     connectTimeoutUs = Math.min(newConnectTimeoutUs, WatchTimings.OVERLAP_US / 2);
   }
 
-  /** Begins a call, unless one is out that brings the update. */
+  /** Begins a watch call, unless one is in progress. */
   public void watch(NetworkCommand.WatchEndpoints command) {
     if (newest != null) {
       return;
@@ -85,7 +85,7 @@
       send(call);
       return;
     }
-    close(idle); // what came on it unasked, or behind a response, must not be read as the next
+    close(idle); // unsolicited bytes on it must not be read as the next response
     Optional<Connection> opening =
         connectionFactory.open(address, connection -> onConnected(call, connection));
     if (call.connection() == null) {
@@ -99,14 +99,12 @@
     }
   }
 
-  /**
-   * What comes up, or fails, after its call was given up says nothing of the calls that are out.
-   */
+  /** Handles the outcome of connecting; the connection of a call that has ended is closed. */
   private void onConnected(WatchCall call, Optional<Connection> connection) {
     if (call != newest && call != overdue) {
       connection.ifPresent(Connection::close);
     } else if (connection.isEmpty()) {
-      fail(call, false);
+      fail(call, WatchFailure.CONNECT_FAILED);
     } else {
       call.useConnection(connection.get());
       send(call);
@@ -114,8 +112,8 @@
   }
 
   /**
-   * From now on discovery is at another address; a watch of the old one goes on until that has
-   * answered, all other calls end.
+   * Moves to a new discovery address. A watch at the former address goes on until the new one has
+   * answered; all other calls end.
    */
   public void moveTo(String newAddress) {
     boolean isWatching = !isBehind && newest != null && newest.isConnected();
@@ -130,7 +128,7 @@
     isBehind = true;
   }
 
-  /** Ends the calls that are out, and closes every connection but that one, which is kept. */
+  /** Ends all calls and closes their connections, except {@code kept}, which becomes idle. */
   private void endAllExcept(Connection kept) {
     WatchCall[] calls = {newest, overdue, former};
     Connection idle = idleConnection;
@@ -164,34 +162,41 @@
     call.connection().send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
   }
 
-  /** It brings nothing more; {@code rejected} where discovery was there and answered it so. */
-  private void fail(WatchCall call, boolean rejected) {
+  /** Ends a call that brings no list. */
+  private void fail(WatchCall call, WatchFailure failure) {
     Connection connection = call.releaseConnection();
     if (call == former) {
       former = null;
     } else if (call == overdue) {
-      overdue = null; // another was made in its place
+      overdue = null; // the newest call has taken its place
     } else if (call == newest) {
       newest = null;
-      reportFailure(rejected);
+      reportFailure(failure);
     }
     close(connection);
   }
 
-  /** Has another call made after a backoff. */
-  private void reportFailure(boolean rejected) {
+  /** Reports a failure, so that another call is made after a backoff. */
+  private void reportFailure(WatchFailure failure) {
     isBehind = true;
     if (!isFailing) {
       isFailing = true;
-      LOG.warning("endpoint list unavailable, keeping the last one");
+      LOG.warning(
+          () -> "endpoint list unavailable, keeping " + describeList() + ": " + failure.reason());
     }
-    long maxBackoffUs =
-        rejected ? WatchTimings.MAX_OVERLOAD_BACKOFF_US : WatchTimings.MAX_BACKOFF_US;
-    coordinator.onEndpointListFailure(clock.getAsLong(), maxBackoffUs);
+    coordinator.onEndpointListFailure(clock.getAsLong(), failure.maxBackoffUs());
+  }
+
+  private String describeList() {
+    return "version "
+        + coordinator.endpointListVersion()
+        + " with "
+        + coordinator.endpointCount()
+        + " endpoints";
   }
 
   private List<WatchCall> calls() {
-    List<WatchCall> calls = new ArrayList<>(3);
+    List<WatchCall> calls = new ArrayList<>(MAX_CALLS);
     for (WatchCall call : new WatchCall[] {newest, overdue, former}) {
       if (call != null) {
         calls.add(call);
@@ -213,7 +218,7 @@
             ? parse(response.body())
             : Optional.empty();
     if (update.isEmpty()) {
-      call.ifPresent(failed -> fail(failed, true));
+      call.ifPresent(failed -> fail(failed, WatchFailure.REJECTED));
       connection.close();
     } else if (call.get() == former) {
       onFormerUpdate(connection, update.get());
@@ -240,12 +245,12 @@
   private void onUpdate(Connection kept, EndpointListUpdate update) {
     endAllExcept(kept);
     isBehind = false;
+    coordinator.onEndpointList(
+        clock.getAsLong(), update.version(), update.complete(), update.entries(), true);
     if (isFailing) {
       isFailing = false;
-      LOG.info("endpoint list available again");
+      LOG.info(() -> "endpoint list available again: " + describeList());
     }
-    coordinator.onEndpointList(
-        clock.getAsLong(), update.version(), update.complete(), update.entries(), true);
   }
 
   @Override
@@ -253,7 +258,7 @@
     if (status == HttpStatus.CONTENT_TOO_LARGE) {
       LOG.warning("endpoint list larger than " + MAX_LIST_BYTES + " bytes, keeping the last one");
     }
-    callOn(connection).ifPresent(call -> fail(call, false));
+    callOn(connection).ifPresent(call -> fail(call, WatchFailure.MALFORMED_RESPONSE));
     connection.close();
   }
 
@@ -263,11 +268,11 @@
     if (idleConnection == connection) {
       idleConnection = null;
     }
-    call.ifPresent(failed -> fail(failed, false));
+    call.ifPresent(failed -> fail(failed, WatchFailure.CONNECTION_CLOSED));
     connection.releaseBuffers();
   }
 
-  /** Reads what has arrived meanwhile: what is about to be sent must not miss an update. */
+  /** Reads what has arrived meanwhile, so that no attempt is sent against a pending update. */
   public void readPending() {
     for (WatchCall call : calls()) { // reading one may end the others
       if (call.isConnected() && call.connection().isOpen()) {
@@ -276,19 +281,19 @@
     }
   }
 
-  /** When the next call is due beside the one that is out. */
+  /** When another call is due beside the newest; {@code Long.MAX_VALUE} if none is. */
   public long nextDueUs() {
     return newest == null ? Long.MAX_VALUE : newest.nextCallUs();
   }
 
-  /** A call that hangs has failed; but its response is taken as long as no later call hangs too. */
+  /** Reports the newest call as failed once its time is over; its response still counts. */
   public void expire(long nowUs) {
     if (newest != null && nowUs >= newest.nextCallUs()) {
       Connection oldest = overdue == null ? null : overdue.connection();
       overdue = newest;
       newest = null;
       close(oldest);
-      reportFailure(false);
+      reportFailure(WatchFailure.TIMED_OUT);
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/net/discovery/WatchTimings.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchTimings.java
@@ -1,42 +1,40 @@
 package dillcross.net.discovery;
 
 /**
- * Times of discovery calls, all parts of one deadline: whatever became of earlier calls, an update
- * counts as notified so long after discovery had it and could be reached.
+ * Times of discovery calls, in microseconds. All are shares of one deadline: the protocol counts a
+ * sidecar as notified {@link #NOTIFIED_WITHIN_US} after discovery has an update and is reachable,
+ * whatever became of earlier calls.
  *
- * <p>A watch that falls silent is noticed after {@link #WATCH_US} + {@link #GRACE_US}, and a call
- * after that is followed by the next after {@link #OVERLAP_US}, each with a backoff before it: so
- * from the silence, and from a return that a call was just too early for, two further calls begin
- * in time.
+ * <p>A silent watch fails after {@link #WATCH_US} + {@link #GRACE_US}, and each later call is
+ * followed by the next after {@link #OVERLAP_US}, with a backoff before each. So two more calls
+ * begin within the deadline, even if one was made just before discovery became reachable.
  */
 final class WatchTimings {
   /** The deadline, by the protocol. */
   static final long NOTIFIED_WITHIN_US = 6_000_000;
 
-  /** Before a call after one that nothing answered; times 1.5 at the most. */
+  /** The longest backoff after a call without a response, before jitter. */
   static final long MAX_BACKOFF_US = NOTIFIED_WITHIN_US / 30;
 
   /**
-   * Before a call after one that was rejected. A fleet that comes again at once keeps discovery
-   * overloaded, and nobody is served (64 of 93 processes for nine seconds). So these backoffs grow;
-   * with the longest of them there is time for two more calls still.
+   * The longest backoff after a rejected call, before jitter. Longer, because a fleet that calls
+   * again at once keeps discovery overloaded; short enough for two more calls within the deadline.
    */
   static final long MAX_OVERLOAD_BACKOFF_US = NOTIFIED_WITHIN_US * 5 / 18;
 
-  /** That a watch waits for an update; silence is not noticed sooner. */
+  /** How long discovery may hold a watch back until there is an update. */
   static final long WATCH_US = NOTIFIED_WITHIN_US / 4;
 
-  /** Beyond that, until the next call begins. */
+  /** How long after {@link #WATCH_US} a watch without a response counts as failed. */
   static final long GRACE_US = NOTIFIED_WITHIN_US / 10;
 
   /**
-   * From the start of a call after a failure to that of the next: as long as leaves a third one
-   * time. A call that waits in the queue of overloaded discovery must not be doubled sooner: that
-   * served 5 calls a second in place of 10 to 17 (a day of 107 processes).
+   * How long after the start of a call that follows a failure the next one begins: as long as
+   * leaves time for a third, because more calls lower the throughput of overloaded discovery.
    */
   static final long OVERLAP_US = NOTIFIED_WITHIN_US * 31 / 60;
 
-  /** That a call after a failure waits for an update: what was missed is due. */
+  /** How long discovery may hold back a call after a failure; missed updates come at once. */
   static final long CATCH_UP_US = 250_000;
 
   private WatchTimings() {}
--- a/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -74,7 +74,7 @@
             network, this, HttpMessageParser.MAX_BUFFERED_BODY_BYTES, maxBody, budget);
   }
 
-  /** For what connects and is idle from now on; what is connecting keeps its own. */
+  /** Applies to new and idle connections; a connect in progress keeps its timeout. */
   public void configure(long newConnectTimeoutUs, long maxIdleUs) {
     connectTimeoutUs = newConnectTimeoutUs;
     pool.setMaxIdle(maxIdleUs);
@@ -92,7 +92,7 @@
       connected.add(attempt);
     } else if (pool.makeSpace()) {
       connect(attempt);
-    } else { // our limit is no mark against the endpoint
+    } else { // this sidecar's limit does not count against the endpoint
       end(attempt, AttemptResult.Kind.NOT_SENT, null);
     }
   }
@@ -120,10 +120,10 @@
   }
 
   /**
-   * Sends what has a connection, where it still may be sent. This comes after all else that the
-   * iteration of the event loop has gathered, and after its timers; and what has arrived since is
-   * read once more, as an iteration of a starved process takes long: an update of the endpoint
-   * list, a client that disconnected, a deadline.
+   * Sends the attempts that have a connection and are still permitted. Called last in an iteration
+   * of the event loop, after all events and timers. Before each attempt, what has arrived since is
+   * read once more, because an iteration of a starved process takes long: an update of the endpoint
+   * list, or a client's disconnect.
    *
    * @return whether there was anything to send
    */
@@ -192,18 +192,18 @@
       if (complete) {
         coordinator.onBodyComplete(clock.getAsLong(), requestId);
       } else {
-        client.close(); // it sent what can't be read
+        client.close(); // its request is malformed or cut off
       }
     }
   }
 
-  /** Ends an attempt that the coordinator does not wait for any more. */
+  /** Ends an attempt that the coordinator has abandoned. */
   public void abandon(NetworkCommand.AbandonAttempt command) {
     InFlightAttempt attempt = attempts.get(new AttemptId(command.requestId(), command.attempt()));
     if (attempt != null) {
       end(attempt, AttemptResult.Kind.ABANDONED, null);
       pool.closeIdleSince(attempt.endpoint(), attempt.startedUs());
-    } else { // it never came here: the coordinator must not wait for it for good
+    } else { // unknown here: reported, or the coordinator would wait for it forever
       coordinator.onAttemptEnded(
           clock.getAsLong(),
           command.requestId(),
@@ -237,8 +237,8 @@
     if (isCurrent && isReusable) {
       pool.put(attempt.endpoint(), connection);
     } else if (kind == AttemptResult.Kind.ABANDONED && connection.isConnected()) {
-      // Or the system goes on sending what was written, and a network that heals brings it after
-      // the answer.
+      // A plain close would let the system go on sending what was written, and a network that
+      // recovers could deliver the request after its answer.
       pool.remove(connection);
       connection.reset();
     } else {
@@ -262,7 +262,7 @@
   public void onMessage(Connection connection, HttpMessage message) {
     InFlightAttempt attempt = (InFlightAttempt) connection.exchange();
     if (attempt == null || !attempt.isSent()) {
-      pool.close(connection); // a response that nobody asked for yet
+      pool.close(connection); // an unsolicited response
       return;
     }
     HttpResponse response = (HttpResponse) message;
@@ -293,7 +293,7 @@
   public void relayResponse(InboundResponse response, Connection client, boolean chunked) {
     InFlightAttempt attempt = (InFlightAttempt) response.source().exchange();
     if (attempt == null || !attempt.isStreaming(response)) {
-      return; // it broke meanwhile, and was reported
+      return; // it has ended meanwhile, and was reported
     }
     ResponseBodyListener listener = new ResponseBodyListener(attempt, response.response());
     new BodyRelay(response.source(), client, chunked, listener).start();
@@ -311,7 +311,7 @@
 
     @Override
     public void onBytesReleased() {
-      // from its first byte on it was the client's
+      // the response can't be replaced since its first byte
     }
 
     @Override
@@ -376,7 +376,7 @@
     }
   }
 
-  /** A response that brings nothing more would hold its place for good. */
+  /** Ends an attempt whose streamed response has stalled, to free its connection. */
   private void endIfStalled(Connection connection, long nowUs) {
     ConnectionActivity activity = connection.activity();
     activity.noteProgress(nowUs);
--- a/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
@@ -13,9 +13,8 @@
 
 /** All connections to endpoints, and which of them are idle. Belongs to the selector thread. */
 public final class EndpointConnectionPool {
-  // After a response, for what may follow it: a second one would answer the next request, which is
-  // another client's. Seen up to 3.7 ms late. Costs where requests come at shorter intervals: an
-  // endpoint then holds a connection or two more.
+  // How long a connection rests after a response: a second, unsolicited response would otherwise
+  // answer the next request. The price is a connection or two more for each busy endpoint.
   private static final long CONNECTION_QUARANTINE_US = 8_000;
 
   private final LongSupplier clock;
@@ -79,8 +78,8 @@
   }
 
   /**
-   * Checks the socket itself. The endpoint closes what is idle for long, and a request that crosses
-   * that is lost, so we close before.
+   * Whether the connection is fresh enough and its socket is still good. Connections are closed
+   * before the endpoint's own idle limit, because a request that crosses its close is lost.
    */
   private boolean isUsable(Connection connection) {
     boolean isFresh = clock.getAsLong() - connection.activity().idleSinceUs() < maxIdleUs;
--- a/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyDatagrams.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyDatagrams.java
@@ -51,7 +51,7 @@
         handler.onDatagram(sender, buffer.flip());
       }
     } catch (IOException e) {
-      LOG.fine(() -> "datagram not read: " + e); // reported of one that we sent and nobody took
+      LOG.fine(() -> "datagram not read: " + e); // the port of an earlier receiver was unreachable
     }
   }
 
--- a/sidecar/src/main/java/dillcross/net/http/AsciiText.java
+++ b/sidecar/src/main/java/dillcross/net/http/AsciiText.java
@@ -6,7 +6,7 @@
 /** Text of message heads. */
 final class AsciiText {
   private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
-  static final char DELETE = 127;
+  static final char DELETE = 0x7f;
 
   private AsciiText() {}
 
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -292,7 +292,7 @@
       return;
     }
     if (length == HttpMessage.UNTIL_CLOSE && message.keepsAlive()) {
-      fault = HttpStatus.BAD_REQUEST; // the end of its body could not be told from a reset
+      fault = HttpStatus.BAD_REQUEST; // a reset would look like the end of its body
       return;
     }
     remaining = length;
--- a/sidecar/src/main/java/dillcross/net/membership/PacketReader.java
+++ b/sidecar/src/main/java/dillcross/net/membership/PacketReader.java
@@ -14,6 +14,7 @@
 
 /** Reads one packet; throws {@link IOException} where it is malformed. */
 final class PacketReader {
+  private static final char DELETE = 0x7f; // the first ASCII character that is not printable
   private static final int MAX_ITEMS = 256;
   private static final int MAX_DIGEST_BUCKETS = 64;
   private static final int MAX_DEPTH = 8;
@@ -166,7 +167,7 @@
     check(in.currentToken() == JsonToken.VALUE_STRING);
     String text = in.getText();
     check(text.length() <= maxLength);
-    check(text.chars().allMatch(c -> c > ' ' && c < 0x7f));
+    check(text.chars().allMatch(c -> c > ' ' && c < DELETE));
     return text;
   }
 
--- a/sidecar/src/main/java/dillcross/net/transport/TransportChannel.java
+++ b/sidecar/src/main/java/dillcross/net/transport/TransportChannel.java
@@ -42,6 +42,6 @@
   /** Whether it is connected or connecting. */
   boolean isOpen();
 
-  /** Closes it; the handler is told once. */
+  /** Closes it; the handler's {@code onClosed} is called once. */
   void close();
 }
--- a/sidecar/src/main/java/dillcross/sidecar/EndpointAddresses.java
+++ b/sidecar/src/main/java/dillcross/sidecar/EndpointAddresses.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Where the endpoints that may be used are, as the endpoint list last said. */
+/** The address and process of each endpoint that may be used, by the latest endpoint list. */
 final class EndpointAddresses {
   private final Map<String, EndpointEntry> entries = new HashMap<>();
 
-  /** Takes entries that are up; the ids of those that moved or restarted, in their order. */
+  /** Stores the entries that are up; returns the ids of those that moved or restarted, in order. */
   List<String> apply(List<EndpointEntry> updates) {
     List<String> changed = new ArrayList<>();
     for (EndpointEntry entry : updates) {
@@ -25,7 +25,7 @@
     return changed;
   }
 
-  /** Forgets those that match, or each deployment would leave its old endpoints here; sorted. */
+  /** Removes the entries whose id matches, and returns those ids, sorted. */
   List<String> removeIf(Predicate<String> filter) {
     List<String> removed = entries.keySet().stream().filter(filter).sorted().toList();
     entries.keySet().removeAll(removed);
@@ -37,6 +37,11 @@
     return entries.get(id);
   }
 
+  /** How many endpoints may be used. */
+  int size() {
+    return entries.size();
+  }
+
   /** Whether the entry is still the same process at the same address. */
   boolean isCurrent(EndpointEntry entry) {
     return entry.isSameProcess(entries.get(entry.endpoint().id()));
--- a/sidecar/src/main/java/dillcross/sidecar/EndpointListTracker.java
+++ b/sidecar/src/main/java/dillcross/sidecar/EndpointListTracker.java
@@ -18,7 +18,8 @@
   private final TimerQueue timers;
   private final Queue<NetworkCommand> commands;
   private final EndpointAddresses addresses = new EndpointAddresses();
-  private long listVersion; // 0 if the complete list is needed
+  private long listVersion; // of the last update that was applied
+  private long watchedVersion; // what the next watch asks to follow; 0 for the complete list
   private long lastWatchUs;
   private boolean hasReceivedWatchEvent;
 
@@ -37,8 +38,9 @@
    */
   void onUpdate(
       long nowUs, long version, boolean complete, List<EndpointEntry> updates, boolean fromWatch) {
-    boolean isOlder = !complete && version < listVersion;
-    listVersion = isOlder ? 0 : version;
+    boolean isOlder = !complete && version < watchedVersion;
+    listVersion = isOlder ? listVersion : version;
+    watchedVersion = isOlder ? 0 : version;
     apply(nowUs, complete, isOlder ? List.of() : updates);
     hasReceivedWatchEvent |= fromWatch;
     if (fromWatch) {
@@ -65,7 +67,7 @@
 
   /** Requests the complete list now from a new discovery address. */
   void onDiscoveryMoved(long nowUs) {
-    listVersion = 0;
+    watchedVersion = 0;
     // An empty update clears failures of the former address, which are no reason to back off.
     balancer.onEndpointList(nowUs, false, List.of());
     scheduleWatch(nowUs);
@@ -78,7 +80,17 @@
   /** Watches for what is newer than the known version. */
   void watch(long nowUs) {
     lastWatchUs = nowUs;
-    commands.add(new NetworkCommand.WatchEndpoints(listVersion));
+    commands.add(new NetworkCommand.WatchEndpoints(watchedVersion));
+  }
+
+  /** The version of the last update that was applied; 0 before any. */
+  long listVersion() {
+    return listVersion;
+  }
+
+  /** How many endpoints may be used. */
+  int endpointCount() {
+    return addresses.size();
   }
 
   /** Whether a watch has brought an update since the start. */
--- a/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
+++ b/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
@@ -66,6 +66,16 @@
     endpoints.onDiscoveryMoved(nowUs);
   }
 
+  /** The version of the last endpoint list that was applied; 0 before any. */
+  public long endpointListVersion() {
+    return endpoints.listVersion();
+  }
+
+  /** How many endpoints may be used. */
+  public int endpointCount() {
+    return endpoints.endpointCount();
+  }
+
   /** Whether a watch has brought the endpoint list since the start. */
   public boolean hasReceivedWatchEvent() {
     return endpoints.hasReceivedWatchEvent();
