--- a/sidecar/src/test/java/dillcross/net/FakeNetwork.java
+++ b/sidecar/src/test/java/dillcross/net/FakeNetwork.java
@@ -71,17 +71,17 @@
 
     @Override
     public void scheduleRead() {
-      // likewise
+      // the test reports all
     }
 
     @Override
     public void shutdownOutput() {
-      // nobody waits for it
+      // no test needs it
     }
 
     @Override
     public void resetOnClose() {
-      // nothing is on its way
+      // nothing is in transit
     }
 
     @Override
--- a/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
+++ b/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
@@ -8,8 +8,8 @@
 
 class LifecycleTest {
   /**
-   * After those calls: healthy to the front, able to serve, leaving (answers close), letting go of
-   * what is idle 1 s and 2 s later.
+   * After those calls: whether it is healthy, ready, closing connections with responses, and
+   * closing idle connections 1 s and 2 s later.
    */
   @ParameterizedTest
   @CsvSource({
@@ -57,8 +57,8 @@
   }
 
   /**
-   * What comes late into a stop has its answer before the process may be killed, the longest
-   * deadline and 0.7 s after it began.
+   * A request late in a shutdown is answered before the process may be killed, the longest deadline
+   * and 0.7 s after the shutdown began.
    */
   @Test
   void aTimeoutEndsWithTheShutdown() {
--- a/sidecar/src/test/java/dillcross/net/buffer/RingBufferTest.java
+++ b/sidecar/src/test/java/dillcross/net/buffer/RingBufferTest.java
@@ -10,8 +10,8 @@
 
 class RingBufferTest {
   /**
-   * An answer for a client that closed in the same turn is put into its ring still: nobody would
-   * give that room back.
+   * A response for a client that closed in the same iteration is still added to its buffer, which
+   * must not take memory again.
    */
   @Test
   void aReleasedBufferTakesNoMemoryAgain() {
@@ -25,7 +25,7 @@
     RingBuffer from = new RingBuffer(1 << 17, budget);
     assertTrue(from.add(new byte[100]));
     int free = buffer.freeBytes(1 << 16);
-    buffer.moveFrom(from, Math.min(100, free)); // a body that still flows has somewhere to go
+    buffer.moveFrom(from, Math.min(100, free)); // a streamed body still moves
     from.release();
     assertEquals(0, budget.taken());
   }
@@ -41,7 +41,7 @@
     }
   }
 
-  /** A ring gives back what went in, whatever the pieces, and has a limit. */
+  /** A buffer returns what was added, in whatever pieces, up to its limit. */
   @Test
   void keepsOrderAndLimit() {
     Random random = new Random(4);
@@ -70,7 +70,7 @@
     assertFalse(buffer.add(new byte[5000]));
   }
 
-  /** A body that flows while the budget is used up goes on with the room its ring has. */
+  /** A streamed body goes on with the space that its buffer has while the budget is used up. */
   @Test
   void aStarvedBufferGoesOnOnceItIsEmptied() {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(0));
@@ -82,7 +82,7 @@
     assertEquals(1000, buffer.freeBytes(1 << 16));
   }
 
-  /** Many large messages at once are bounded by what all rings may take; small ones always fit. */
+  /** Large messages are limited by the budget that all buffers share; small ones always fit. */
   @Test
   void buffersShareABudget() {
     MemoryBudget budget = new MemoryBudget(100_000);
--- a/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
@@ -33,8 +33,8 @@
   private static final String SECOND = "127.0.0.1:2";
 
   /**
-   * What can happen to it; the last four last for a while, and it can't be reached during three of
-   * them.
+   * What can happen to the service; the last four take a while, and it is unreachable during three
+   * of them.
    */
   private enum Event {
     NOTHING,
@@ -61,7 +61,7 @@
     private long version = 1;
     private int lost; // of the next calls, so many get no answer
     private int failed; // ... or a 503
-    private int maxCalls; // calls out at a time
+    private int maxCalls; // calls in progress at a time
     private String only; // the address that it concerns; null where both
 
     void begin(Event event, long forUs) {
@@ -229,8 +229,8 @@
   }
 
   /**
-   * How long after it had the news and could be reached the program had it, at the most and over
-   * every pair of events.
+   * The longest time over every pair of events from when the service has an update and is reachable
+   * until the client has it.
    */
   private long worstDelayUs(int sidecars, boolean pushed) {
     long worst = 0;
@@ -316,8 +316,8 @@
   }
 
   /**
-   * Whatever became of earlier calls, news is had within six seconds of its being there to be had;
-   * in fleets of every size.
+   * Whatever became of earlier calls, an update arrives within six seconds after the service has it
+   * and is reachable, in fleets of every size.
    */
   @ParameterizedTest
   @CsvSource({"5,false", "100,false", "1000,false", "5,true", "100,true", "1000,true"})
@@ -327,8 +327,8 @@
   }
 
   /**
-   * The list moves, and the new one has no answer yet, in whatever way: what the old one tells
-   * meanwhile counts at once, and to the end.
+   * Discovery moves, and the new address does not answer yet, for whatever reason: updates from the
+   * former address are applied until it does.
    */
   @ParameterizedTest
   @EnumSource(
@@ -363,10 +363,7 @@
         "once it has answered");
   }
 
-  /**
-   * An answer that had to wait its turn is taken, also when the next call is out; and that one is
-   * not left open.
-   */
+  /** A late response is applied even if the next call has begun, which is then closed. */
   @Test
   void aSlowResponseIsTaken() {
     network.channels.clear();
--- a/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
+++ b/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
@@ -62,7 +62,7 @@
   private final List<NetworkCommand> answers = new ArrayList<>();
   private final List<Object> checkedClients =
       new ArrayList<>(); // whose ends were looked for before a request went out
-  private Runnable meanwhile = () -> {}; // what came since the turn gathered
+  private Runnable meanwhile = () -> {}; // what arrives after the events were gathered
 
   AttemptExecutorTest() {
     executor.configure(1_000_000, 10_000_000);
@@ -125,8 +125,8 @@
   }
 
   /**
-   * A second answer may come milliseconds behind the first: until then nothing goes out on that
-   * connection that it could answer.
+   * A second, unsolicited response may come milliseconds after the first: no request is sent on the
+   * connection before it would have come.
    */
   @Test
   void aConnectionIsQuarantinedAfterAResponse() {
@@ -150,7 +150,7 @@
     assertEquals(2, channels.get(1).requests());
   }
 
-  /** What is gathered in a turn counts for all of it, also what comes after the connection did. */
+  /** All events of an iteration count before anything is sent, also those after the connect. */
   @Test
   void nothingIsSentBeforeAllEventsAreHandled() {
     arrive("read");
@@ -168,8 +168,8 @@
   }
 
   /**
-   * A turn of a starved process takes long: what came meanwhile counts before the first byte, on a
-   * free connection as on a new one.
+   * An iteration of a starved process takes long: what arrived meanwhile counts before the first
+   * byte, on an idle connection as on a new one.
    */
   @ParameterizedTest
   @EnumSource(Meanwhile.class)
@@ -209,8 +209,8 @@
   }
 
   /**
-   * It breaks, or speaks, before its request was handed over: that never ran, so an at-most-once
-   * request goes elsewhere.
+   * The connection breaks, or brings a response, before the request was sent: the request never
+   * ran, so even a non-idempotent one is retried.
    */
   @ParameterizedTest
   @EnumSource(Early.class)
@@ -241,15 +241,15 @@
   }
 
   /**
-   * A turn that broke after the core counted an attempt as out: its end is reported all the same,
-   * once that is asked for.
+   * An iteration that failed after the coordinator started an attempt: its end is reported once it
+   * is abandoned.
    */
   @Test
   void anUnknownAttemptEndsWhenItIsAbandoned() {
     coordinator.onRequest(
         now, new IncomingRequest("client", request("read"), null, "read", 5_000_000, false, false));
     while (!(coordinator.next(now) instanceof NetworkCommand.SendAttempt)) {
-      // and that order is lost
+      // and that command is lost
     }
     pass(5_000_000);
     pass(50_000);
--- a/sidecar/src/test/java/dillcross/net/http/HttpMessageParserTest.java
+++ b/sidecar/src/test/java/dillcross/net/http/HttpMessageParserTest.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * All that a parser makes of these bytes, fed in pieces of so many at the most: first lines,
-   * bodies, faults.
+   * What a parser reads from these bytes, in pieces of at most so many: first lines, bodies,
+   * faults.
    */
   private static String readAll(boolean requests, byte[] all, int piece, Random random) {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
@@ -85,8 +85,8 @@
   }
 
   /**
-   * All forms of a message, each whole, byte by byte and cut at random places: the same comes of
-   * it.
+   * All forms of a message, each at once, byte by byte and cut at random places, with the same
+   * result.
    */
   @ParameterizedTest
   @CsvSource(
@@ -189,8 +189,8 @@
   }
 
   /**
-   * An answer that can't be one any more ends its push now and not at its TTL, whether or not its
-   * end ever comes.
+   * A malformed response is a fault at once and not at the deadline, whether or not its end ever
+   * comes.
    */
   @ParameterizedTest
   @CsvSource(
@@ -256,9 +256,7 @@
     assertEquals("{host=a, x-other=2}", m.forwardedFields().toString());
   }
 
-  /**
-   * Whatever comes, in whatever pieces: a message, a fault or nothing yet, and never an exception.
-   */
+  /** Any input, in any pieces, is a message, a fault or incomplete, and never an exception. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void garbageIsAFaultAndNoMore(boolean requests) {
@@ -288,7 +286,7 @@
     }
   }
 
-  /** A client's time begins with its last byte, wherever that waits. */
+  /** A client's timeout starts at its last byte, even while that waits in the buffer. */
   @ParameterizedTest
   @CsvSource({
     "100, true, false",
--- a/sidecar/src/test/java/dillcross/simulator/SimulatorSessionTest.java
+++ b/sidecar/src/test/java/dillcross/simulator/SimulatorSessionTest.java
@@ -39,9 +39,11 @@
     assertTrue(reply.endsWith("next\n"), reply);
   }
 
-  /** A list with a number used before replaces it for later events alone, within one batch too. */
+  /**
+   * A list that reuses a number replaces the former one for later events only, also within a batch.
+   */
   @Test
-  void listNumbersAreReused() throws IOException {
+  void replacesAListWhoseNumberIsReused() throws IOException {
     String reply =
         run(
             batch(
@@ -54,7 +56,7 @@
   }
 
   @Test
-  void aRestartedInstanceKnowsNothing() throws IOException {
+  void startsAReopenedInstanceWithoutState() throws IOException {
     String reply =
         run(
             batch("5.0", OPEN + LIST + "knock 3 5 - 500.0 - - 0 read\n")
@@ -76,7 +78,7 @@
     "response 3 5 77 h:1 1 5.0 0 -, unknown outcome",
     "response 3 5 0 h:1 1 5.0 0 active:x, not a number: x"
   })
-  void malformedInputIsNamed(String line, String what) {
+  void namesMalformedInputByItsLine(String line, String what) {
     var e =
         assertThrows(
             MalformedInputException.class, () -> run(batch("5.0", OPEN + LIST + line + "\n")));
@@ -84,7 +86,7 @@
   }
 
   @Test
-  void anExceptionIsReported() throws IOException {
+  void reportsAnException() throws IOException {
     String reply = run(batch("5.0", OPEN + LIST + "knock 3 5 - 500.0 - - 0 unheard\n"));
     assertTrue(reply.startsWith("bug 3 "), reply);
     assertEquals(2, reply.lines().count());
