--- a/sidecar/src/test/java/dillcross/KnownRedTest.java
+++ b/sidecar/src/test/java/dillcross/KnownRedTest.java
@@ -1,98 +1,108 @@
 package dillcross;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What CI passes over, and that it takes no list which is not in order. */
+/**
+ * Covers {@code .ci/known-red}, which reads the list of tests that are known to fail and prints the
+ * Maven options that exclude them.
+ */
 class KnownRedTest {
   private static final Path ROOT = Path.of("..");
-  private static final String GOOD = "LifecycleTest#followsOneLifecycle | a cause | issue 35\n";
+  private static final String FIRST_TEST = "OutlierEjectionTest#keepsEjectionsWhenSettingsChange";
+  private static final String SECOND_TEST = "SilenceMonitorTest#detectsSilenceThatFollowsAResponse";
+  private static final String INTEGRATION_TEST = "ForwardingIT#answersByOutcomeOfTheAttempt";
+  private static final String FIRST_LINE = FIRST_TEST + " | a cause | issue 35\n";
+  private static final String SECOND_LINE = SECOND_TEST + " | a third | issue 36";
+  private static final String INTEGRATION_LINE = INTEGRATION_TEST + " | another | issue 36\n";
+
   @TempDir private Path folder;
 
-  private record Ended(int status, String out, String said) {}
+  /** How the script ended, and what it wrote to each stream. */
+  private record Result(int status, String output, String errors) {}
 
-  private Ended check(Path file) throws Exception {
-    Path out = folder.resolve("out");
-    Path said = folder.resolve("said");
+  private Result runWithFile(Path listFile) throws Exception {
+    Path output = folder.resolve("output");
+    Path errors = folder.resolve("errors");
+    Path script = ROOT.resolve(".ci/known-red");
     Process process =
-        new ProcessBuilder(
-                "bash", ROOT.resolve(".ci/known-red").toString(), file.toString(), ROOT.toString())
-            .redirectOutput(out.toFile())
-            .redirectError(said.toFile())
+        new ProcessBuilder("bash", script.toString(), listFile.toString(), ROOT.toString())
+            .redirectOutput(output.toFile())
+            .redirectError(errors.toFile())
             .start();
     int status = process.waitFor();
-    return new Ended(status, Files.readString(out), Files.readString(said));
+    return new Result(status, Files.readString(output), Files.readString(errors));
   }
 
-  private Ended check(String lines) throws Exception {
-    return check(Files.writeString(folder.resolve("KNOWN-RED.txt"), lines, StandardCharsets.UTF_8));
+  private Result runWithLines(String lines) throws Exception {
+    Path listFile = folder.resolve("KNOWN-RED.txt");
+    return runWithFile(Files.writeString(listFile, lines, StandardCharsets.UTF_8));
   }
 
   @Test
-  void justTheListedTestsArePassedOver() throws Exception {
-    assertEquals(new Ended(0, "", ""), check(folder.resolve("nothing")));
-    assertEquals(new Ended(0, "", ""), check("\n"));
-    assertEquals(
-        new Ended(
-            0,
-            "-Dtest=!LifecycleTest#followsOneLifecycle,!RingBufferTest#"
-                + firstRingBufferTest()
-                + "\n-Dit.test=!ServeIT#eachOutcome\n"
-                + "-Dsurefire.failIfNoSpecifiedTests=false\n-Dfailsafe.failIfNoSpecifiedTests=false\n",
-            "known red, passed over: "
-                + GOOD
-                + "known red, passed over: ServeIT#eachOutcome | another | issue 36\n"
-                + "known red, passed over: RingBufferTest#"
-                + firstRingBufferTest()
-                + " | a third | issue 36\n"),
-        check(
-            GOOD
-                + "ServeIT#eachOutcome | another | issue 36\nRingBufferTest#"
-                + firstRingBufferTest()
-                + " | a third | issue 36"));
-  }
+  void excludesOnlyTheListedTests() throws Exception {
+    Result nothing = new Result(0, "", "");
+    assertEquals(nothing, runWithFile(folder.resolve("nothing")));
+    assertEquals(nothing, runWithLines("\n"));
+
+    Result result = runWithLines(FIRST_LINE + INTEGRATION_LINE + SECOND_LINE);
 
-  private static String firstRingBufferTest() throws Exception {
-    return List.of(
-            Files.readString(Path.of("src/test/java/dillcross/net/buffer/RingBufferTest.java"))
-                .split("  void "))
-        .get(1)
-        .split("\\(")[0];
+    String options =
+        "-Dtest=!"
+            + FIRST_TEST
+            + ",!"
+            + SECOND_TEST
+            + "\n-Dit.test=!"
+            + INTEGRATION_TEST
+            + "\n-Dsurefire.failIfNoSpecifiedTests=false"
+            + "\n-Dfailsafe.failIfNoSpecifiedTests=false\n";
+    String messages =
+        "known red, passed over: "
+            + FIRST_LINE
+            + "known red, passed over: "
+            + INTEGRATION_LINE
+            + "known red, passed over: "
+            + SECOND_LINE
+            + "\n";
+    assertEquals(new Result(0, options, messages), result);
   }
 
   @ParameterizedTest
   @CsvSource({
-    "followsOneLifecycle | a cause | issue 35,malformed",
-    "LifecycleTest#followsOneLifecycle,malformed",
-    "LifecycleTest#followsOneLifecycle | a cause,malformed",
-    "LifecycleTest#followsOneLifecycle |  | issue 35,malformed",
-    "LifecycleTest#followsOneLifecycle | a cause | 35,malformed",
+    "keepsEjectionsWhenSettingsChange | a cause | issue 35,malformed",
+    "OutlierEjectionTest#keepsEjectionsWhenSettingsChange,malformed",
+    "OutlierEjectionTest#keepsEjectionsWhenSettingsChange | a cause,malformed",
+    "OutlierEjectionTest#keepsEjectionsWhenSettingsChange |  | issue 35,malformed",
+    "OutlierEjectionTest#keepsEjectionsWhenSettingsChange | a cause | 35,malformed",
     "*#* | a cause | issue 35,malformed",
-    "LifecycleTest#noSuchMethod | a cause | issue 35,names no test",
-    "NoSuchTest#followsOneLifecycle | a cause | issue 35,names no test",
+    "OutlierEjectionTest#noSuchMethod | a cause | issue 35,names no test",
+    "NoSuchTest#keepsEjectionsWhenSettingsChange | a cause | issue 35,names no test",
     "Lifecycle#markReady | a cause | issue 35,names no test"
   })
-  void aLineThatIsNotInOrderFails(String line, String said) throws Exception {
-    Ended ended = check(GOOD + line + "\n");
-    assertEquals(1, ended.status());
-    assertEquals(
-        true, ended.said().contains("line 2") && ended.said().contains(said), ended.said());
+  void refusesInvalidLine(String line, String message) throws Exception {
+    Result result = runWithLines(FIRST_LINE + line + "\n");
+
+    assertEquals(1, result.status());
+    assertTrue(result.errors().contains("line 2"), result.errors());
+    assertTrue(result.errors().contains(message), result.errors());
   }
 
   @Test
-  void aFourthLineFails() throws Exception {
-    assertEquals(0, check(GOOD.repeat(3)).status());
-    Ended ended = check(GOOD.repeat(4));
-    assertEquals(1, ended.status());
-    assertEquals(
-        true, ended.said().contains("line 4") && ended.said().contains("three"), ended.said());
+  void refusesFourthLine() throws Exception {
+    assertEquals(0, runWithLines(FIRST_LINE.repeat(3)).status());
+
+    Result result = runWithLines(FIRST_LINE.repeat(4));
+
+    assertEquals(1, result.status());
+    assertTrue(result.errors().contains("line 4"), result.errors());
+    assertTrue(result.errors().contains("three"), result.errors());
   }
 }
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/cli/BackgroundTask.java
@@ -0,0 +1,22 @@
+package dillcross.cli;
+
+/** Work on a daemon thread that ends when the test or the other side closes its sockets. */
+interface BackgroundTask {
+  /** Does the work. */
+  void run() throws Exception;
+
+  /** Starts the work on a thread of its own. */
+  static void start(BackgroundTask task) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                task.run();
+              } catch (Exception closed) {
+                Thread.currentThread().interrupt();
+              }
+            });
+    thread.setDaemon(true);
+    thread.start();
+  }
+}
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
@@ -0,0 +1,175 @@
+package dillcross.cli;
+
+import static dillcross.cli.HttpMessages.readResponse;
+import static dillcross.cli.HttpMessages.send;
+import static dillcross.cli.TestDiscovery.inService;
+import static dillcross.cli.TestDiscovery.terminating;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Covers clients that disconnect while their request is on its way: it must not reach an endpoint;
+ * see {@link dillcross.sidecar.RequestCoordinator}.
+ */
+class DisconnectCrossingIT extends CrossingFixture {
+  /** The request and its client's end are found together. */
+  @ParameterizedTest
+  @ValueSource(strings = {"closes", "resets", "half-closes"})
+  void doesNotSendRequestWhoseClientHasDisconnected(String how) throws Exception {
+    startWithEndpointA();
+
+    whileSuspended(
+        () -> {
+          for (int i = 0; i < 20; i++) {
+            Socket client = connect();
+            send(client, request("/read/gone", 5000));
+            disconnect(client, how);
+          }
+        });
+
+    assertEquals("200", statusOfNewClient(request("/read/ok"))); // accepted after all of those
+    awaitConnectionReuse();
+    assertEquals(List.of("/read/ok"), endpointA.requestPaths());
+  }
+
+  /**
+   * The connection that the request waits for comes up after the client has gone.
+   *
+   * @param extraBytes how much the client has sent behind its request; below 0, the length of the
+   *     request's own body, which is streamed
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "closes,0,true,1",
+    "closes,0,false,1",
+    "resets,0,true,1",
+    "resets,0,false,1",
+    "half-closes,0,true,1",
+    "closes,200000,true,1",
+    "closes,200000,false,1",
+    "closes,900000,true,1",
+    "closes,-100000,true,1",
+    "resets,-100000,false,1",
+    "closes,0,true,200",
+    "resets,0,false,200"
+  })
+  void doesNotSendAfterDisconnectDuringConnect(
+      String how, int extraBytes, boolean cancellable, int clientCount) throws Exception {
+    LateEndpoint endpoint = openLateEndpoint();
+    startAndAwaitReady(
+        withLongTimeouts(inService("a", endpoint.address()))
+            .maxSockets(1024)
+            .cancellable(cancellable));
+    List<Socket> clients = new ArrayList<>();
+    for (int i = 0; i < clientCount; i++) {
+      Socket client = connect();
+      send(client, requestWithExtraBytes(extraBytes));
+      clients.add(client);
+    }
+    awaitConnect(endpoint);
+
+    for (Socket client : clients) {
+      disconnect(client, how);
+    }
+    awaitNoClientConnections();
+    assertEquals(
+        0,
+        countConnectionsTo(endpoint.port(), TcpState.ESTABLISHED),
+        "the attempt still waits for its connection");
+    endpoint.makeRoomAndServe();
+
+    assertEquals("200", statusOfNewClient(request("/read/after", REQUEST_TIMEOUT_MS)));
+    assertEquals(List.of("/read/after"), endpoint.requestPaths);
+  }
+
+  private String requestWithExtraBytes(int extraBytes) {
+    if (extraBytes < 0) {
+      int length = -extraBytes;
+      return withBody(request("/buy/gone", REQUEST_TIMEOUT_MS), length, "b".repeat(length));
+    }
+    return request("/read/gone", REQUEST_TIMEOUT_MS) + "x".repeat(extraBytes);
+  }
+
+  /** The concurrency limit is reached, and one request waits until another has ended. */
+  @ParameterizedTest
+  @CsvSource({"closes,true", "closes,false", "resets,true", "half-closes,true"})
+  void doesNotSendAfterDisconnectInQueue(String how, boolean cancellable) throws Exception {
+    startAndAwaitReady(withLongTimeouts(entryOfA()).cancellable(cancellable));
+    List<Socket> clients = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      clients.add(connect());
+    }
+    Set<Integer> answeredClients = collectAnswered(clients);
+    for (int i = 0; i < clients.size(); i++) {
+      send(clients.get(i), request(queuedPath(i), REQUEST_TIMEOUT_MS));
+    }
+    await(() -> endpointA.requests.size() + answeredClients.size() == clients.size() - 1);
+    int waiting = 0;
+    while (answeredClients.contains(waiting)
+        || endpointA.requestCounts.containsKey(queuedPath(waiting))) {
+      waiting++;
+    }
+    long established = countClientConnections(TcpState.ESTABLISHED);
+
+    disconnect(clients.get(waiting), how);
+    await(
+        () ->
+            countClientConnections(TcpState.ESTABLISHED) == established - 1
+                && countClientConnections(TcpState.CLOSE_WAIT) == 0);
+    endpointA.released.countDown();
+
+    assertEquals("200", statusOfNewClient(request("/read/after", REQUEST_TIMEOUT_MS)));
+    assertFalse(
+        endpointA.requestCounts.containsKey(queuedPath(waiting)),
+        "requests sent: " + endpointA.requestCounts);
+  }
+
+  private static String queuedPath(int client) {
+    return "/read/" + client + "then";
+  }
+
+  /** The clients that have an answer, filled as answers arrive. */
+  private static Set<Integer> collectAnswered(List<Socket> clients) {
+    Set<Integer> answered = ConcurrentHashMap.newKeySet();
+    for (int i = 0; i < clients.size(); i++) {
+      int client = i;
+      BackgroundTask.start(
+          () -> {
+            readResponse(clients.get(client));
+            answered.add(client);
+          });
+    }
+    return answered;
+  }
+
+  /** The first endpoint is overloaded, and the retry waits for its connection. */
+  @ParameterizedTest
+  @CsvSource({"closes,true", "closes,false", "resets,false", "half-closes,true"})
+  void doesNotRetryAfterDisconnect(String how, boolean cancellable) throws Exception {
+    LateEndpoint endpoint = openLateEndpoint();
+    startAndAwaitReady(withLongTimeouts(entryOfA()).cancellable(cancellable));
+    Socket client = connect();
+    sendAndAwaitArrival(client, "/read/fullthen", REQUEST_TIMEOUT_MS);
+    discovery.publishAndAwait(inService("b", endpoint.address()));
+    endpointA.released.countDown();
+    awaitConnect(endpoint);
+
+    disconnect(client, how);
+    awaitNoClientConnections();
+    endpoint.makeRoomAndServe();
+
+    // Without endpoint A the next request goes where the retry would have gone.
+    discovery.publishAndAwait(terminating("a", endpointA.address()));
+    assertEquals("200", statusOfNewClient(request("/read/after", REQUEST_TIMEOUT_MS)));
+    assertEquals(List.of("/read/after"), endpoint.requestPaths);
+  }
+}
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/cli/EndpointConnectionsIT.java
@@ -0,0 +1,100 @@
+package dillcross.cli;
+
+import static dillcross.cli.HttpMessages.exchange;
+import static dillcross.cli.HttpMessages.readResponse;
+import static dillcross.cli.HttpMessages.send;
+import static dillcross.cli.HttpMessages.statusOf;
+import static dillcross.cli.TestDiscovery.inService;
+import static dillcross.cli.TestDiscovery.terminated;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.file.Files;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Covers when connections to endpoints are reused and when they are closed; see {@link
+ * dillcross.net.endpoint.EndpointConnectionPool}.
+ */
+class EndpointConnectionsIT extends SidecarFixture {
+  @Test
+  void reusesConnectionForManyRequests() throws Exception {
+    startWithEndpointA();
+    Socket socket = connect();
+
+    for (int i = 0; i < 50; i++) {
+      awaitConnectionReuse();
+      String request =
+          "GET /read/"
+              + i
+              + "?q=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: "
+              + i
+              + "\r\nRequest-Timeout-Ms: 2000\r\n\r\n";
+      assertEquals("200", statusOf(exchange(socket, request)));
+    }
+
+    assertEquals(50, endpointA.requests.size());
+    assertEquals(1, endpointA.acceptedConnections.get());
+    String healthCheck = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+    assertEquals("200", statusOf(exchange(socket, healthCheck)));
+    String eighth = endpointA.requests.get(7);
+    assertTrue(eighth.startsWith("GET /read/7?q=1 HTTP/1.1\r\n"), eighth);
+  }
+
+  /** After a network partition, connections older than an abandoned attempt may be dead. */
+  @Test
+  void closesConnectionsOlderThanAnAbandonedAttempt() throws Exception {
+    startWithEndpointA();
+    Socket first = connect();
+    Socket second = connect();
+    send(first, request("/read/slow"));
+    assertEquals("200", statusOf(exchange(second, request("/read/slow"))));
+    assertEquals("200", statusOf(readResponse(first)));
+    assertEquals(2, endpointA.acceptedConnections.get());
+    awaitConnectionReuse();
+
+    assertEquals("502", statusOf(exchange(first, request("/buy/hang", 300))));
+
+    assertEquals("200", statusOf(exchange(first, request("/read/ok"))));
+    assertEquals(3, endpointA.acceptedConnections.get());
+  }
+
+  /** A request written while the endpoint closes the connection might have run. */
+  @Test
+  void closesIdleConnectionBeforeEndpointDoes() throws Exception {
+    startAndAwaitReady(new TestConfig(entryOfA()).keepAliveMs(300));
+    Socket socket = connect();
+    assertEquals("200", statusOf(exchange(socket, request("/read/ok"))));
+
+    Thread.sleep(400);
+
+    assertEquals("200", statusOf(exchange(socket, request("/read/ok"))));
+    assertEquals(2, endpointA.acceptedConnections.get());
+  }
+
+  /** Each new endpoint gets its own connection, and a removed endpoint's connections are closed. */
+  @Test
+  void newEndpointAtSameAddressGetsNewConnections() throws Exception {
+    startAndAwaitReady(new TestConfig(inService("a0", endpointA.address())));
+    Socket socket = connect();
+    assertEquals("200", statusOf(exchange(socket, request("/read/ok"))));
+    long descriptorsBefore = countDescriptors();
+
+    for (int i = 1; i <= 20; i++) {
+      discovery.publishAndAwait(
+          inService("a" + i, endpointA.address()), terminated("a" + (i - 1), endpointA.address()));
+      assertEquals("200", statusOf(exchange(socket, request("/read/ok"))));
+      assertEquals(i + 1, endpointA.acceptedConnections.get());
+    }
+
+    await(() -> countDescriptors() <= descriptorsBefore + 1); // one may close at the next select
+  }
+
+  private long countDescriptors() throws IOException {
+    try (var descriptors = Files.list(sidecar.procFile("fd"))) {
+      return descriptors.count();
+    }
+  }
+}
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/cli/LoopbackServer.java
@@ -0,0 +1,69 @@
+package dillcross.cli;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** A server on loopback with a thread for each connection; records what it received. */
+abstract class LoopbackServer implements AutoCloseable {
+  private static final int BACKLOG = 200;
+
+  /** Every message it received, oldest first. */
+  final List<String> requests = Collections.synchronizedList(new ArrayList<>());
+
+  /** How many connections it has accepted. */
+  final AtomicInteger acceptedConnections = new AtomicInteger();
+
+  private final ServerSocket server;
+
+  /** Binds a free port; accepts nothing before {@link #start}. */
+  LoopbackServer() {
+    try {
+      server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  /** Starts to accept connections. */
+  void start() {
+    BackgroundTask.start(
+        () -> {
+          while (true) {
+            Socket socket = server.accept();
+            acceptedConnections.incrementAndGet();
+            BackgroundTask.start(() -> serveAndClose(socket));
+          }
+        });
+  }
+
+  private void serveAndClose(Socket socket) throws Exception {
+    try (socket) {
+      serve(socket);
+    }
+  }
+
+  /** Answers the messages of one connection until one side is to close it. */
+  abstract void serve(Socket socket) throws Exception;
+
+  /** Its numeric address with the port. */
+  String address() {
+    return "127.0.0.1:" + server.getLocalPort();
+  }
+
+  /** The path of each request, oldest first. */
+  List<String> requestPaths() {
+    return requests.stream().map(HttpMessages::pathOf).toList();
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+  }
+}
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/cli/SidecarProcess.java
@@ -0,0 +1,118 @@
+package dillcross.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.File;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** The built program as a process, with its log and the ports that it announces there. */
+final class SidecarProcess {
+  private static final Path DEPLOY_FILE = Path.of("../deploy/balancer.toml");
+  private static final File WORKING_DIRECTORY = new File("..");
+  private static final Pattern RUN_COMMAND = Pattern.compile("run = \"exec java (.*) serve\"");
+  private static final Pattern ADMIN_PORT = Pattern.compile("endpoint on 127.0.0.1:([0-9]+)");
+  private static final Pattern CLIENT_PORT = Pattern.compile("ready on 127.0.0.1:([0-9]+)");
+  private static final long EXIT_TIMEOUT_S = 20;
+
+  final Process process;
+
+  /** Where it accepts clients, once it is ready. */
+  int port;
+
+  /** Where its admin endpoint is, if the configuration opens one. */
+  int adminPort;
+
+  private final BufferedReader log;
+
+  private SidecarProcess(Process process) {
+    this.process = process;
+    log =
+        new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
+  }
+
+  /**
+   * Starts it by the command of the deploy file.
+   *
+   * @param launcher a command that starts the program, such as a limit on resources; may be empty
+   * @param environment variables beside the one that names the configuration file
+   */
+  static SidecarProcess start(Path config, List<String> launcher, Map<String, String> environment)
+      throws IOException {
+    Matcher run = RUN_COMMAND.matcher(Files.readString(DEPLOY_FILE));
+    assertTrue(run.find());
+    List<String> command = new ArrayList<>(launcher);
+    command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    command.addAll(List.of(run.group(1).split(" ")));
+    command.add("serve");
+    ProcessBuilder builder = new ProcessBuilder(command).directory(WORKING_DIRECTORY);
+    builder.environment().put("NODE_CONFIG", config.toString());
+    builder.environment().putAll(environment);
+    return new SidecarProcess(builder.start());
+  }
+
+  /** Reads the log until it says that the sidecar is ready. */
+  void awaitReady() throws IOException {
+    String line = log.readLine();
+    while (line != null) {
+      Matcher admin = ADMIN_PORT.matcher(line);
+      if (admin.find()) {
+        adminPort = Integer.parseInt(admin.group(1));
+      }
+      Matcher client = CLIENT_PORT.matcher(line);
+      if (client.find()) {
+        port = Integer.parseInt(client.group(1));
+        return;
+      }
+      line = log.readLine();
+    }
+    throw new AssertionError("the sidecar ended before it was ready");
+  }
+
+  /** Reads the log up to a line that contains this text. */
+  void awaitLogLine(String text) throws IOException {
+    String line;
+    do {
+      line = log.readLine();
+      assertTrue(line != null, "no log line with " + text);
+    } while (!line.contains(text));
+  }
+
+  /** Reads the rest of the log, until the program ends. */
+  List<String> remainingLog() {
+    return log.lines().toList();
+  }
+
+  /** Sends it a signal, by its name without SIG. */
+  void signal(String name) throws Exception {
+    String pid = String.valueOf(process.pid());
+    assertEquals(0, new ProcessBuilder("kill", "-" + name, pid).start().waitFor());
+  }
+
+  /** Whether it ends within 20 s. */
+  boolean exitsInTime() throws InterruptedException {
+    return process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
+  }
+
+  /** Its state as the kernel shows it, below {@code /proc}. */
+  Path procFile(String name) {
+    return Path.of("/proc", String.valueOf(process.pid()), name);
+  }
+
+  /** Ends it at once, with all processes that it has started. */
+  void kill() throws InterruptedException {
+    process.descendants().forEach(ProcessHandle::destroyForcibly);
+    process.destroyForcibly().waitFor();
+  }
+}
--- /dev/null
+++ b/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
@@ -0,0 +1,106 @@
+package dillcross.cli;
+
+import static dillcross.cli.HttpMessages.pathOf;
+import static dillcross.cli.HttpMessages.readMessage;
+import static dillcross.cli.HttpMessages.response;
+import static dillcross.cli.HttpMessages.send;
+
+import java.io.InputStream;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+
+/** A discovery service that holds watches open until a test publishes endpoints. */
+final class TestDiscovery extends LoopbackServer {
+  /** A scripted reply that never comes. */
+  static final String SILENCE = "silent";
+
+  private static final String DELAY_PREFIX = "later";
+  private static final long REPLY_DELAY_MS = 400;
+
+  /** Replies to the next calls, in place of the endpoint list. */
+  final List<String> scriptedReplies = Collections.synchronizedList(new ArrayList<>());
+
+  private String entries = ""; // what changed in the version below
+  private int version = 1;
+  private int requestedVersion; // which the last watch had
+
+  /** A scripted reply that comes late. */
+  static String delayed(String reply) {
+    return DELAY_PREFIX + reply;
+  }
+
+  /** One endpoint that takes requests. */
+  static String inService(String id, String address) {
+    return entry(id, "in_service", address);
+  }
+
+  /** One endpoint that shuts down gracefully. */
+  static String terminating(String id, String address) {
+    return entry(id, "terminating", address);
+  }
+
+  /** One endpoint that has gone. */
+  static String terminated(String id, String address) {
+    return entry(id, "terminated", address);
+  }
+
+  /** One endpoint of the list, as JSON, in the given state of the protocol. */
+  static String entry(String id, String state, String address) {
+    return "{\"id\":\""
+        + id
+        + "\",\"addr\":\""
+        + address
+        + "\",\"zone\":\"east\",\"kind\":\"k\",\"cell\":1,\"state\":\""
+        + state
+        + "\",\"weight\":1.0,\"started_ms\":0}";
+  }
+
+  /** Publishes a new version of the list with these changes. */
+  synchronized void publish(String... changedEntries) {
+    entries = String.join(",", changedEntries);
+    version++;
+    notifyAll();
+  }
+
+  /** As {@link #publish}, and waits until the sidecar has asked for the version after it. */
+  synchronized void publishAndAwait(String... changedEntries) throws InterruptedException {
+    publish(changedEntries);
+    while (requestedVersion < version) {
+      wait();
+    }
+  }
+
+  @Override
+  void serve(Socket socket) throws Exception {
+    InputStream in = socket.getInputStream();
+    for (String request = readMessage(in); !request.isEmpty(); request = readMessage(in)) {
+      requests.add(request);
+      String reply = replyTo(pathOf(request));
+      if (reply.startsWith(DELAY_PREFIX)) {
+        Thread.sleep(REPLY_DELAY_MS);
+        reply = reply.substring(DELAY_PREFIX.length());
+      }
+      if (reply.equals(SILENCE)) {
+        new CountDownLatch(1).await();
+      }
+      send(socket, reply);
+    }
+  }
+
+  private synchronized String replyTo(String path) throws InterruptedException {
+    if (!scriptedReplies.isEmpty()) {
+      return scriptedReplies.remove(0);
+    }
+    int knownVersion = Integer.parseInt(path.replaceAll(".*since=([0-9]+).*", "$1"));
+    requestedVersion = knownVersion;
+    notifyAll();
+    while (knownVersion >= version) {
+      wait();
+    }
+    return response(
+        200, "", "{\"version\":" + version + ",\"full\":false,\"servers\":[" + entries + "]}");
+  }
+}
