--- a/sidecar/src/main/java/dillcross/config/ConfigKeys.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigKeys.java
@@ -138,7 +138,7 @@
   /** A sidecar without watch or poll for so long counts as notified of every change, in ms. */
   static final String POLL_WITHIN_MS = "rules.ask_within_ms";
 
-  /** Whether an endpoint that the list removes without draining it may still be used. */
+  /** Whether an endpoint that disappears without draining may still be used. */
   static final String KEEP_REMOVED = "rules.dropped_stay_open";
 
   /** Whether endpoint weights follow the load ({@link #WEIGHTS_DYNAMIC}) or are sizes. */
--- a/sidecar/src/main/java/dillcross/config/ConfigValues.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigValues.java
@@ -135,8 +135,8 @@
   }
 
   /**
-   * One of the known words; the first where it is absent. An unknown word is invalid, as it must
-   * not pass as the default.
+   * One of the known words; the first where it is absent. Other words are invalid, as they must not
+   * pass as the default.
    */
   String keyword(String path, String... known) {
     String word = find(path).orElse(known[0]);
--- a/sidecar/src/main/java/dillcross/config/InvalidConfigException.java
+++ b/sidecar/src/main/java/dillcross/config/InvalidConfigException.java
@@ -6,7 +6,7 @@
 public final class InvalidConfigException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  private final String location; // null where the key says it all
+  private final String location; // null if unknown
   private final String key;
   private final String reason;
 
--- a/sidecar/src/main/java/dillcross/model/AttemptOutcome.java
+++ b/sidecar/src/main/java/dillcross/model/AttemptOutcome.java
@@ -1,29 +1,27 @@
 package dillcross.model;
 
-/** How one attempt ended. */
+/** How one attempt ended, as far as the load balancer distinguishes. Immutable. */
 public enum AttemptOutcome {
   /** The endpoint answered successfully. */
   SUCCEEDED(true, false),
   /** The endpoint answered that it failed. */
   ERROR(true, true),
-  /** Rejected unseen by an endpoint that is full or draining; does not count against its health. */
+  /** Rejected before execution by an endpoint that is full or draining; no failure of it. */
   OVERLOADED(false, false),
-  /**
-   * The request itself is at fault, at any endpoint; final, and no mark against this one's health.
-   */
+  /** The endpoint found the request invalid; final, and no failure of the endpoint. */
   CLIENT_ERROR(false, false),
   /** No answer within the attempt's deadline. */
   TIMED_OUT(true, true),
-  /** The connection failed, or broke before the request was written completely. */
+  /** The connect failed, or the connection broke before the request was written completely. */
   CONNECT_FAILED(false, true),
   /** The connection broke after the request was written completely. */
   RESET(true, true),
   /** Cancelled by the sidecar. */
   CANCELLED(true, false),
-  /** Never sent: the request was over, out of time or out of attempts. */
+  /** Never sent: the request had ended, or had no time or attempts left. */
   NOT_SENT(false, false);
 
-  /** False only where the outcome proves that the request never ran. */
+  /** Whether the endpoint may have executed the request; false only where it provably has not. */
   public final boolean mayHaveRun;
 
   /** Whether it counts as a failure of the endpoint. */
--- a/sidecar/src/main/java/dillcross/model/Decision.java
+++ b/sidecar/src/main/java/dillcross/model/Decision.java
@@ -1,19 +1,22 @@
 package dillcross.model;
 
-/** One thing for the host of a load balancer to carry out; {@link #accept} tells which. */
+/**
+ * A command of the load balancer to its host, to be executed in the order in which decisions are
+ * taken. Immutable; {@link #accept} dispatches by its kind.
+ */
 public sealed interface Decision {
-  /** Calls the method of {@code handler} that is made for this kind of decision. */
+  /** Calls the method of {@code handler} for this kind of decision. */
   void accept(Handler handler);
 
-  /** Receives decisions by their kind. */
+  /** Executes decisions, one method for each kind. */
   interface Handler {
     /** Send the request to an endpoint. */
     void onSendAttempt(SendAttempt decision);
 
-    /** Give the client its final answer: rejected, another try is safe. */
+    /** Give the client its final answer: rejected, a retry by the client is safe. */
     void onReject(Reject decision);
 
-    /** Give the client its final answer: failed, nothing is promised. */
+    /** Give the client its final answer: failed, the request may have been executed. */
     void onFail(Fail decision);
 
     /** Cancel an attempt in flight. */
@@ -32,6 +35,8 @@
   /**
    * Send the request to an endpoint.
    *
+   * @param requestId the load balancer's number of the request
+   * @param endpoint the endpoint's id
    * @param deadlineUs when the attempt times out, in microseconds of the caller's clock; 0 for the
    *     request's own deadline
    */
@@ -43,9 +48,11 @@
   }
 
   /**
-   * Final answer: another try is safe.
+   * Final answer: rejected, a retry by the client is safe.
    *
-   * @param retryAfterUs how long the client should wait before it, in microseconds; 0 for no advice
+   * @param requestId the load balancer's number of the request
+   * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 for no
+   *     advice
    */
   record Reject(long requestId, long retryAfterUs) implements Decision {
     @Override
@@ -54,7 +61,11 @@
     }
   }
 
-  /** Final answer: nothing is promised. */
+  /**
+   * Final answer: failed, the request may have been executed.
+   *
+   * @param requestId the load balancer's number of the request
+   */
   record Fail(long requestId) implements Decision {
     @Override
     public void accept(Handler handler) {
@@ -65,6 +76,7 @@
   /**
    * Cancel an attempt in flight.
    *
+   * @param requestId the load balancer's number of the request
    * @param attempt its number within the request, from 0
    */
   record CancelAttempt(long requestId, int attempt) implements Decision {
@@ -74,7 +86,11 @@
     }
   }
 
-  /** Close the idle connections to an endpoint that is no longer in use. */
+  /**
+   * Close the idle connections to an endpoint that is no longer in use.
+   *
+   * @param endpoint the endpoint's id
+   */
   record ReleaseConnections(String endpoint) implements Decision {
     @Override
     public void accept(Handler handler) {
--- a/sidecar/src/main/java/dillcross/model/DeduplicationScope.java
+++ b/sidecar/src/main/java/dillcross/model/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package dillcross.model;
 
-/** Which endpoints recognise a repeated idempotency key. */
+/** Which endpoints recognise an idempotency key that another endpoint has seen. */
 public enum DeduplicationScope {
   /** All endpoints. */
   ALL,
-  /** Those in the zone of the endpoint that saw it first. */
+  /** The endpoints in the zone of the one that saw it first. */
   ZONE,
-  /** Those in the cell of the endpoint that saw it first. */
+  /** The endpoints in the cell of the one that saw it first, see {@link Endpoint}. */
   CELL
 }
--- a/sidecar/src/main/java/dillcross/model/DiscoveryPolicy.java
+++ b/sidecar/src/main/java/dillcross/model/DiscoveryPolicy.java
@@ -1,14 +1,13 @@
 package dillcross.model;
 
 /**
- * How the endpoint list is learned and read.
+ * How the endpoint list is obtained and interpreted.
  *
- * @param pollRequired whether it has to be asked for; otherwise it is pushed
- * @param pollWithinUs a sidecar that has neither watched nor polled for so long, in microseconds,
- *     counts as notified of every change
- * @param keepRemoved whether an endpoint that the list removes without draining it may still be
- *     used
- * @param dynamicWeights whether weights move with load; otherwise they are sizes
+ * @param pollRequired whether the sidecar has to request it; otherwise it is pushed
+ * @param pollWithinUs time without watch or poll, in microseconds, after which a sidecar counts as
+ *     notified of every change
+ * @param keepRemoved whether an endpoint that disappears without draining may still be used
+ * @param dynamicWeights whether an endpoint's weight follows its load; otherwise it is its capacity
  */
 public record DiscoveryPolicy(
     boolean pollRequired, long pollWithinUs, boolean keepRemoved, boolean dynamicWeights) {}
--- a/sidecar/src/main/java/dillcross/model/Idempotency.java
+++ b/sidecar/src/main/java/dillcross/model/Idempotency.java
@@ -1,11 +1,11 @@
 package dillcross.model;
 
-/** What running a request a second time would do. */
+/** Whether a request may be executed more than once. */
 public enum Idempotency {
-  /** Running it again does no harm. */
+  /** Executing it again does no harm. */
   IDEMPOTENT,
-  /** It carries an idempotency key, which endpoints within a scope recognise for a while. */
+  /** Endpoints within a scope recognise its idempotency key for a while and execute it once. */
   IDEMPOTENT_WITH_KEY,
-  /** It may never run a second time. */
+  /** It must not be executed a second time. */
   NON_IDEMPOTENT
 }
--- a/sidecar/src/main/java/dillcross/model/RequestClass.java
+++ b/sidecar/src/main/java/dillcross/model/RequestClass.java
@@ -1,16 +1,16 @@
 package dillcross.model;
 
 /**
- * A class of requests that share their rules and objectives.
+ * A class of requests with common rules and objectives. Immutable.
  *
- * @param name as requests name it
- * @param idempotency what running a request a second time would do
+ * @param name unique; requests carry it
+ * @param idempotency whether its requests may be executed more than once
  * @param scope which endpoints recognise a repeated idempotency key
  * @param deduplicationWindowUs how long they recognise it, in microseconds
- * @param latencyObjectiveUs an answer within it earns all of {@code priorityWeight}, in
+ * @param latencyObjectiveUs a response within it earns all of {@code priorityWeight}, in
  *     microseconds
- * @param priorityWeight what an answer is worth, compared with other classes
- * @param lateValueShare the part of {@code priorityWeight} that a later answer still earns, 0 to 1
+ * @param priorityWeight the value of a response relative to other classes
+ * @param lateValueShare the share of {@code priorityWeight} that a later response earns, 0 to 1
  */
 public record RequestClass(
     String name,
--- a/sidecar/src/main/java/dillcross/model/RetryPolicy.java
+++ b/sidecar/src/main/java/dillcross/model/RetryPolicy.java
@@ -1,10 +1,10 @@
 package dillcross.model;
 
 /**
- * What further attempts of a request are allowed.
+ * The limits on the attempts of one request.
  *
- * @param maxAttempts per request, the first included
- * @param hedgingAllowed whether two may be in flight together
- * @param cancellable whether one in flight can be cancelled
+ * @param maxAttempts per request, the first included; at least 1
+ * @param hedgingAllowed whether two attempts may be in flight at the same time
+ * @param cancellable whether an attempt in flight can be cancelled
  */
 public record RetryPolicy(int maxAttempts, boolean hedgingAllowed, boolean cancellable) {}
--- a/sidecar/src/main/java/dillcross/model/ServiceObjective.java
+++ b/sidecar/src/main/java/dillcross/model/ServiceObjective.java
@@ -1,9 +1,9 @@
 package dillcross.model;
 
 /**
- * The objective beside priority weights: few requests may miss their latency objective.
+ * The objective for tail latency: few requests of a class may miss its latency objective.
  *
- * @param tailWeight weight of that objective; 0 where there is none
- * @param tailSlack share of the requests of a class that may miss, over a few seconds, 0 to 1
+ * @param tailWeight its weight relative to priority weights; 0 for no such objective
+ * @param tailSlack share of the requests of a class that may miss it, over a few seconds, 0 to 1
  */
 public record ServiceObjective(double tailWeight, double tailSlack) {}
--- a/sidecar/src/test/java/dillcross/config/ConfigReaderTest.java
+++ b/sidecar/src/test/java/dillcross/config/ConfigReaderTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading and replacing configurations: defaults, and errors that name the key. */
 class ConfigReaderTest {
   @TempDir private Path folder;
 
@@ -53,8 +54,8 @@
         "{\"limits\":{\"sockets\":3}}!limits.sockets",
         "{!c.json"
       })
-  void aFaultNamesItsKey(String json, String key) {
-    var fault =
+  void errorNamesKeyOfInvalidValue(String json, String key) {
+    InvalidConfigException error =
         assertThrows(
             InvalidConfigException.class,
             () -> {
@@ -66,11 +67,14 @@
               ConfigReader.sidecarSettings(settings);
             });
     assertTrue(
-        fault.getMessage().startsWith(key) || fault.getMessage().contains(key + ":"),
-        fault.getMessage());
+        error.getMessage().startsWith(key) || error.getMessage().contains(key + ":"),
+        error.getMessage());
   }
 
-  /** What may take the place of a running configuration, or the key that forbids it. */
+  /**
+   * A change of a valid configuration by replacing {@code oldText} with {@code newText}, and the
+   * error that refuses it at a reload; null where it is accepted.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '!',
@@ -101,28 +105,28 @@
         "\"discovery\"!\"found\"!discovery: is missing",
         "\"seed\"!\"sown\"!seed: is missing, and stood in the last one"
       })
-  void whatMayTakeThePlaceOfARunningConfiguration(String was, String is, String expected)
-      throws IOException {
-    String good =
+  void reloadAcceptsValidReplacementAndNamesMissingOrInvalidKey(
+      String oldText, String newText, String expectedError) throws IOException {
+    String valid =
         "{\"discovery\":\"b1\",\"seed\":\"1\",\"settings\":{\"categories\":[{\"name\":\"a\",\"effect\":\"idempotent\",\"target_latency_ms\":300,"
             + "\"ttl_ms\":900,\"benefit\":1}],\"tenants\":[],\"limits\":{\"max_pushes\":3,\"may_duplicate\":true,\"cancel\":true},\"rules\":{\"fall_ms\":1500}}}";
-    ConfigValues before = values(good);
-    assertTrue(good.contains(was));
-    ConfigValues next = values(good.replace(was, is));
-    String reason = null;
+    ConfigValues current = values(valid);
+    assertTrue(valid.contains(oldText));
+    ConfigValues next = values(valid.replace(oldText, newText));
+    String error = null;
     try {
       next.require("discovery");
       ConfigReader.sidecarSettings(next.section("settings"));
-      ConfigReplacement.check(next, before);
-    } catch (InvalidConfigException faulty) {
-      reason = faulty.getMessage();
+      ConfigReplacement.check(next, current);
+    } catch (InvalidConfigException e) {
+      error = e.getMessage();
     }
-    assertEquals(expected == null, reason == null, reason);
-    assertTrue(expected == null || reason.startsWith(expected), reason);
+    assertEquals(expectedError == null, error == null, error);
+    assertTrue(expectedError == null || error.startsWith(expectedError), error);
   }
 
   @Test
-  void theFileComesBeforeTheEnvironment() throws IOException {
+  void fileTakesPrecedenceOverEnvironment() throws IOException {
     ConfigValues values = values("{\"name\":\"n1\",\"seed\":\"8c1f30d27a5be964\"}");
     assertEquals("n1", values.require("name"));
     assertEquals(
--- a/sidecar/src/test/java/dillcross/config/OperatorConfigTest.java
+++ b/sidecar/src/test/java/dillcross/config/OperatorConfigTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading the operators' file: defaults, and errors that name line and key. */
 class OperatorConfigTest {
   @TempDir private Path folder;
 
@@ -25,12 +26,12 @@
   }
 
   @Test
-  void whatIsNotNamedIsOff() throws IOException {
-    assertEquals(Optional.empty(), membership("# nothing yet\n"));
+  void membershipIsOffWithoutItsTable() throws IOException {
+    assertEquals(Optional.empty(), membership("# no table\n"));
   }
 
   @Test
-  void absentKeysHaveCarefulDefaults() throws IOException {
+  void absentKeysHaveDefaults() throws IOException {
     Optional<MembershipConfig> membership =
         membership("[membership]\nbind = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7947\"]\n");
     assertEquals(
@@ -47,7 +48,7 @@
   }
 
   @Test
-  void theExampleIsRead() {
+  void readsDeployedExample() {
     assertEquals(
         "127.0.0.1:7946",
         OperatorConfig.read("../deploy/operator-example.toml")
@@ -69,15 +70,15 @@
         "[membershop];bind = 1 | 1 | membershop",
         "[membership;bind = 1 | 1 | not TOML"
       })
-  void aFaultNamesLineAndKey(String text, int line, String key) {
-    String said =
+  void errorNamesLineAndKey(String text, int line, String key) {
+    String message =
         assertThrows(InvalidConfigException.class, () -> membership(text.replace(';', '\n')))
             .getMessage();
-    assertTrue(said.contains(key) && said.contains("line " + line), said);
+    assertTrue(message.contains(key) && message.contains("line " + line), message);
   }
 
   @Test
-  void aFileThatIsNotThereIsAFault() {
+  void missingFileIsInvalid() {
     assertTrue(
         assertThrows(InvalidConfigException.class, () -> OperatorConfig.read("/no/such/file.toml"))
             .getMessage()
--- a/sidecar/src/test/java/dillcross/model/TestSettings.java
+++ b/sidecar/src/test/java/dillcross/model/TestSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Settings for tests: what they have no opinion on is filled in. */
+/** Load balancer settings for tests, with fixed values for what most tests do not vary. */
 public final class TestSettings {
   /** A class of idempotent requests. */
   public static final RequestClass READ =
@@ -10,7 +10,10 @@
 
   private TestSettings() {}
 
-  /** Settings with three attempts a request, hedging and cancelling allowed, and no tenants. */
+  /**
+   * Settings with at most three attempts per request, hedging and cancellation allowed, no tenants
+   * and no objective for tail latency.
+   */
   public static BalancerSettings of(
       String zone,
       int instanceIndex,
