--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedListeningSocket.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedListeningSocket.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 
 /** A listening socket; connections that arrive while it does not accept wait in its backlog. */
-final class EmulatedListeningSocket implements Network.ListeningSocket, VirtualNetwork.Entry {
+final class EmulatedListeningSocket implements Network.ListeningSocket, VirtualNetwork.Acceptor {
   private final EmulatedNetwork network;
   private final String address;
   private final Network.ConnectionAcceptor acceptor;
@@ -26,7 +26,7 @@
   }
 
   @Override
-  public void connected(SocketEndpoint end) {
+  public void onConnection(SocketEndpoint end) {
     EmulatedSocket socket = EmulatedSocket.arriving(network, this, end);
     backlog.add(socket);
     if (isAccepting) {
--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
@@ -15,7 +15,7 @@
  */
 public final class EmulatedNetwork implements Network {
   /** More iterations than this within a millisecond mean that the loop spins. */
-  private static final int MAX_TURNS_PER_MILLI = 20_000;
+  private static final int MAX_ITERATIONS_PER_MILLI = 20_000;
 
   private static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
@@ -23,60 +23,60 @@
   private final VirtualNetwork network;
   private final VirtualMachine host;
   private final String ip;
-  private final long turnUs;
-  private final Runnable onTurnEnd;
+  private final long iterationUs;
+  private final Runnable onIterationEnd;
   private final Set<EmulatedSocket> ready = new LinkedHashSet<>();
   private final Set<EmulatedListeningSocket> listeningSockets = new LinkedHashSet<>();
   private EventLoopTask task;
   private long wakeUpNumber; // of the latest wake-up; earlier ones are void
   private long wakeUpUs = NOT_SCHEDULED;
   private long busyUntilUs;
-  private boolean isDead;
+  private boolean isStopped;
   private boolean isSpinning;
-  private long turnCount;
-  private long turnsInMilli;
-  private long milliOfTurns;
+  private long iterationCount;
+  private long iterationsInMilli;
+  private long milliOfIterations;
 
   /**
    * The network of a process on that machine.
    *
    * @param ip the address of its listening sockets
-   * @param turnUs virtual time that an iteration takes, in µs
-   * @param onTurnEnd called after each iteration
+   * @param iterationUs virtual time that an iteration takes, in µs
+   * @param onIterationEnd called after each iteration
    */
   public EmulatedNetwork(
       VirtualClock clock,
       VirtualNetwork network,
       VirtualMachine host,
       String ip,
-      long turnUs,
-      Runnable onTurnEnd) {
+      long iterationUs,
+      Runnable onIterationEnd) {
     this.clock = clock;
     this.network = network;
     this.host = host;
     this.ip = ip;
-    this.turnUs = turnUs;
-    this.onTurnEnd = onTurnEnd;
+    this.iterationUs = iterationUs;
+    this.onIterationEnd = onIterationEnd;
   }
 
   /** Whether the event loop iterates without end while time stands still. */
-  public boolean spins() {
+  public boolean isSpinning() {
     return isSpinning;
   }
 
   /** Number of iterations so far. */
-  public long turnsMade() {
-    return turnCount;
+  public long iterationCount() {
+    return iterationCount;
   }
 
   /** Suspends the process until the given time in µs. */
-  public void stall(long untilUs) {
+  public void suspendUntil(long untilUs) {
     busyUntilUs = Math.max(busyUntilUs, untilUs);
   }
 
   /** Ends the process; its machine closes its connections separately. */
-  public void die() {
-    isDead = true;
+  public void stop() {
+    isStopped = true;
     listeningSockets.forEach(socket -> network.unlisten(socket.address()));
   }
 
@@ -95,7 +95,7 @@
 
   private void wakeUpAt(long requestedUs) {
     long atUs = Math.max(requestedUs, busyUntilUs);
-    if (isDead || task == null || atUs >= wakeUpUs) {
+    if (isStopped || task == null || atUs >= wakeUpUs) {
       return;
     }
     wakeUpUs = atUs;
@@ -104,7 +104,7 @@
     clock.at(
         atUs,
         () -> {
-          if (number == wakeUpNumber && !isDead) {
+          if (number == wakeUpNumber && !isStopped) {
             onWakeUp();
           }
         });
@@ -115,11 +115,11 @@
     if (clock.now() < busyUntilUs) {
       wakeUpAt(busyUntilUs); // suspended after the wake-up was scheduled
     } else {
-      runTurn();
+      runIteration();
     }
   }
 
-  private void runTurn() {
+  private void runIteration() {
     task.beforeEvents();
     EmulatedSocket[] readyNow = ready.toArray(new EmulatedSocket[0]);
     ready.clear();
@@ -127,24 +127,24 @@
       socket.dispatch();
     }
     task.afterEvents();
-    countTurn();
-    onTurnEnd.run();
-    if (isDead || isSpinning) {
+    countIteration();
+    onIterationEnd.run();
+    if (isStopped || isSpinning) {
       return;
     }
-    busyUntilUs = Math.max(busyUntilUs, clock.now() + turnUs);
+    busyUntilUs = Math.max(busyUntilUs, clock.now() + iterationUs);
     if (!ready.isEmpty()) {
       wakeUp();
     }
     wakeUpAt(clock.now() + selectTimeoutUs(task.maxWaitUs()));
   }
 
-  private void countTurn() {
-    turnCount++;
+  private void countIteration() {
+    iterationCount++;
     long milli = clock.now() / TimeUnits.MICROS_PER_MILLI;
-    turnsInMilli = milli == milliOfTurns ? turnsInMilli + 1 : 0;
-    milliOfTurns = milli;
-    isSpinning |= turnsInMilli > MAX_TURNS_PER_MILLI;
+    iterationsInMilli = milli == milliOfIterations ? iterationsInMilli + 1 : 0;
+    milliOfIterations = milli;
+    isSpinning |= iterationsInMilli > MAX_ITERATIONS_PER_MILLI;
   }
 
   /** A selector waits for whole milliseconds, rounded up here. */
--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedSocket.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedSocket.java
@@ -33,7 +33,7 @@
     EmulatedSocket socket = new EmulatedSocket(network);
     socket.end = end;
     socket.listeningSocket = listeningSocket;
-    end.owner(socket);
+    end.setOwner(socket);
     return socket;
   }
 
@@ -56,25 +56,25 @@
 
   /** Resets a connection that the process has not accepted. */
   void refuse() {
-    end.breakOff();
+    end.reset();
   }
 
   // ---- Events of the network
 
   @Override
-  public void up(SocketEndpoint same) {
+  public void onConnected(SocketEndpoint same) {
     isUp = true;
     network.markReady(this);
   }
 
   @Override
-  public void failed(SocketEndpoint same) {
+  public void onConnectFailed(SocketEndpoint same) {
     hasFailed = true;
     network.markReady(this);
   }
 
   @Override
-  public void readable(SocketEndpoint same) {
+  public void onReadable(SocketEndpoint same) {
     boolean isReadReady = hasReadInterest && listeningSocket == null && connectCallback == null;
     boolean isAcceptReady = listeningSocket != null && listeningSocket.isAccepting();
     if (isReadReady || isAcceptReady) {
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void taken(SocketEndpoint same) {
+  public void onWritten(SocketEndpoint same) {
     isWriteDone = true;
     network.markReady(this);
   }
@@ -148,10 +148,10 @@
   private void dispatchRead() {
     boolean wasReadScheduled = isReadScheduled;
     isReadScheduled = false;
-    if (!isClosed && (wasReadScheduled || (hasReadInterest && end.hasNews()))) {
+    if (!isClosed && (wasReadScheduled || (hasReadInterest && end.isReadable()))) {
       handler.onReadable();
     }
-    if (!isClosed && hasReadInterest && end.hasNews()) {
+    if (!isClosed && hasReadInterest && end.isReadable()) {
       network.keepReady(this);
     }
   }
@@ -186,7 +186,7 @@
   @Override
   public void setReadInterest(boolean isInterested) {
     hasReadInterest = isInterested;
-    if (isInterested && !isClosed && end.hasNews()) {
+    if (isInterested && !isClosed && end.isReadable()) {
       network.markReady(this);
     }
   }
@@ -199,7 +199,7 @@
 
   @Override
   public void shutdownOutput() {
-    end.endSending();
+    end.shutdownOutput();
   }
 
   @Override
--- a/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
@@ -11,20 +11,20 @@
   /** Receives the events of one side of a connection, each from an event of the clock. */
   public interface Owner {
     /** The connection that this side asked for is up. */
-    default void up(SocketEndpoint end) {
+    default void onConnected(SocketEndpoint end) {
       throw new IllegalStateException("this side did not connect");
     }
 
     /** The connection that this side asked for was refused. */
-    default void failed(SocketEndpoint end) {
+    default void onConnectFailed(SocketEndpoint end) {
       // Ignored by owners that do not retry.
     }
 
     /** Bytes, the end of input or a reset can be read. */
-    void readable(SocketEndpoint end);
+    void onReadable(SocketEndpoint end);
 
     /** All bytes of the latest {@link SocketEndpoint#send(ByteBuffer)} were sent or discarded. */
-    default void taken(SocketEndpoint end) {
+    default void onWritten(SocketEndpoint end) {
       // Ignored by owners that send without flow control.
     }
   }
@@ -71,7 +71,7 @@
   }
 
   /** Sets who receives its events from now on. */
-  public void owner(Owner newOwner) {
+  public void setOwner(Owner newOwner) {
     owner = newOwner;
   }
 
@@ -79,7 +79,7 @@
     return owner;
   }
 
-  void peer(SocketEndpoint other) {
+  void setPeer(SocketEndpoint other) {
     peer = other;
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** The machine on the other side. */
-  public VirtualMachine other() {
+  public VirtualMachine peerHost() {
     return peer.host;
   }
 
@@ -135,17 +135,17 @@
   }
 
   /** Whether the peer has read none of the last {@code byteCount} bytes sent. */
-  public boolean unreadByPeer(long byteCount) {
+  public boolean isUnreadByPeer(long byteCount) {
     return unacknowledgedBytes >= byteCount;
   }
 
   /** Whether bytes, the end of input or a reset can be read. */
-  public boolean hasNews() {
+  public boolean isReadable() {
     return unreadBytes > 0 || hasInputEnded || isReset;
   }
 
   /** Whether everything was read and nothing more can arrive. */
-  public boolean over() {
+  public boolean isInputOver() {
     return isReset || (hasInputEnded && unreadBytes == 0);
   }
 
@@ -206,14 +206,14 @@
     if (isOpen && pendingOutput != null && !isReset) {
       sendPending();
       if (pendingOutput == null) {
-        owner.taken(this);
+        owner.onWritten(this);
       }
     }
   }
 
   // ---- Sending
 
-  /** Sends within the window; true if bytes remain, and {@link Owner#taken} follows. */
+  /** Sends within the window; true if bytes remain, and {@link Owner#onWritten} follows. */
   public boolean send(ByteBuffer bytes) {
     pendingOutput = bytes;
     sendPending();
@@ -245,7 +245,7 @@
   }
 
   /** Ends output; input goes on. */
-  public void endSending() {
+  public void shutdownOutput() {
     if (isOpen && !hasOutputEnded) {
       hasOutputEnded = true;
       network.carryEnd(this);
@@ -277,7 +277,7 @@
   }
 
   /** Closes it with a reset. */
-  public void breakOff() {
+  public void reset() {
     close(true);
   }
 
@@ -314,14 +314,14 @@
     } else if (!isReset) {
       received.addLast(new Piece(bytes, sentUs, onRead));
       unreadBytes += bytes.length;
-      owner.readable(this);
+      owner.onReadable(this);
     }
   }
 
   void arriveEnd() {
     if (isOpen && !hasInputEnded && owner != null) {
       hasInputEnded = true;
-      owner.readable(this);
+      owner.onReadable(this);
     }
   }
 
@@ -332,10 +332,10 @@
     isReset = true;
     received.clear();
     unreadBytes = 0;
-    owner.readable(this);
+    owner.onReadable(this);
     if (pendingOutput != null) {
       pendingOutput = null;
-      owner.taken(this);
+      owner.onWritten(this);
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/network/VirtualMachine.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualMachine.java
@@ -52,7 +52,7 @@
   }
 
   /** Number of connections that its process holds. */
-  public int connections() {
+  public int connectionCount() {
     return sockets.size();
   }
 
--- a/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
@@ -13,12 +13,12 @@
  */
 public final class VirtualNetwork {
   /** Accepts connections at an address. */
-  public interface Entry {
+  public interface Acceptor {
     /** The machine that the address belongs to. */
     VirtualMachine host();
 
     /** A connection has arrived, which is up; sets its owner. */
-    void connected(SocketEndpoint end);
+    void onConnection(SocketEndpoint end);
   }
 
   private static final long SAME_MACHINE_DELAY_US = 15;
@@ -36,7 +36,7 @@
   private final long sameZoneDelayUs;
   private final long otherZoneDelayUs;
   private final long jitterUs;
-  private final Map<String, Entry> entries = new LinkedHashMap<>(); // by address
+  private final Map<String, Acceptor> acceptors = new LinkedHashMap<>(); // by address
   private final ZoneLinks links = new ZoneLinks();
   private final TrafficChecksum checksum = new TrafficChecksum();
   private final Map<String, Long> connectionCounts = new LinkedHashMap<>(); // by route
@@ -60,7 +60,7 @@
   }
 
   /** Checksum over every byte carried so far, when and where; equal for equal runs. */
-  public long sum() {
+  public long checksum() {
     return checksum.value();
   }
 
@@ -74,13 +74,13 @@
   // ---- Addresses
 
   /** Accepts connections at {@code ip:port}; false if the address is in use. */
-  public boolean listen(String address, Entry entry) {
-    return entries.putIfAbsent(address, entry) == null;
+  public boolean listen(String address, Acceptor acceptor) {
+    return acceptors.putIfAbsent(address, acceptor) == null;
   }
 
   /** Stops to accept connections at the address. */
   public void unlisten(String address) {
-    entries.remove(address);
+    acceptors.remove(address);
   }
 
   // ---- Faults
@@ -91,18 +91,18 @@
   }
 
   /** Adds delay in µs between two zones; a negative value takes it back. */
-  public void lag(String zone, String otherZone, long lagUs) {
+  public void addLag(String zone, String otherZone, long lagUs) {
     links.addLag(zone, otherZone, lagUs);
   }
 
   /** Sets the largest piece in bytes in which data arrives. */
-  public void pieces(int maxBytes) {
+  public void setMaxPieceBytes(int maxBytes) {
     maxPieceBytes = maxBytes;
   }
 
   /** Ends the process on a machine; its connections are reset. */
   public void kill(VirtualMachine host) {
-    host.sockets().forEach(SocketEndpoint::breakOff);
+    host.sockets().forEach(SocketEndpoint::reset);
   }
 
   /** Ends the process on a machine; its connections are closed, and what was sent arrives. */
@@ -116,7 +116,7 @@
   }
 
   /** Turns the machine on, with no knowledge of connections that were open. */
-  public void back(VirtualMachine host) {
+  public void restore(VirtualMachine host) {
     host.discardSockets();
     host.setSilent(false);
   }
@@ -232,25 +232,25 @@
   // ---- Connecting
 
   /**
-   * Connects to {@code ip:port}. The owner is told of the result, or of nothing if the machine at
-   * the address is off.
+   * Connects to {@code ip:port}. The owner receives the result, or nothing if the machine at the
+   * address is off.
    */
   public SocketEndpoint connect(VirtualMachine from, String address, SocketEndpoint.Owner owner) {
     SocketEndpoint near = new SocketEndpoint(this, from, connectionId(from, address), true);
-    near.owner(owner);
+    near.setOwner(owner);
     from.add(near);
-    Entry entry = entries.get(address);
-    VirtualMachine to = entry == null ? null : entry.host();
+    Acceptor acceptor = acceptors.get(address);
+    VirtualMachine to = acceptor == null ? null : acceptor.host();
     SocketEndpoint far =
         new SocketEndpoint(this, to == null ? from : to, near.connectionId(), false);
-    near.peer(far);
+    near.setPeer(far);
     if (to == null) {
       // The machine is on and refuses for the process that is not there.
       clock.after(
           from.zone().isEmpty() ? sameZoneDelayUs : 2 * sameZoneDelayUs, () -> refuse(near));
       return near;
     }
-    far.peer(near);
+    far.setPeer(near);
     transmitInOrder(near, true, () -> arriveConnect(near, address));
     return near;
   }
@@ -262,27 +262,27 @@
 
   private void arriveConnect(SocketEndpoint near, String address) {
     SocketEndpoint far = near.peer();
-    Entry entry = entries.get(address);
-    if (entry == null || entry.host() != far.host()) {
+    Acceptor acceptor = acceptors.get(address);
+    if (acceptor == null || acceptor.host() != far.host()) {
       after(near, far.host(), near.host(), () -> refuse(near));
       return;
     }
     far.host().add(far);
     far.markUp();
     after(near, far.host(), near.host(), () -> arriveAccept(near));
-    entry.connected(far);
+    acceptor.onConnection(far);
   }
 
   private static void arriveAccept(SocketEndpoint near) {
     if (near.isOpen()) {
       near.markUp();
-      near.owner().up(near);
+      near.owner().onConnected(near);
     }
   }
 
   private static void refuse(SocketEndpoint near) {
     if (near.isOpen() && !near.isUp()) {
-      near.owner().failed(near);
+      near.owner().onConnectFailed(near);
       near.discard();
       near.host().remove(near);
     }
--- a/emulator/src/main/java/dillcross/emulator/oracle/AnswerRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/AnswerRules.java
@@ -22,7 +22,7 @@
     this.disturbances = disturbances;
   }
 
-  /** See {@link Oracle#answered}. */
+  /** See {@link Oracle#answerReceived}. */
   void onAnswer(
       ObservedRequest request,
       int status,
@@ -94,18 +94,18 @@
     }
   }
 
-  /** See {@link Oracle#unasked}. */
+  /** See {@link Oracle#unexpectedBytesReceived}. */
   void onUnexpectedBytes(ObservedRequest lastRequest, int byteCount) {
     log.report(Rule.ONE_ANSWER, lastRequest, byteCount + " bytes that nobody asked for");
   }
 
-  /** See {@link Oracle#dropped}. */
+  /** See {@link Oracle#connectionDropped}. */
   void onConnectionDropped(ObservedRequest request) {
     request.markOver();
     log.report(Rule.ONE_ANSWER, request, "its connection ended without an answer");
   }
 
-  /** See {@link Oracle#silent}. */
+  /** See {@link Oracle#timedOut}. */
   void onTimeout(ObservedRequest request) {
     if (!request.isOver() && !request.isExcused()) {
       request.markOver();
--- a/emulator/src/main/java/dillcross/emulator/oracle/AttemptRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/AttemptRules.java
@@ -9,7 +9,7 @@
  */
 final class AttemptRules {
   /** Time after a client's close within which a sidecar may still start an attempt. */
-  private static final long CLIENT_LEFT_TOLERANCE_US = 100_000;
+  private static final long CLIENT_DISCONNECT_TOLERANCE_US = 100_000;
 
   private final ViolationLog log;
   private final Disturbances disturbances;
@@ -29,7 +29,7 @@
     }
     checkNotAfterAnswer(request, attempt);
     checkNotAfterDeadline(request, attempt);
-    checkNotAfterClientLeft(request, attempt);
+    checkNotAfterClientDisconnect(request, attempt);
   }
 
   private void checkNotAfterAnswer(ObservedRequest request, ObservedRequest.Attempt attempt) {
@@ -47,10 +47,11 @@
     }
   }
 
-  private void checkNotAfterClientLeft(ObservedRequest request, ObservedRequest.Attempt attempt) {
-    long lateUs = attempt.sentUs() - request.clientLeftUs();
-    if (request.clientLeftUs() > 0
-        && lateUs > CLIENT_LEFT_TOLERANCE_US + disturbances.slackUs(request)) {
+  private void checkNotAfterClientDisconnect(
+      ObservedRequest request, ObservedRequest.Attempt attempt) {
+    long lateUs = attempt.sentUs() - request.clientDisconnectedUs();
+    if (request.clientDisconnectedUs() > 0
+        && lateUs > CLIENT_DISCONNECT_TOLERANCE_US + disturbances.slackUs(request)) {
       long lateMs = lateUs / TimeUnits.MICROS_PER_MILLI;
       report(request, attempt, lateMs + " ms after its client had gone");
     }
--- a/emulator/src/main/java/dillcross/emulator/oracle/DrainRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/DrainRules.java
@@ -10,11 +10,11 @@
 
 /**
  * Rule that a draining or removed endpoint gets no more attempts: neither from a sidecar process
- * that has read so from the endpoint list, nor from one that had enough time to read it. Keeps what
- * each process has read.
+ * that has read this from the endpoint list, nor from one that had enough time to read it. Keeps
+ * what each process has read.
  */
 final class DrainRules {
-  /** Time after which a change of the list counts as read, if the list was available throughout. */
+  /** Time after which a change counts as read if the discovery service was available throughout. */
   private static final long READ_WITHIN_US = 6_000_000;
 
   /** What a sidecar process knows of an endpoint, and since when. */
@@ -36,7 +36,7 @@
     slackUs = rules.drainSlackMs() * TimeUnits.MICROS_PER_MILLI;
   }
 
-  /** See {@link Oracle#has}. */
+  /** See {@link Oracle#listChanged}. */
   void onListChange(String endpoint, boolean isInService) {
     if (isInService) {
       leavingSinceUs.remove(endpoint);
@@ -45,12 +45,12 @@
     }
   }
 
-  /** See {@link Oracle#started}. */
+  /** See {@link Oracle#processStarted}. */
   void onProcessStart(String process) {
     processStartUs.put(process, nowUs.getAsLong());
   }
 
-  /** See {@link Oracle#notified}. */
+  /** See {@link Oracle#entryRead}. */
   void onEntryRead(String process, String endpoint, boolean isInService, long startedMs) {
     Map<String, KnownState> known = knownByProcess.computeIfAbsent(process, p -> new HashMap<>());
     KnownState previous = known.get(endpoint);
@@ -61,7 +61,7 @@
     }
   }
 
-  /** See {@link Oracle#notifiedOnly}. */
+  /** See {@link Oracle#fullListRead}. */
   void onFullListRead(String process, Set<String> endpoints) {
     Map<String, KnownState> known = knownByProcess.computeIfAbsent(process, p -> new HashMap<>());
     known.replaceAll(
--- a/emulator/src/main/java/dillcross/emulator/oracle/DuplicateRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/DuplicateRules.java
@@ -21,7 +21,7 @@
     this.log = log;
   }
 
-  /** See {@link Oracle#taken}. */
+  /** See {@link Oracle#attemptAccepted}. */
   void onAccepted(ObservedRequest request, ObservedRequest.Attempt attempt) {
     attempt.accept();
     if (request.requestClass().effect().equals(IDEMPOTENT)) {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** See {@link Oracle#effect}. */
+  /** See {@link Oracle#requestExecuted}. */
   void onExecuted(ObservedRequest request, String endpoint) {
     if (request.requestClass().effect().equals(IDEMPOTENT)) {
       return;
--- a/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -78,7 +78,7 @@
   private long answerUs; // 0 until answered
   private int status;
   private int answerCount;
-  private long clientLeftUs; // 0 until then
+  private long clientDisconnectedUs; // 0 until then
   private boolean isExcused;
   private boolean isOrphaned;
   private boolean isOver;
@@ -166,14 +166,14 @@
   }
 
   /** Records that the client closed its connection before the answer. */
-  public void markClientLeft(long atUs) {
+  public void markClientDisconnected(long atUs) {
     isExcused = true;
-    clientLeftUs = atUs;
+    clientDisconnectedUs = atUs;
   }
 
   /** When the client closed its connection; 0 if it has not. */
-  long clientLeftUs() {
-    return clientLeftUs;
+  long clientDisconnectedUs() {
+    return clientDisconnectedUs;
   }
 
   /** Records that no process accepted the client's connection. */
--- a/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
@@ -11,9 +11,9 @@
 
 /**
  * Checks the rules of one run from outside the sidecars: from what clients sent and received, what
- * endpoints received and when it was sent, and what the endpoint list told which process. It never
- * reads the sidecars' own state. Each group of rules is a class of its own; this one receives all
- * observations. All times are virtual and in µs unless named otherwise; one thread.
+ * endpoints received and when it was sent, and what each process read from the endpoint list. It
+ * never reads the sidecars' own state. Each group of rules is a class of its own; this one receives
+ * all observations. All times are virtual and in µs unless named otherwise; one thread.
  */
 public final class Oracle {
   private final ViolationLog log;
@@ -41,7 +41,7 @@
   }
 
   /** Number of all violations, including those that were not kept. */
-  public long broken() {
+  public long violationCount() {
     return log.count();
   }
 
@@ -56,14 +56,14 @@
   }
 
   /** Reports a violation found outside the oracle; {@code request} is null if it concerns none. */
-  public void broke(Rule rule, ObservedRequest request, String message) {
+  public void report(Rule rule, ObservedRequest request, String message) {
     log.report(rule, request, message);
   }
 
   // ---- Clients
 
   /** A client has created a request. */
-  public void requested(ObservedRequest request) {
+  public void requestCreated(ObservedRequest request) {
     requests.put(request.id(), request);
   }
 
@@ -74,7 +74,7 @@
    * @param isComplete false if the connection ended within the answer
    * @param isContentIntact whether the body is one that an endpoint made for this request
    */
-  public void answered(
+  public void answerReceived(
       ObservedRequest request,
       int status,
       long sentUs,
@@ -84,56 +84,56 @@
   }
 
   /** A client has received bytes while it awaited no answer. */
-  public void unasked(ObservedRequest lastRequest, int byteCount) {
+  public void unexpectedBytesReceived(ObservedRequest lastRequest, int byteCount) {
     answerRules.onUnexpectedBytes(lastRequest, byteCount);
   }
 
   /** The sidecar has closed a client's connection without an answer, while its process runs on. */
-  public void dropped(ObservedRequest request) {
+  public void connectionDropped(ObservedRequest request) {
     answerRules.onConnectionDropped(request);
   }
 
   /** A client has waited for its whole timeout; no violation if the request is over or excused. */
-  public void silent(ObservedRequest request) {
+  public void timedOut(ObservedRequest request) {
     answerRules.onTimeout(request);
   }
 
   // ---- Faults
 
   /** A sidecar process stands still; its deadlines are extended by as much. */
-  public void stalled(int sidecar, long fromUs, long untilUs) {
+  public void processStalled(int sidecar, long fromUs, long untilUs) {
     disturbances.addStall(sidecar, fromUs, untilUs);
   }
 
   /** Connects may fail or hang meanwhile, so that endpoints do not observe all attempts. */
-  public void unseen(long fromUs, long untilUs) {
+  public void attemptsHidden(long fromUs, long untilUs) {
     disturbances.addHiddenAttempts(fromUs, untilUs);
   }
 
   /** The endpoint list is unavailable to some sidecar meanwhile, or outdated. */
-  public void deaf(long fromUs, long untilUs) {
+  public void listDisturbed(long fromUs, long untilUs) {
     disturbances.addListOutage(fromUs, untilUs);
   }
 
   // ---- Endpoint list
 
   /** The endpoint list has changed: the endpoint is in service, or drains or is removed. */
-  public void has(String endpoint, boolean isInService) {
+  public void listChanged(String endpoint, boolean isInService) {
     drainRules.onListChange(endpoint, isInService);
   }
 
   /** A sidecar process has started. */
-  public void started(String process) {
+  public void processStarted(String process) {
     drainRules.onProcessStart(process);
   }
 
-  /** A sidecar process has read the endpoint's entry in the list. */
-  public void notified(String process, String endpoint, boolean isInService, long startedMs) {
+  /** A sidecar process has read the endpoint's entry. */
+  public void entryRead(String process, String endpoint, boolean isInService, long startedMs) {
     drainRules.onEntryRead(process, endpoint, isInService, startedMs);
   }
 
   /** A sidecar process has read a full list, in which all other endpoints are absent. */
-  public void notifiedOnly(String process, Set<String> endpoints) {
+  public void fullListRead(String process, Set<String> endpoints) {
     drainRules.onFullListRead(process, endpoints);
   }
 
@@ -160,12 +160,12 @@
   }
 
   /** An endpoint has accepted a complete attempt, which may run from now on. */
-  public void taken(ObservedRequest request, ObservedRequest.Attempt attempt) {
+  public void attemptAccepted(ObservedRequest request, ObservedRequest.Attempt attempt) {
     duplicateRules.onAccepted(request, attempt);
   }
 
   /** An endpoint carries out the request, and not as a recognised repeat. */
-  public void effect(ObservedRequest request, String endpoint) {
+  public void requestExecuted(ObservedRequest request, String endpoint) {
     duplicateRules.onExecuted(request, endpoint);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/AdminCall.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/AdminCall.java
@@ -16,25 +16,25 @@
   }
 
   @Override
-  public void up(SocketEndpoint end) {
+  public void onConnected(SocketEndpoint end) {
     String requestLine = "POST " + path + " HTTP/1.1";
     end.send(HttpStreamReader.message(requestLine, new byte[0], false, "Host", "admin"), null);
   }
 
   @Override
-  public void failed(SocketEndpoint end) {
+  public void onConnectFailed(SocketEndpoint end) {
     onResult.accept(0);
   }
 
   @Override
-  public void readable(SocketEndpoint end) {
+  public void onReadable(SocketEndpoint end) {
     byte[] bytes = end.readAll();
     if (bytes.length > 0) {
       incoming.add(bytes, end.firstSentUs());
     }
-    if (end.over()) {
+    if (end.isInputOver()) {
       end.close();
-      onResult.accept(incoming.complete() ? Integer.parseInt(incoming.word(1)) : 0);
+      onResult.accept(incoming.isComplete() ? Integer.parseInt(incoming.startLineWord(1)) : 0);
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
@@ -58,19 +58,19 @@
 
   private void connect() {
     incoming = new HttpStreamReader();
-    process = sidecar.process();
+    process = sidecar.processName();
     socket = context.network().connect(sidecar.app(), sidecar.address(), this);
   }
 
   @Override
-  public void up(SocketEndpoint same) {
+  public void onConnected(SocketEndpoint same) {
     if (request != null) {
       send();
     }
   }
 
   @Override
-  public void failed(SocketEndpoint same) {
+  public void onConnectFailed(SocketEndpoint same) {
     isClosed = true;
     ObservedRequest refused = request;
     if (refused != null) {
@@ -82,7 +82,7 @@
   }
 
   private void send() {
-    process = sidecar.process();
+    process = sidecar.processName();
     ClientRequestSender sender =
         new ClientRequestSender(
             context, this, socket, request, clients.random().named(request.id()));
@@ -115,8 +115,8 @@
     context.after(
         sent.timeoutUs() + TimeUnits.toMicros(patienceMs),
         () -> {
-          if (request == sent && !incoming.headCame()) {
-            context.oracle().silent(sent);
+          if (request == sent && !incoming.hasHead()) {
+            context.oracle().timedOut(sent);
             close();
             finishRequest();
           }
@@ -127,7 +127,7 @@
   void leave(ObservedRequest left) {
     if (request == left) {
       context.note("leave", "op", left.id());
-      left.markClientLeft(context.now());
+      left.markClientDisconnected(context.now());
       close();
       finishRequest();
     }
@@ -147,41 +147,41 @@
   // ---- Answer
 
   @Override
-  public void readable(SocketEndpoint same) {
+  public void onReadable(SocketEndpoint same) {
     if (same != socket || isClosed) {
       return;
     }
     byte[] bytes = socket.readAll();
     if (bytes.length > 0) {
       if (request == null) {
-        context.oracle().unasked(lastRequest, bytes.length);
+        context.oracle().unexpectedBytesReceived(lastRequest, bytes.length);
       }
       incoming.add(bytes, socket.firstSentUs());
     }
-    if (request != null && incoming.complete()) {
+    if (request != null && incoming.isComplete()) {
       handleAnswer();
     }
-    if (!isClosed && socket.over()) {
+    if (!isClosed && socket.isInputOver()) {
       handleEnd();
     }
   }
 
   private void handleAnswer() {
     ObservedRequest answered = request;
-    int status = Integer.parseInt(incoming.word(1));
+    int status = Integer.parseInt(incoming.startLineWord(1));
     boolean wasSentWhole = answered.isSent();
     long latencyUs = wasSentWhole ? incoming.headSentUs() - answered.sentUs() : -1;
     context.note("answer", "op", answered.id(), "status", status, "us", latencyUs);
     context
         .oracle()
-        .answered(answered, status, incoming.headSentUs(), true, isContentIntact(status));
+        .answerReceived(answered, status, incoming.headSentUs(), true, isContentIntact(status));
     if (HttpStatus.isInvalidRequest(status)) {
       String message = "a good request was turned down with " + status;
-      context.oracle().broke(Rule.TRUE_CONTENT, answered, message);
+      context.oracle().report(Rule.TRUE_CONTENT, answered, message);
     }
     boolean isLast = !wasSentWhole || "close".equalsIgnoreCase(incoming.field("connection"));
     String retryAfter = incoming.field("retry-after");
-    incoming.next();
+    incoming.startNextMessage();
     finishRequest();
     if (isLast) {
       close();
@@ -195,15 +195,18 @@
 
   private boolean isContentIntact(int status) {
     return status != HttpStatus.OK
-        || (incoming.start().startsWith(request.id() + " ")
-            && incoming.length() >= request.requestClass().answerBytes());
+        || (incoming.bodyStart().startsWith(request.id() + " ")
+            && incoming.bodyLength() >= request.requestClass().answerBytes());
   }
 
   /** The sidecar has closed the connection, or its process has ended. */
   private void handleEnd() {
     boolean isUnread =
-        request != null && !isResent && incoming.empty() && socket.unreadByPeer(requestByteCount);
-    boolean hasProcessEnded = !sidecar.running() || !sidecar.process().equals(process);
+        request != null
+            && !isResent
+            && incoming.isEmpty()
+            && socket.isUnreadByPeer(requestByteCount);
+    boolean hasProcessEnded = !sidecar.isRunning() || !sidecar.processName().equals(process);
     socket.close();
     if (request == null) {
       isClosed = true;
@@ -223,14 +226,14 @@
     if (hasProcessEnded) {
       request.markOrphaned();
       context.note("ended", "op", request.id());
-    } else if (incoming.headCame()) {
+    } else if (incoming.hasHead()) {
       context.note("cut", "op", request.id());
-      int status = Integer.parseInt(incoming.word(1));
-      context.oracle().answered(request, status, incoming.headSentUs(), false, true);
+      int status = Integer.parseInt(incoming.startLineWord(1));
+      context.oracle().answerReceived(request, status, incoming.headSentUs(), false, true);
     } else if (!request.isSent()) {
       request.markRejectedUnsent();
     } else {
-      context.oracle().dropped(request);
+      context.oracle().connectionDropped(request);
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryCall.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryCall.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection to the discovery service, and the request on it: a list, or a watch that is
- * answered once the list has changed or its timeout has passed.
+ * One connection to the discovery service, and the request on it: the endpoints, or a watch that is
+ * answered once they have changed or its timeout has passed.
  */
 final class DiscoveryCall implements SocketEndpoint.Owner {
   private static final long MAX_WATCH_MS = 60_000;
@@ -25,17 +25,17 @@
   }
 
   @Override
-  public void readable(SocketEndpoint same) {
+  public void onReadable(SocketEndpoint same) {
     byte[] bytes = socket.readAll();
     if (bytes.length > 0) {
       incoming.add(bytes, socket.firstSentUs());
     }
-    if (incoming.complete() && !isRequested) {
+    if (incoming.isComplete() && !isRequested) {
       isRequested = true;
-      double delayMs = service.drawDelayMs(socket.other());
+      double delayMs = service.drawDelayMs(socket.peerHost());
       context.after(TimeUnits.toMicros(delayMs), this::begin);
     }
-    if (socket.over()) {
+    if (socket.isInputOver()) {
       service.remove(this);
       socket.close();
     }
@@ -52,11 +52,11 @@
       }
       return;
     }
-    String target = incoming.word(1);
+    String target = incoming.startLineWord(1);
     sinceVersion = parameter(target, "since=");
     long timeoutMs = Math.min(MAX_WATCH_MS, parameter(target, "timeout_ms="));
-    if (hasNews()) {
-      answerIfNews();
+    if (hasChanged()) {
+      answerIfChanged();
       return;
     }
     service.addWatch(this);
@@ -69,13 +69,13 @@
         });
   }
 
-  private boolean hasNews() {
+  private boolean hasChanged() {
     return sinceVersion != service.registry().publishedVersion();
   }
 
-  /** Answers if the list is available and has changed since the version that the caller knows. */
-  void answerIfNews() {
-    if (!service.isOut() && hasNews()) {
+  /** Answers if the service is available and the version differs from the one the caller knows. */
+  void answerIfChanged() {
+    if (!service.isOut() && hasChanged()) {
       answer();
     }
   }
@@ -86,7 +86,7 @@
     send(
         HttpStatus.OK,
         DiscoveryService.toJsonBytes(update.toJson()),
-        () -> service.onUpdateRead(socket.other(), update));
+        () -> service.onUpdateRead(socket.peerHost(), update));
   }
 
   private void send(int status, byte[] body, Runnable onRead) {
@@ -95,7 +95,7 @@
         HttpStreamReader.message(statusLine, body, false, "Content-Type", "application/json"),
         onRead);
     isRequested = false;
-    incoming.next();
+    incoming.startNextMessage();
   }
 
   private static long parameter(String target, String name) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -18,7 +18,7 @@
  * The discovery service: serves the endpoint list and watches of it at two addresses, and can be
  * unavailable, slow or outdated.
  */
-final class DiscoveryService implements VirtualNetwork.Entry {
+final class DiscoveryService implements VirtualNetwork.Acceptor {
   /** The address that sidecars are configured with at first. */
   static final String ADDRESS = "127.10.0.1:8500";
 
@@ -93,14 +93,14 @@
 
   /** Adds or changes the entry of an endpoint, and notifies watches. */
   void put(EmulatedEndpoint endpoint, String state, long startedMs) {
-    context.oracle().has(endpoint.id(), state.equals(ListedEndpoint.IN_SERVICE));
+    context.oracle().listChanged(endpoint.id(), state.equals(ListedEndpoint.IN_SERVICE));
     registry.put(endpoint, state, startedMs);
     notifyWatches();
   }
 
   /** Removes an endpoint, and notifies watches. */
   void remove(EmulatedEndpoint endpoint) {
-    context.oracle().has(endpoint.id(), false);
+    context.oracle().listChanged(endpoint.id(), false);
     registry.remove(endpoint.id());
     notifyWatches();
   }
@@ -114,7 +114,7 @@
         TimeUnits.toMicros(context.scenario().list().tellMs()),
         () -> {
           isNotificationScheduled = false;
-          List.copyOf(watches).forEach(DiscoveryCall::answerIfNews);
+          List.copyOf(watches).forEach(DiscoveryCall::answerIfChanged);
         });
   }
 
@@ -137,7 +137,9 @@
     extraDelayMs += millis;
   }
 
-  /** Starts or ends one period in which the service serves the list as it was at the start. */
+  /**
+   * Starts or ends one period in which the service serves an outdated list, as it was at the start.
+   */
   void setStale(boolean isStarting) {
     staleCount += isStarting ? 1 : -1;
     if (isStarting && staleCount == 1) {
@@ -163,9 +165,9 @@
   // ---- Calls
 
   @Override
-  public void connected(SocketEndpoint end) {
+  public void onConnection(SocketEndpoint end) {
     DiscoveryCall call = new DiscoveryCall(context, this, end);
-    end.owner(call);
+    end.setOwner(call);
     calls.add(call);
   }
 
@@ -210,11 +212,11 @@
 
   /** Reports to the oracle what the process on the caller's machine has read. */
   void onUpdateRead(VirtualMachine caller, EndpointRegistry.Update update) {
-    String process = sidecars.process(caller);
+    String process = sidecars.processNameOn(caller);
     reportRead(process, update.entries());
     if (update.isFull()) {
       List<String> ids = update.entries().stream().map(ListedEndpoint::id).toList();
-      context.oracle().notifiedOnly(process, new LinkedHashSet<>(ids));
+      context.oracle().fullListRead(process, new LinkedHashSet<>(ids));
     }
     if (!update.entries().isEmpty()) {
       context.note(
@@ -242,7 +244,7 @@
 
   private void reportRead(String process, List<ListedEndpoint> entries) {
     for (ListedEndpoint entry : entries) {
-      context.oracle().notified(process, entry.id(), entry.isInService(), entry.startedMs());
+      context.oracle().entryRead(process, entry.id(), entry.isInService(), entry.startedMs());
     }
   }
 
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
@@ -49,17 +49,17 @@
   }
 
   /** Requests that await an answer or a retry. */
-  long open() {
+  long openCount() {
     return openCount;
   }
 
   /** Requests that no sidecar process accepted. */
-  long notAccepted() {
+  long notAcceptedCount() {
     return notAcceptedCount;
   }
 
   /** Retries that clients made after a rejection. */
-  long retries() {
+  long retryCount() {
     return retryCount;
   }
 
@@ -105,7 +105,7 @@
   }
 
   private ObservedRequest register(ObservedRequest request) {
-    context.oracle().requested(request);
+    context.oracle().requestCreated(request);
     return request;
   }
 
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
@@ -13,7 +13,23 @@
  * connections; {@link EndpointCores} carries out requests, {@link SlowStartMonitor} knows the
  * capacity while warming up, {@link EndpointFaults} what is wrong with it.
  */
-final class EmulatedEndpoint implements VirtualNetwork.Entry {
+final class EmulatedEndpoint implements VirtualNetwork.Acceptor {
+  /** A machine that is off; connects to it neither succeed nor fail. */
+  private static final VirtualNetwork.Acceptor UNREACHABLE =
+      new VirtualNetwork.Acceptor() {
+        private final VirtualMachine nowhere = VirtualNetwork.nowhere();
+
+        @Override
+        public VirtualMachine host() {
+          return nowhere;
+        }
+
+        @Override
+        public void onConnection(SocketEndpoint end) {
+          throw new IllegalStateException("a silent machine accepted a connection");
+        }
+      };
+
   private final EndpointLocation location;
   private final String address;
   private final SimulationContext context;
@@ -168,7 +184,7 @@
 
   /** Turns the machine on again, so that a process may start on it. */
   void restore() {
-    context.network().back(host);
+    context.network().restore(host);
     connections.clear();
   }
 
@@ -192,25 +208,10 @@
     }
   }
 
-  private static final VirtualNetwork.Entry UNREACHABLE =
-      new VirtualNetwork.Entry() {
-        private final VirtualMachine nowhere = VirtualNetwork.nowhere();
-
-        @Override
-        public VirtualMachine host() {
-          return nowhere;
-        }
-
-        @Override
-        public void connected(SocketEndpoint end) {
-          throw new IllegalStateException("a silent machine accepted a connection");
-        }
-      };
-
   @Override
-  public void connected(SocketEndpoint end) {
+  public void onConnection(SocketEndpoint end) {
     EndpointConnection connection = new EndpointConnection(context, this, end);
-    end.owner(connection);
+    end.setOwner(connection);
     connections.add(connection);
     connection.startIdleTimer();
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
@@ -83,14 +83,14 @@
 
   /** Name of the sidecar process that runs on that machine. */
   String sidecarProcess(VirtualMachine host) {
-    return sidecars.process(host);
+    return sidecars.processNameOn(host);
   }
 
   /** Whether every running sidecar has read the endpoint's latest start from the endpoint list. */
   boolean allKnowStart(EmulatedEndpoint endpoint) {
     String id = endpoint.id();
     long startedMs = endpoint.startedMs();
-    return sidecars.processes().stream()
+    return sidecars.runningProcessNames().stream()
         .allMatch(process -> context.oracle().knowsStart(process, id, startedMs));
   }
 
@@ -137,7 +137,7 @@
 
   /**
    * Drains the endpoint, retires it after the grace period, and starts a replacement halfway. It
-   * accepts requests for the first half, because the list may not have reached all sidecars.
+   * accepts requests for the first half, because sidecars may not have read of the drain yet.
    */
   void replace(EmulatedEndpoint endpoint) {
     int place = byPlace.indexOf(endpoint);
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
@@ -62,7 +62,7 @@
   }
 
   private boolean isIdle() {
-    return !isClosed && work == null && !incoming.headCame() && isOfRunningProcess();
+    return !isClosed && work == null && !incoming.hasHead() && isOfRunningProcess();
   }
 
   private boolean isOfRunningProcess() {
@@ -72,7 +72,7 @@
   // ---- Request
 
   @Override
-  public void readable(SocketEndpoint same) {
+  public void onReadable(SocketEndpoint same) {
     if (isClosed || !isOfRunningProcess()) {
       return;
     }
@@ -80,14 +80,14 @@
     if (bytes.length > 0) {
       incoming.add(bytes, socket.firstSentUs());
     }
-    if (incoming.headCame() && !isHeadHandled) {
+    if (incoming.hasHead() && !isHeadHandled) {
       isHeadHandled = true;
       handleHead();
     }
-    if (!isClosed && incoming.complete() && work == null) {
+    if (!isClosed && incoming.isComplete() && work == null) {
       handleCompleteRequest();
     }
-    if (!isClosed && socket.over()) {
+    if (!isClosed && socket.isInputOver()) {
       handleSenderGone();
     }
   }
@@ -95,10 +95,10 @@
   private void handleHead() {
     request = context.oracle().request(incoming.field("request-id"));
     if (request == null) {
-      String requestLine = incoming.word(0) + " " + incoming.word(1);
+      String requestLine = incoming.startLineWord(0) + " " + incoming.startLineWord(1);
       context
           .oracle()
-          .broke(
+          .report(
               Rule.TRUE_CONTENT,
               null,
               "a request to " + endpoint.id() + " that no client sent: " + requestLine);
@@ -110,7 +110,7 @@
             .oracle()
             .attemptReceived(
                 request,
-                endpoint.sidecarProcess(socket.other()),
+                endpoint.sidecarProcess(socket.peerHost()),
                 endpoint.location(),
                 incoming.headSentUs());
     traceAttempt();
@@ -130,7 +130,7 @@
         "to",
         endpoint.id(),
         "from",
-        socket.other().toString(),
+        socket.peerHost().toString(),
         "sent",
         incoming.headSentUs() - SimulationContext.START_US,
         "n",
@@ -154,7 +154,7 @@
       answer(HttpStatus.SERVICE_UNAVAILABLE, "turned away", true);
       return;
     }
-    context.oracle().taken(request, attempt);
+    context.oracle().attemptAccepted(request, attempt);
     work = new EndpointWork(this, request, attempt, deadlineUs);
     endpoint.cores().submit(work);
   }
@@ -167,11 +167,12 @@
     }
     int expectedBytes = Math.max(bodyBytes, request.id().length() + 1);
     boolean isIntact =
-        incoming.length() == expectedBytes && incoming.start().startsWith(request.id() + " ");
+        incoming.bodyLength() == expectedBytes
+            && incoming.bodyStart().startsWith(request.id() + " ");
     if (!isIntact) {
       String message =
-          "its content came to " + endpoint.id() + " spoilt: " + incoming.length() + " bytes";
-      context.oracle().broke(Rule.TRUE_CONTENT, request, message);
+          "its content came to " + endpoint.id() + " spoilt: " + incoming.bodyLength() + " bytes";
+      context.oracle().report(Rule.TRUE_CONTENT, request, message);
     }
   }
 
@@ -268,14 +269,14 @@
     attempt = null;
     isHeadHandled = false;
     work = null;
-    incoming.next();
+    incoming.startNextMessage();
     if (isLast) {
       close();
       return;
     }
     startIdleTimer();
-    if (incoming.waiting() > 0 || incoming.headCame()) {
-      readable(socket);
+    if (incoming.unreadByteCount() > 0 || incoming.hasHead()) {
+      onReadable(socket);
     }
   }
 
@@ -288,7 +289,7 @@
   /** Closes the connection with a reset, and ends the attempt on it. */
   void reset() {
     leave();
-    socket.breakOff();
+    socket.reset();
   }
 
   private void leave() {
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointCores.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointCores.java
@@ -100,7 +100,7 @@
     runningCount++;
     boolean isFirst = isFirstExecution(request);
     if (isFirst) {
-      context.oracle().effect(request, endpoint.id());
+      context.oracle().requestExecuted(request, endpoint.id());
     }
     context.note("begin", "op", request.id(), "at", endpoint.id(), "first", isFirst);
     double durationUs = durationUs(request);
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointRegistry.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointRegistry.java
@@ -13,7 +13,7 @@
   private static final long RENUMBERED_VERSION = 1;
   private static final double WEIGHT_STEPS_PER_UNIT = 100; // weights have two decimals
 
-  /** What a caller that knows some version is told: all entries, or those that changed since. */
+  /** The response to a caller that knows some version: all entries, or those changed since. */
   record Update(long version, boolean isFull, List<ListedEndpoint> entries) {
     /** The response body's JSON. */
     Map<String, Object> toJson() {
@@ -72,12 +72,12 @@
     frozenEntries = null;
   }
 
-  /** The version that callers are told. */
+  /** The version of the published list. */
   long publishedVersion() {
     return frozenEntries == null ? version : frozenVersion;
   }
 
-  /** What a caller that knows {@code sinceVersion} is told; 0 if it knows nothing. */
+  /** The response to a caller that knows {@code sinceVersion}, or 0 for none. */
   Update updateSince(long sinceVersion) {
     Map<String, ListedEndpoint> published = frozenEntries == null ? entries : frozenEntries;
     long publishedVersion = publishedVersion();
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointWork.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointWork.java
@@ -10,7 +10,7 @@
   private final long deadlineUs;
   private boolean isAbandoned;
 
-  /** Work for the request on that connection; nobody waits for it after {@code deadlineUs}. */
+  /** Work for the request on that connection; its client stops waiting at {@code deadlineUs}. */
   EndpointWork(
       EndpointConnection connection,
       ObservedRequest request,
--- a/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -103,10 +103,10 @@
         drawn.forUs());
     long endUs = context.now() + drawn.forUs();
     if (hidesAttempts(fault.kind())) {
-      context.oracle().unseen(context.now(), endUs + HIDDEN_ATTEMPTS_TAIL_US);
+      context.oracle().attemptsHidden(context.now(), endUs + HIDDEN_ATTEMPTS_TAIL_US);
     }
     if (disturbsList(fault.kind())) {
-      context.oracle().deaf(context.now(), endUs);
+      context.oracle().listDisturbed(context.now(), endUs);
     }
     switch (fault.kind().on) {
       case ENDPOINT ->
@@ -237,13 +237,15 @@
         long lagUs = TimeUnits.toMicros(drawn.factor());
         during(
             endUs,
-            () -> otherZones.forEach(other -> context.network().lag(zone, other, lagUs)),
-            () -> otherZones.forEach(other -> context.network().lag(zone, other, -lagUs)));
+            () -> otherZones.forEach(other -> context.network().addLag(zone, other, lagUs)),
+            () -> otherZones.forEach(other -> context.network().addLag(zone, other, -lagUs)));
       }
       case PIECES -> {
         int maxPieceBytes = (int) Math.max(1, drawn.factor());
         during(
-            endUs, active -> context.network().pieces(active ? maxPieceBytes : Integer.MAX_VALUE));
+            endUs,
+            active ->
+                context.network().setMaxPieceBytes(active ? maxPieceBytes : Integer.MAX_VALUE));
       }
       default -> throw new IllegalStateException(drawn.from().kind().word());
     }
@@ -261,7 +263,7 @@
   }
 
   private void bootOnceEnded(SidecarProcess sidecar) {
-    if (sidecar.running()) {
+    if (sidecar.isRunning()) {
       context.after(RESTART_POLL_US, () -> bootOnceEnded(sidecar));
     } else {
       sidecar.boot();
--- a/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
@@ -44,7 +44,7 @@
 
   /** Takes bytes that the peer sent at that time, and reads as far as they reach. */
   void add(byte[] bytes, long sentUs) {
-    if (empty()) {
+    if (isEmpty()) {
       headSentUs = sentUs;
     }
     if (size + bytes.length > buffer.length) {
@@ -61,27 +61,27 @@
   }
 
   /** Whether the head of a final response or of a request has arrived. */
-  boolean headCame() {
+  boolean hasHead() {
     return startLine != null;
   }
 
   /** Whether the message has arrived whole. */
-  boolean complete() {
+  boolean isComplete() {
     return isComplete;
   }
 
   /** Whether nothing of the next message has arrived. */
-  boolean empty() {
+  boolean isEmpty() {
     return startLine == null && size == 0;
   }
 
   /** Bytes that have arrived and are not read yet. */
-  int waiting() {
+  int unreadByteCount() {
     return size;
   }
 
   /** A word of the start line; empty if it has fewer. */
-  String word(int index) {
+  String startLineWord(int index) {
     return index < startLine.length ? startLine[index] : "";
   }
 
@@ -91,17 +91,17 @@
   }
 
   /** Length of the body as far as it has arrived. */
-  long length() {
+  long bodyLength() {
     return bodyLength;
   }
 
   /** The first bytes of the body, as ISO 8859-1. */
-  String start() {
+  String bodyStart() {
     return bodyStart.toString();
   }
 
   /** Goes on to the next message. */
-  void next() {
+  void startNextMessage() {
     startLine = null;
     isComplete = false;
     bodyLength = 0;
--- a/emulator/src/main/java/dillcross/emulator/simulation/InvalidClients.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/InvalidClients.java
@@ -46,15 +46,15 @@
     }
 
     @Override
-    public void up(SocketEndpoint end) {
+    public void onConnected(SocketEndpoint end) {
       end.send(input, null);
       context.after(MAX_OPEN_US, end::close);
     }
 
     @Override
-    public void readable(SocketEndpoint end) {
+    public void onReadable(SocketEndpoint end) {
       end.readAll();
-      if (end.over()) {
+      if (end.isInputOver()) {
         end.close();
       }
     }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -44,7 +44,7 @@
   private int startCount;
   private boolean isReady;
   private boolean isStopping;
-  private long turnsOfEarlierProcesses;
+  private long iterationsOfEarlierProcesses;
 
   SidecarProcess(SimulationContext context, DiscoveryService discovery, int index) {
     this.context = context;
@@ -81,26 +81,26 @@
   }
 
   /** Name of the process that runs, or ran last. */
-  String process() {
+  String processName() {
     return name + "#" + startCount;
   }
 
-  boolean running() {
+  boolean isRunning() {
     return server != null;
   }
 
   /** How many processes were started. */
-  int starts() {
+  int startCount() {
     return startCount;
   }
 
-  int connections() {
-    return host.connections();
+  int connectionCount() {
+    return host.connectionCount();
   }
 
   /** Event loop iterations of all its processes. */
-  long turns() {
-    return turnsOfEarlierProcesses + (network == null ? 0 : network.turnsMade());
+  long iterations() {
+    return iterationsOfEarlierProcesses + (network == null ? 0 : network.iterationCount());
   }
 
   /** What its process holds; null while none runs. */
@@ -132,11 +132,11 @@
         new RequestCoordinator(new LoadBalancer(seed, settings.balancer()));
     EndpointListUpdate cached = EndpointListUpdate.fromJson(discovery.cachedList());
     coordinator.onEndpointList(context.now(), cached.version(), true, cached.entries(), false);
-    discovery.onCachedListRead(process());
-    context.oracle().started(process());
+    discovery.onCachedListRead(processName());
+    context.oracle().processStarted(processName());
     network =
         new EmulatedNetwork(
-            context.clock(), context.network(), host, ip, group.turnUs(), this::onTurnEnd);
+            context.clock(), context.network(), host, ip, group.turnUs(), this::onIterationEnd);
     server =
         new SidecarServer(
             network,
@@ -149,7 +149,7 @@
     isReady = false;
     isStopping = false;
     listen();
-    context.note("start", "sidecar", name, "process", process());
+    context.note("start", "sidecar", name, "process", processName());
   }
 
   private void listen() {
@@ -165,16 +165,16 @@
     return SidecarSettingValues.settings(context.scenario(), host.zone(), index);
   }
 
-  private void onTurnEnd() {
+  private void onIterationEnd() {
     if (server.isWarm() && !isReady) {
       isReady = true;
       server.markReady();
       context.note("ready", "sidecar", name);
     }
-    if (host.connections() + 1 > context.scenario().sidecars().descriptors()) {
-      report(Rule.WITHIN_LIMITS, " holds " + host.connections() + " connections");
+    if (host.connectionCount() + 1 > context.scenario().sidecars().descriptors()) {
+      report(Rule.WITHIN_LIMITS, " holds " + host.connectionCount() + " connections");
     }
-    if (network.spins()) {
+    if (network.isSpinning()) {
       report(Rule.TURNS_END, " makes turns while time stands still");
       kill();
     } else if (server.usage().failedIterations() > 0) {
@@ -187,7 +187,7 @@
   }
 
   private void report(Rule rule, String message) {
-    context.oracle().broke(rule, null, name + message);
+    context.oracle().report(rule, null, name + message);
   }
 
   // ---- Faults and operations
@@ -225,8 +225,8 @@
   }
 
   private void end() {
-    turnsOfEarlierProcesses += network.turnsMade();
-    network.die();
+    iterationsOfEarlierProcesses += network.iterationCount();
+    network.stop();
     network = null;
     server = null;
     isReady = false;
@@ -277,8 +277,8 @@
     if (network != null) {
       context.note("stall", "sidecar", name, "us", durationUs);
       long untilUs = context.now() + durationUs;
-      network.stall(untilUs);
-      context.oracle().stalled(index, context.now(), untilUs);
+      network.suspendUntil(untilUs);
+      context.oracle().processStalled(index, context.now(), untilUs);
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
@@ -25,14 +25,14 @@
   }
 
   /** Name of the sidecar process on that machine; the machine's name if it has no sidecar. */
-  String process(VirtualMachine host) {
+  String processNameOn(VirtualMachine host) {
     SidecarProcess sidecar = byHost.get(host);
-    return sidecar == null ? host.toString() : sidecar.process();
+    return sidecar == null ? host.toString() : sidecar.processName();
   }
 
   /** Names of the processes that run. */
-  List<String> processes() {
-    return all.stream().filter(SidecarProcess::running).map(SidecarProcess::process).toList();
+  List<String> runningProcessNames() {
+    return all.stream().filter(SidecarProcess::isRunning).map(SidecarProcess::processName).toList();
   }
 
   /** The sidecars that a fault's target names: all, or one. */
--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -87,7 +87,7 @@
     RandomStream random = RandomStream.of(seed);
     VirtualNetwork network = network(scenario.network(), clock, random.named("network"));
     Trace trace =
-        new Trace(lines, () -> clock.now() - SimulationContext.START_US, network::sum, reader);
+        new Trace(lines, () -> clock.now() - SimulationContext.START_US, network::checksum, reader);
     oracle = new Oracle(clock::now, SimulationContext.START_US, scenario);
     context = new SimulationContext(scenario, clock, random, network, oracle, trace);
     DiscoveryService discovery = new DiscoveryService(context);
@@ -119,7 +119,7 @@
    * Plays a run with the given faults in place of drawn ones.
    *
    * @param lines receives the trace
-   * @param reader is told of each event of the trace as it happens; null for none
+   * @param reader receives each event of the trace as it happens; null for none
    */
   public static Result play(
       Scenario scenario, long seed, List<Drawn> drawn, OutputStream lines, Trace.Reader reader) {
@@ -140,7 +140,7 @@
     awaitFaults(firstArrivalUs);
     awaitIdleSidecars();
     checkIdle();
-    oracle.requests().values().forEach(oracle::silent);
+    oracle.requests().values().forEach(oracle::timedOut);
     return result();
   }
 
@@ -152,7 +152,8 @@
   }
 
   private void awaitOpenRequests(long untilUs) {
-    while (clients.stream().anyMatch(ofSidecar -> ofSidecar.open() > 0) && clock.now() < untilUs) {
+    while (clients.stream().anyMatch(ofSidecar -> ofSidecar.openCount() > 0)
+        && clock.now() < untilUs) {
       runUntil(clock.now() + COMPLETION_POLL_US);
     }
   }
@@ -179,8 +180,8 @@
     for (SidecarProcess sidecar : sidecars.all()) {
       if (!isIdle(sidecar)) {
         String holds =
-            " with " + sidecar.connections() + " connections still holds " + held(sidecar);
-        oracle.broke(Rule.BACK_TO_REST, null, sidecar.name() + holds);
+            " with " + sidecar.connectionCount() + " connections still holds " + held(sidecar);
+        oracle.report(Rule.BACK_TO_REST, null, sidecar.name() + holds);
       }
     }
   }
@@ -192,11 +193,11 @@
         || (endpointConnections(sidecar) <= 0
             && usage.trackedRequests() + usage.attempts() + usage.openRequests() == 0
             && usage.timers() <= MAX_IDLE_TIMERS
-            && usage.bufferBytes() <= IDLE_CONNECTION_BYTES * sidecar.connections());
+            && usage.bufferBytes() <= IDLE_CONNECTION_BYTES * sidecar.connectionCount());
   }
 
   private static int endpointConnections(SidecarProcess sidecar) {
-    return sidecar.connections() - sidecar.app().connections() - DISCOVERY_CONNECTIONS;
+    return sidecar.connectionCount() - sidecar.app().connectionCount() - DISCOVERY_CONNECTIONS;
   }
 
   private static String held(SidecarProcess sidecar) {
@@ -213,10 +214,10 @@
         seed,
         drawn,
         oracle.violations(),
-        oracle.broken(),
+        oracle.violationCount(),
         context.trace().end(),
         clock.steps(),
-        sidecars.all().stream().mapToLong(SidecarProcess::turns).sum(),
+        sidecars.all().stream().mapToLong(SidecarProcess::iterations).sum(),
         clock.now() - SimulationContext.START_US,
         statistics.requests(),
         statistics.succeeded(),
@@ -224,8 +225,8 @@
         statistics.rejected(),
         statistics.failed(),
         statistics.excused(),
-        clients.stream().mapToLong(EmulatedClients::notAccepted).sum(),
-        clients.stream().mapToLong(EmulatedClients::retries).sum(),
+        clients.stream().mapToLong(EmulatedClients::notAcceptedCount).sum(),
+        clients.stream().mapToLong(EmulatedClients::retryCount).sum(),
         statistics.attempts(),
         statistics.earnedValue(),
         statistics.possibleValue(),
@@ -233,7 +234,7 @@
   }
 
   private static int restarts(SidecarProcess sidecar) {
-    return Math.max(0, sidecar.starts() - 1);
+    return Math.max(0, sidecar.startCount() - 1);
   }
 
   private void noteEnd(RunStatistics statistics) {
@@ -248,6 +249,6 @@
         "failed",
         statistics.failed(),
         "violations",
-        oracle.broken());
+        oracle.violationCount());
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SlowStartMonitor.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SlowStartMonitor.java
@@ -79,7 +79,7 @@
             recentWorkUs / TimeUnits.MICROS_PER_MILLI,
             windowUs / TimeUnits.MICROS_PER_MILLI,
             maxWorkUs / TimeUnits.MICROS_PER_MILLI);
-    context.oracle().broke(Rule.COLD_KEPT, null, message);
+    context.oracle().report(Rule.COLD_KEPT, null, message);
   }
 
   /** Forgets all work sent so far, for instance because the process ended. */
--- a/emulator/src/test/java/dillcross/emulator/WireContractTest.java
+++ b/emulator/src/test/java/dillcross/emulator/WireContractTest.java
@@ -171,12 +171,12 @@
     assertEquals(List.of(wanted), real.seen, "on sockets");
 
     Case emulated = making.make();
-    VirtualClock time = new VirtualClock(1_000_000);
-    VirtualNetwork fabric = new VirtualNetwork(time, RandomStream.of(1), 100, 1000, 0);
+    VirtualClock clock = new VirtualClock(1_000_000);
+    VirtualNetwork network = new VirtualNetwork(clock, RandomStream.of(1), 100, 1000, 0);
     boolean[] started = new boolean[1];
     EmulatedNetwork wire =
         new EmulatedNetwork(
-            time, fabric, new VirtualMachine("one", "a"), "127.0.0.1", 20, () -> {});
+            clock, network, new VirtualMachine("one", "a"), "127.0.0.1", 20, () -> {});
     emulated.network = wire;
     wire.start(
         new Network.EventLoopTask() {
@@ -198,7 +198,7 @@
             return 20_000;
           }
         });
-    while (emulated.done.getCount() > 0 && time.step(30_000_000)) {
+    while (emulated.done.getCount() > 0 && clock.step(30_000_000)) {
       // until it is done
     }
     assertEquals(List.of(), thrown);
