--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -164,7 +164,7 @@
             "a rejection that is held back",
             "balancer/RequestQueue.java",
             "return request.arrivalUs + (long) waitUs;",
-            "return request.deadlineUs - 20_000;",
+            "return request.deadlineUs() - 20_000;",
             "NOT_HELD",
             "overload.toml"),
         fault(
--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -3,19 +3,27 @@
 import dillcross.model.BalancerSettings;
 
 /**
- * Bounds what is in flight. By Little's law the answers of a second times their baseline latency
- * would be in flight without a queue; a multiple bounds the queue, and falls as answers slow down,
- * so that overloaded endpoints can rest.
+ * Decides whether one more attempt may be in flight: the concurrency limit of this sidecar, and the
+ * part of it that a request may use.
+ *
+ * <p>By Little's law, the rate of successful answers times their baseline latency is the
+ * concurrency without queueing. The limit, in attempts, is a multiple of it:
+ *
+ * <pre>limit = baselineConcurrency x QUEUE_FACTOR / max(1, slowdown) ^ SLOWDOWN_EXPONENT</pre>
+ *
+ * The multiple allows short queues at the endpoints; it falls as answers slow down, so that
+ * overloaded endpoints recover. The smallest limit is this sidecar's part of a constant per
+ * endpoint and may be below one attempt, because whole attempts would add up over many sidecars.
  */
 final class AdmissionControl {
-  /** In flight at an endpoint by all sidecars together, before anything is known. */
+  /** Limit per endpoint, of all sidecars together, until traffic has been measured. */
   static final double INITIAL_LIMIT_PER_ENDPOINT = 3;
 
-  private static final double QUEUE_FACTOR = 3.6; // times what is in flight without a queue
-  private static final double SMALL_LIMIT = 3; // a larger one lets bursts pass at any time
+  private static final double QUEUE_FACTOR = 3.6; // higher: longer queues at the endpoints
+  private static final double SMALL_LIMIT = 3; // bursts may exceed a larger limit at any time
   private static final double KNOWN_COVERAGE = 0.6; // of the span over which traffic is measured
   private static final double MIN_COVERAGE = 0.2; // extrapolates from no less of the span
-  private static final double SLOWDOWN_EXPONENT = 3;
+  private static final double SLOWDOWN_EXPONENT = 3; // higher: load falls faster in overload
   private static final double BURST_FRACTION = 0.5; // of the limit, beyond the small one
   private static final double UNUSED_FACTOR = 2; // of what the mean left unused
   private static final double IDLE_PER_ENDPOINT = 0.5; // in flight by all sidecars together
@@ -43,7 +51,7 @@
     instances = settings.instanceCount();
   }
 
-  /** How much may be in flight, in the mean. No floor of a request: over a fleet floors add up. */
+  /** How many attempts may be in flight in the mean over time. */
   double concurrencyLimit(long nowUs) {
     double coverage = traffic.coverage(nowUs);
     double baseline = traffic.baselineConcurrency(nowUs) / Math.max(MIN_COVERAGE, coverage);
@@ -54,7 +62,8 @@
   }
 
   /**
-   * Whether there is capacity for one more; a small limit binds the mean, or thin traffic starves.
+   * Whether an attempt of the request may be sent now. A burst may exceed the limit by its square
+   * root while the mean is below it, because a small limit would otherwise reject most bursts.
    */
   boolean admits(Request request, long nowUs) {
     double limit = concurrencyLimit(nowUs) * limitFactor(request);
@@ -74,7 +83,7 @@
     return Clamp.between(MIN_LIMIT_FACTOR, request.relativeValue(), MAX_LIMIT_FACTOR);
   }
 
-  /** Whether so little is in flight that latency is no queue of ours. */
+  /** Whether so little is in flight that latency can't come from queueing this sidecar's load. */
   boolean isNearlyIdle() {
     return inFlight.total()
         <= Math.max(1, IDLE_PER_ENDPOINT * endpoints.available().size() / instances);
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -4,12 +4,12 @@
 import java.util.Queue;
 
 /**
- * Sends every attempt, whether first, retry, hedge or probation: all of them pass {@link #send},
- * and with it every rule.
+ * Decides whether an attempt may go to an endpoint, and sends it. Every attempt, whether first,
+ * retry, hedge or probation, passes {@link #send}, which applies every rule.
  */
 final class AttemptDispatcher {
   private final SlowStart slowStart;
-  private final AttemptPolicy attempts;
+  private final AttemptPolicy attemptPolicy;
   private final AttemptDeadline deadlines;
   private final InFlightTracker inFlight;
   private final SilenceMonitor silence;
@@ -18,14 +18,14 @@
 
   AttemptDispatcher(
       SlowStart slowStart,
-      AttemptPolicy attempts,
+      AttemptPolicy attemptPolicy,
       AttemptDeadline deadlines,
       InFlightTracker inFlight,
       SilenceMonitor silence,
       DemandTracker demand,
       Queue<Decision> decisions) {
     this.slowStart = slowStart;
-    this.attempts = attempts;
+    this.attemptPolicy = attemptPolicy;
     this.deadlines = deadlines;
     this.inFlight = inFlight;
     this.silence = silence;
@@ -33,14 +33,18 @@
     this.decisions = decisions;
   }
 
-  /** Every rule that an attempt has to satisfy: whether the request may go to the endpoint now. */
+  /** Whether the request may go to the endpoint now, by every rule. May draw for slow start. */
   boolean permits(Request request, EndpointState endpoint, long nowUs) {
-    return endpoint.isListed() // graceful shutdown: nothing to what is draining or removed
-        && attempts.permits(request, endpoint, nowUs)
+    return endpoint.isListed() // draining and removed endpoints get nothing
+        && attemptPolicy.permits(request, endpoint, nowUs)
         && slowStart.hasBudget(endpoint, nowUs);
   }
 
-  /** Sends the request to the endpoint if every rule permits it; whether it did. */
+  /**
+   * Sends the request to the endpoint if every rule permits it; whether it did.
+   *
+   * @param endpoint null where none was found
+   */
   boolean send(Request request, EndpointState endpoint, boolean onProbation, long nowUs) {
     if (endpoint == null || !permits(request, endpoint, nowUs)) {
       return false;
@@ -49,14 +53,14 @@
     Attempt attempt = new Attempt(request, endpoint, nowUs);
     request.addAttempt(attempt);
     endpoint.recordSent(nowUs);
-    if (!request.isBodyIncomplete()) { // before that it is no load, and its silence tells nothing
+    if (!request.isBodyIncomplete()) { // an endpoint can't answer before the body is complete
       countAsLoad(attempt, nowUs);
     }
     if (onProbation) {
       endpoint.ejection.startProbation(attempt);
     }
     if (isFirst) {
-      attempts.recordFirstAttempt(demand.recentRequests());
+      attemptPolicy.recordFirstAttempt(demand.recentRequests());
       demand.recordSent(request);
     }
     long deadlineUs = deadlines.deadlineUs(attempt, isFirst, nowUs);
@@ -66,7 +70,7 @@
     return true;
   }
 
-  /** From now on the endpoint works for the attempt. */
+  /** The endpoint has the complete request from now on: the attempt counts and is watched. */
   void countAsLoad(Attempt attempt, long nowUs) {
     inFlight.start(attempt, nowUs);
     silence.watch(attempt, nowUs);
--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -45,7 +45,7 @@
         && (request.isBodyIncomplete() || nowUs < request.deadlineUs());
   }
 
-  /** Attempts that the request may have in all; one that was partly released can't be repeated. */
+  /** Attempts that the request may have in all; a partly released body can't be sent again. */
   private static int maxAttempts(Request request) {
     return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts();
   }
--- a/sidecar/src/main/java/dillcross/balancer/CheckQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/CheckQueue.java
@@ -4,13 +4,10 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Checks to run later, by due time, then in the order in which they were scheduled. */
+/** Keeps checks to run later: by due time, then in the order in which they were scheduled. */
 final class CheckQueue {
   private static final Comparator<ScheduledCheck> BY_TIME =
-      (a, b) ->
-          a.dueUs != b.dueUs
-              ? Long.compare(a.dueUs, b.dueUs)
-              : Long.compare(a.sequence, b.sequence);
+      Comparator.comparingLong(ScheduledCheck::dueUs).thenComparingLong(ScheduledCheck::sequence);
 
   private final PriorityQueue<ScheduledCheck> checks = new PriorityQueue<>(BY_TIME);
   private long nextSequence;
--- a/sidecar/src/main/java/dillcross/balancer/DecayingAverage.java
+++ b/sidecar/src/main/java/dillcross/balancer/DecayingAverage.java
@@ -1,18 +1,18 @@
 package dillcross.balancer;
 
-/** A mean over time that fades exponentially over a span chosen at each call. */
+/** Measures a mean over time that decays exponentially; each call states the time span. */
 final class DecayingAverage {
   private double value;
   private long updatedUs;
 
-  /** Fades to {@code nowUs}, with {@code level} held since the last call, and returns the mean. */
+  /** The mean at {@code nowUs}, where the value was {@code level} since the last call. */
   double update(double level, long nowUs, double spanUs) {
     value = level + (value - level) * Math.exp((updatedUs - nowUs) / spanUs);
     updatedUs = nowUs;
     return value;
   }
 
-  /** Fades to {@code nowUs}, then adds one sample. */
+  /** Adds one sample at {@code nowUs}. */
   void add(double sample, long nowUs, double spanUs) {
     value = update(0, nowUs, spanUs) + sample;
   }
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -6,22 +6,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts recent requests by class and tenant, and how many of them were sent. */
+/**
+ * Measures recent demand: requests by class and tenant, and how many of them were sent. All counts
+ * decay exponentially.
+ */
 final class DemandTracker {
-  private static final double FADE_US = 4_000_000;
+  private static final double DECAY_US = 4_000_000;
   private static final double MIN_REQUESTS = 0.1; // bounds the time where nothing arrived
 
   private final Collection<ClassState> classes;
   private Map<String, DemandCounter> tenants = new HashMap<>();
-  private double arrived; // fading
-  private double entitled; // of them within the quotas of their tenants
-  private long fadedUs;
+  private double arrived;
+  private double entitled; // part of them within the quotas of their tenants
+  private long decayedUs;
 
   DemandTracker(Collection<ClassState> classes) {
     this.classes = classes;
   }
 
-  /** Replaces the tenants; what was counted of those that stay is kept. */
+  /** Replaces the tenants; the counts of those that stay hold on. */
   void configure(List<Tenant> configured) {
     double quotas = configured.stream().mapToDouble(Tenant::quotaPerSecond).sum();
     Map<String, DemandCounter> before = tenants;
@@ -35,40 +38,44 @@
     }
   }
 
-  /** Fades all counts, at most once in {@code intervalUs}; whether it did. */
-  boolean fadeIfDue(long nowUs, long intervalUs) {
-    if (nowUs - fadedUs <= intervalUs) {
+  /** Decays all counts, at most once in {@code intervalUs}; whether it did. */
+  boolean decayIfDue(long nowUs, long intervalUs) {
+    if (nowUs - decayedUs <= intervalUs) {
       return false;
     }
-    double remaining = Math.exp((fadedUs - nowUs) / FADE_US);
+    double remaining = Math.exp((decayedUs - nowUs) / DECAY_US);
     tenants.values().forEach(tenant -> tenant.decay(remaining));
     classes.forEach(requestClass -> requestClass.demand.decay(remaining));
     arrived *= remaining;
     entitled = tenants.isEmpty() ? arrived : 0;
     tenants.values().forEach(tenant -> entitled += tenant.entitled(arrived));
-    fadedUs = nowUs;
+    decayedUs = nowUs;
     return true;
   }
 
-  long lastFadeUs() {
-    return fadedUs;
+  long lastDecayUs() {
+    return decayedUs;
   }
 
-  /** Recent requests, of all classes and tenants; they fade. */
+  /** Recent requests of all classes and tenants, as a decaying count. */
   double recentRequests() {
     return arrived;
   }
 
-  /** How long it takes at the present rate until {@code count} requests have arrived. */
+  /** How long {@code count} requests take to arrive at the current rate, in microseconds. */
   double timeForRequestsUs(double count) {
-    return count / Math.max(MIN_REQUESTS, arrived) * FADE_US;
+    return count / Math.max(MIN_REQUESTS, arrived) * DECAY_US;
   }
 
   double requestsPerSecond() {
-    return arrived * Units.MICROS_PER_SECOND / FADE_US;
+    return arrived * Units.MICROS_PER_SECOND / DECAY_US;
   }
 
-  /** Counts the request; above 1 where its class and tenant are behind what they may get. */
+  /**
+   * Counts the request and assigns its tenant.
+   *
+   * @return the need of its class and tenant: above 1 where they got less than their quota
+   */
   double recordArrival(Request request, String tenant) {
     arrived++;
     request.assignTenant(tenants.get(tenant));
@@ -76,7 +83,7 @@
     double need = request.classState.demand.need(arrived);
     if (request.tenant() != null) {
       request.tenant().recordArrival();
-      need *= request.tenant().need(entitled); // a burst must not raise the quota it is held to
+      need *= request.tenant().need(entitled); // a burst must not raise its own quota
     }
     return need;
   }
--- a/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
+++ b/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
@@ -3,7 +3,10 @@
 import dillcross.model.DiscoveryPolicy;
 import java.util.Random;
 
-/** When to subscribe to the endpoint list: never all sidecars at once, later after each failure. */
+/**
+ * Decides when to call discovery for the endpoint list: after a random delay at the start, so that
+ * sidecars do not call together, and with exponential backoff and jitter after failures.
+ */
 final class DiscoverySchedule {
   private static final double START_SPREAD_PER_SIDECAR_US = 10_000;
   private static final long FIRST_BACKOFF_US = 500_000;
@@ -27,7 +30,8 @@
               (double) newPolicy.pollWithinUs() / POLL_DIVISOR,
               START_SPREAD_PER_SIDECAR_US * instances);
       long delayUs = (long) (spread * random.nextDouble());
-      dueUs = hasEndpoints ? nowUs + delayUs : -1 - delayUs; // then it counts from the first list
+      // A negative time counts from the first endpoint list.
+      dueUs = hasEndpoints ? nowUs + delayUs : -1 - delayUs;
     }
     if (!newPolicy.pollRequired()) {
       dueUs = Long.MAX_VALUE;
@@ -35,6 +39,7 @@
     policy = newPolicy;
   }
 
+  /** An endpoint list has arrived. */
   void onList(long nowUs) {
     failures = 0;
     if (dueUs < 0) {
@@ -42,7 +47,11 @@
     }
   }
 
-  /** Backs off with jitter, within the time in which changes must be learned. */
+  /**
+   * Backs off with jitter, but calls again within the time in which changes must be learned.
+   *
+   * @param maxDelayUs the longest backoff before jitter, in microseconds
+   */
   void onFailure(long nowUs, long maxDelayUs) {
     long backoffUs =
         Math.min(
@@ -54,7 +63,7 @@
             + (long) (Math.min(backoffUs, maxDelayUs) * (MIN_JITTER_FACTOR + random.nextDouble()));
   }
 
-  /** Whether to subscribe now; true once for each time that it is due. */
+  /** Whether to call discovery now; true once for each time that a call is due. */
   boolean takeDue(long nowUs) {
     boolean isDue = nowUs >= dueUs;
     if (isDue) {
@@ -63,6 +72,7 @@
     return isDue;
   }
 
+  /** When the next call is due; {@code Long.MAX_VALUE} if none is. */
   long nextDueUs() {
     return dueUs;
   }
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -4,11 +4,15 @@
 import dillcross.model.RequestClass;
 
 /**
- * No request runs twice: where a further attempt of one that may have run is harmless, and when.
+ * Decides where and until when another attempt can't make a request take effect twice.
+ *
+ * <p>An idempotent request may run anywhere again. One with an idempotency key may run again where
+ * endpoints recognise the key: within its deduplication scope, and until its deduplication window
+ * ends. A non-idempotent one may not, once an attempt may have run.
  */
 final class DuplicateGuard {
-  private static final double WINDOW_SHARE = 0.9; // of the time that a scope remembers a key
-  private static final double PATH_DELAY_FACTOR = 4; // times what a zone owes: a repeat may take it
+  private static final double WINDOW_FRACTION = 0.9; // of the deduplication window
+  private static final double PATH_DELAY_FACTOR = 4; // times how long a zone has not answered
 
   private final EndpointDirectory directory;
 
@@ -16,7 +20,7 @@
     this.directory = directory;
   }
 
-  /** Whether an attempt at that endpoint, now, has no effect a second time. */
+  /** Whether an attempt at that endpoint, sent now, can't take effect a second time. */
   boolean isHarmless(Request request, EndpointState endpoint, long nowUs) {
     if (request.isIdempotent()) {
       return true;
@@ -37,10 +41,10 @@
         || !isInScope(requestClass.scope(), earlier.endpoint, endpoint)) {
       return false;
     }
-    // One endpoint that hangs among others that answer is no sign of a slow path.
-    long owedUs = directory.unansweredUs(endpoint.zone(), nowUs);
-    return nowUs - earlier.sentUs() + PATH_DELAY_FACTOR * owedUs
-        < WINDOW_SHARE * requestClass.deduplicationWindowUs();
+    // The repeat may be delayed on a slow path and arrive after the window has ended.
+    long unansweredUs = directory.unansweredUs(endpoint.zone(), nowUs);
+    return nowUs - earlier.sentUs() + PATH_DELAY_FACTOR * unansweredUs
+        < WINDOW_FRACTION * requestClass.deduplicationWindowUs();
   }
 
   private static boolean isInScope(
@@ -52,9 +56,7 @@
     };
   }
 
-  /**
-   * When the scope forgets the key of the attempts before {@code repeat}, which has to end then.
-   */
+  /** When the deduplication window of the attempts before {@code repeat} ends: it must end too. */
   long memoryEndsUs(Request request, Attempt repeat) {
     long firstSentUs = Long.MAX_VALUE;
     for (Attempt earlier : request.attempts()) {
@@ -63,7 +65,7 @@
       }
     }
     long fromUs = firstSentUs == Long.MAX_VALUE ? request.deadlineUs() : firstSentUs;
-    return (long) (WINDOW_SHARE * request.requestClass.deduplicationWindowUs()) + fromUs;
+    return (long) (WINDOW_FRACTION * request.requestClass.deduplicationWindowUs()) + fromUs;
   }
 
   /** Whether a client may safely try again after the sidecar gave the request up. */
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The endpoints as the endpoint list has them. */
+/** Keeps the endpoints that discovery has named, by its endpoint lists. */
 final class EndpointDirectory {
   private static final double MIN_WEIGHT = 1e-9; // prevents a division by zero
 
@@ -28,7 +28,7 @@
   void configure(BalancerSettings settings) {
     zone = settings.zone();
     policy = settings.discovery();
-    for (EndpointState state : endpoints.values()) { // as known, until the list renews the weights
+    for (EndpointState state : endpoints.values()) { // the next endpoint list brings new ones
       boolean isDynamic = policy.dynamicWeights() && state.occupancy() > 0;
       state.updateWeight(state.entry().weight(), isDynamic);
     }
@@ -52,23 +52,29 @@
     return state != null && state.isListed();
   }
 
-  /** Above 1 where the other zones are more crowded than our own, by the weights of the list. */
+  /**
+   * Occupancy of other zones over that of this sidecar's zone, by the weights in endpoint lists.
+   */
   double remoteCrowding() {
     return remoteCrowding;
   }
 
-  /** Takes an update of the list in; whether it changed who may be used, or how. */
+  /**
+   * Applies an update of the endpoint list; whether it changed which endpoints may be used.
+   *
+   * @param complete whether endpoints that {@code entries} do not name are removed
+   */
   boolean apply(long nowUs, boolean complete, List<Endpoint> entries) {
     changed = complete;
     if (complete) {
       endpoints.values().forEach(state -> remove(state, nowUs));
     }
     entries.forEach(entry -> applyEntry(entry, nowUs));
-    remoteCrowding = measureCrowding();
+    remoteCrowding = measureRemoteCrowding();
     return changed;
   }
 
-  @SuppressWarnings("ReferenceEquality") // the very object: the state was made with it just now
+  @SuppressWarnings("ReferenceEquality") // the same object only if it was just created
   private void applyEntry(Endpoint entry, long nowUs) {
     EndpointState state = endpoints.computeIfAbsent(entry.id(), id -> new EndpointState(entry));
     Endpoint before = state.entry();
@@ -76,7 +82,7 @@
     boolean isUp = entry.health() == Endpoint.Health.UP;
     boolean isRetained = entry.health() == Endpoint.Health.REMOVED && remove(state, nowUs);
     changed |= isNew || (isUp || isRetained) != state.isListed() || differs(before, entry);
-    if (isNew || entry.startedUs() > before.startedUs()) { // a new process: nothing old holds
+    if (isNew || entry.startedUs() > before.startedUs()) { // a new process
       state.forgetLatency();
       slowStart.begin(state, entry.startedUs(), nowUs);
     }
@@ -88,7 +94,7 @@
     state.updateWeight(entry.weight(), policy.dynamicWeights());
   }
 
-  /** Weights that move with load come many times a second, for all endpoints: no change. */
+  /** Whether the subset must be selected again; not for weights that change with each load. */
   private boolean differs(Endpoint before, Endpoint entry) {
     return entry.startedUs() != before.startedUs()
         || entry.cell() != before.cell()
@@ -96,7 +102,7 @@
         || (!policy.dynamicWeights() && entry.weight() != before.weight());
   }
 
-  /** The list names it no more, or as removed; whether it may be used all the same. */
+  /** The list has removed it; whether it may be used all the same. */
   private boolean remove(EndpointState state, long nowUs) {
     boolean isRetained = removal.retains(state);
     if (isRetained) {
@@ -107,7 +113,7 @@
     return isRetained;
   }
 
-  private double measureCrowding() {
+  private double measureRemoteCrowding() {
     double localLoad = 0;
     double localSize = MIN_WEIGHT;
     double remoteLoad = 0;
@@ -126,7 +132,7 @@
     return (1 + remoteLoad / remoteSize) / (1 + localLoad / localSize);
   }
 
-  /** Ends the use of removed endpoints whose grace is over; whether any endpoint is unlisted. */
+  /** Unlists removed endpoints whose grace period is over; whether any endpoint is unlisted. */
   boolean expireRemoved(long nowUs) {
     boolean isAnyUnlisted = false;
     for (EndpointState state : endpoints.values()) {
@@ -138,12 +144,15 @@
     return isAnyUnlisted;
   }
 
-  /** Forgets what is unlisted and has nothing in flight. */
+  /** Forgets endpoints that are unlisted and have nothing in flight. */
   void forgetUnlisted() {
     endpoints.values().removeIf(state -> !state.isListed() && state.inFlightCount() == 0);
   }
 
-  /** How long the zone owes an answer to what it was sent after all that it answered; in us. */
+  /**
+   * How long the zone has left attempts unanswered that were sent after every one it answered, in
+   * microseconds. One endpoint that hangs among others that answer does not count.
+   */
   long unansweredUs(String zoneName, long nowUs) {
     long lastAnsweredSentUs = 0;
     for (EndpointState state : endpoints.values()) {
--- a/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
@@ -4,12 +4,22 @@
 import java.util.List;
 import java.util.Random;
 
-/** Picks the better of two random choices, by smoothed latency x (own in flight + 1). */
+/**
+ * Decides which endpoint gets a request's next attempt: the cheaper of two random choices (P2C) in
+ * this sidecar's zone and of two in other zones.
+ *
+ * <pre>cost = latencyRatio x (inFlight + 1) x zoneCost</pre>
+ *
+ * The latency ratio is the smoothed latency over the mean of the request class, adjusted by
+ * reported load, by its age and by how long the oldest attempt in flight has waited. Draws are
+ * weighted by capacity. Where no drawn endpoint is usable, or where the request may have run and
+ * few endpoints may get it again, all are compared.
+ */
 final class EndpointPicker {
-  private static final long FORGET_US = 10_000_000; // then one that lost every draw is tried again
-  private static final double CROSS_ZONE_FACTOR = 20; // what the price of leaving the zone weighs
-  private static final double MAX_LIMIT_SHARES = 1.5; // of the limit, that one endpoint may hold
-  private static final double REPORT_WEIGHT = 0.1; // of a new load report in their mean
+  private static final long FORGET_US = 10_000_000; // after it a high latency no longer counts
+  private static final double CROSS_ZONE_FACTOR = 20; // weight of the configured price
+  private static final double MAX_LIMIT_SHARES = 1.5; // of the limit, at one endpoint
+  private static final double REPORT_WEIGHT = 0.1; // of a new load report in the mean
   private static final double LOAD_OFFSET = 0.5; // keeps the ratio of small loads moderate
   private static final int MAX_DRAWS = 5;
   private static final double MIN_JITTER_FACTOR = 0.5; // the largest is 1 more
@@ -43,13 +53,13 @@
     crossZoneCost = 1 + CROSS_ZONE_FACTOR * settings.crossZonePrice();
   }
 
-  /** The endpoint reports that many requests in flight. */
+  /** The endpoint reported how many requests of all sidecars it has in flight. */
   void recordLoadReport(EndpointState endpoint, double inFlight) {
     endpoint.recordReportedLoad(inFlight / endpoint.effectiveWeight());
     meanReportedLoad += REPORT_WEIGHT * (endpoint.reportedLoad() - meanReportedLoad);
   }
 
-  /** Others send there too, or it hangs behind a full queue: back off, longer each time. */
+  /** The endpoint answered that it is overloaded: backs off from it, longer each time. */
   void recordOverload(EndpointState endpoint, double meanLatencyUs, long nowUs) {
     int doublings = Math.min(endpoint.consecutiveOverloads(), MAX_OVERLOAD_DOUBLINGS);
     double factor = (MIN_JITTER_FACTOR + random.nextDouble()) * (1 << doublings);
@@ -59,7 +69,8 @@
 
   /** The endpoint for the request's next attempt; null if none may take it. */
   EndpointState pick(Request request, long nowUs) {
-    if (request.isIdempotent() || !request.mayHaveRun()) { // else draws would miss the few that may
+    boolean mayGoAnywhere = request.isIdempotent() || !request.mayHaveRun();
+    if (mayGoAnywhere) {
       EndpointState localChoice = pickOfTwo(request, endpoints.local(), nowUs);
       EndpointState remoteChoice = pickOfTwo(request, endpoints.remote(), nowUs);
       EndpointState choice = cheaper(localChoice, remoteChoice, nowUs);
@@ -76,13 +87,16 @@
     return best;
   }
 
-  /** Two different ones: of the few that are in use one drawn twice is no choice. */
+  /** The cheaper of two different candidates: drawing one twice would leave no choice. */
   private EndpointState pickOfTwo(Request request, List<EndpointState> candidates, long nowUs) {
     EndpointState first = draw(request, candidates, null, nowUs);
     return cheaper(first, draw(request, candidates, first, nowUs), nowUs);
   }
 
-  /** Draws large ones more often: what a sidecar sees tells their size late. */
+  /**
+   * Weights the draw by capacity, because latency reveals a small endpoint only after it is
+   * overloaded.
+   */
   private EndpointState draw(
       Request request, List<EndpointState> candidates, EndpointState excluded, long nowUs) {
     EndpointState drawn = null;
@@ -118,7 +132,7 @@
   }
 
   private double cost(EndpointState endpoint, long nowUs) {
-    // Damped, or all sidecars would herd to the one that reports the least.
+    // The square root damps it: otherwise all sidecars would choose the least loaded endpoint.
     double reported =
         Math.sqrt((endpoint.reportedLoad() + LOAD_OFFSET) / (meanReportedLoad + LOAD_OFFSET));
     double ratio = endpoint.latencyRatio() * reported;
@@ -126,7 +140,7 @@
     double freshness = ratio > 1 ? Math.max(0, 1 - age) : 1;
     double latency = 1 + (ratio - 1) * freshness;
     Attempt oldest = endpoint.oldestInFlight();
-    if (oldest != null) { // an old attempt says more than answers from before it
+    if (oldest != null) { // its wait is newer than the last answers
       double waited = oldest.request.classState.latency.ratioToMean(nowUs - oldest.sentUs());
       latency = Math.max(latency, waited);
     }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -76,17 +76,17 @@
     isListed = newListed;
   }
 
-  /** Since when the list leaves it out although it did not drain; 0 while it is named. */
+  /** Since when endpoint lists leave it out although it did not drain; 0 while they name it. */
   long removedUs() {
     return removedUs;
   }
 
-  /** The list leaves it out; an earlier removal counts on. */
+  /** It was removed without draining; an earlier time of removal stays. */
   void markRemoved(long nowUs) {
     removedUs = removedUs == 0 ? nowUs : removedUs;
   }
 
-  /** The list names it as up. */
+  /** It is named as up again. */
   void clearRemoval() {
     removedUs = 0;
   }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -9,13 +9,16 @@
 import java.util.Map;
 
 /**
- * Which endpoints this sidecar uses: some of its own zone and some of the next, from its own
- * position on a ring. Sidecars differ, endpoints share alike, and a change of the list moves few.
- * Spread over all, a sidecar with little traffic would learn nothing of any.
+ * Decides which endpoints this sidecar uses (deterministic subsetting): some of its own zone and as
+ * many of others, from the sidecar's own position on a ring of endpoints.
+ *
+ * <p>Ring positions spread sidecars evenly over endpoints, and a change of the endpoint list moves
+ * few. The size grows with traffic: a sidecar with little traffic that used every endpoint would
+ * measure none of them.
  */
 final class EndpointSubset {
-  private static final double MIN_SIZE = 1.5; // mean endpoint sizes of a zone
-  private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25; // so that each is heard in time
+  private static final double MIN_SIZE = 1.5; // in mean endpoint weights of a zone
+  private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25; // enough samples of each endpoint
   private static final int MIN_WARM_ENDPOINTS = 2; // to choose between
   private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
   private static final double KEEP_ALL_FRACTION = 0.7; // of the rate from which all are used
@@ -26,8 +29,8 @@
   private final EndpointDirectory directory;
   private final EndpointSets sets;
   private String zone;
-  private double position; // on the ring, 0 to 1: even over the sidecars
-  private double targetSize = MIN_SIZE; // in mean endpoint sizes of a zone
+  private double position; // on the ring, 0 to 1
+  private double targetSize = MIN_SIZE; // in mean endpoint weights of a zone
   private boolean isStale;
 
   EndpointSubset(EndpointDirectory directory, EndpointSets sets) {
@@ -42,12 +45,15 @@
     isStale = true;
   }
 
-  /** Something that decides which endpoints are used has changed. */
+  /** Has the subset be selected again before the next decision. */
   void invalidate() {
     isStale = true;
   }
 
-  /** Fits the size to the traffic; not to chance alone, as moving loses what was measured. */
+  /**
+   * Fits the size to the traffic, with hysteresis: an endpoint that leaves the subset is no longer
+   * measured.
+   */
   void resize(double requestsPerSecond) {
     int known = directory.all().size();
     double threshold = known * (targetSize < known ? 1 : KEEP_ALL_FRACTION);
@@ -61,7 +67,7 @@
     }
   }
 
-  /** Selects anew if something changed; whether it did. */
+  /** Selects the subset again if something changed; whether it did. */
   boolean refreshIfStale() {
     if (!isStale) {
       return false;
@@ -83,7 +89,7 @@
     List<EndpointState> ejected = new ArrayList<>();
     ring.forEach(state -> (state.ejection.isEjected() ? ejected : available).add(state));
     if (available.isEmpty()) {
-      available.addAll(ejected); // with every endpoint ejected, the ejection tells nothing
+      available.addAll(ejected); // as if none were: some may serve
     }
     // Starts at this sidecar's ring position so that sidecars overflow to different endpoints.
     Collections.rotate(available, -(int) (position * available.size()));
@@ -108,7 +114,10 @@
     sets.replaceSubset(local, remote, largestWeight);
   }
 
-  /** Ejected and warming endpoints do not count; when all that is used is full others help. */
+  /**
+   * Selects candidates from this sidecar's position on until they have the target size. Ejected
+   * ones are left out, those in slow start do not count towards the size.
+   */
   private void select(List<EndpointState> candidates, List<EndpointState> selected) {
     if (candidates == null) {
       return;
--- a/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
@@ -1,7 +1,9 @@
 package dillcross.balancer;
 
-/** Counts the attempts that endpoints work for, and those of them that have fallen silent. */
+/** Measures the attempts in flight that count as load, and how many of them are silent. */
 final class InFlightTracker {
+  private static final int MAX_SILENT_PER_ENDPOINT = 2;
+
   private final TrafficMeter traffic;
   private final EndpointDirectory directory;
   private int total;
@@ -13,14 +15,17 @@
     this.directory = directory;
   }
 
-  /** In flight, silent or not. */
+  /** Attempts in flight, silent or not. */
   int total() {
     return total;
   }
 
-  /** In flight and not silent; two an endpoint may be, so that a silent fleet stays bounded. */
+  /**
+   * Attempts in flight that are not silent. At most two an endpoint are left out as silent, so that
+   * load stays bounded where no endpoint answers.
+   */
   int responsive() {
-    return total - Math.min(unresponsive, 2 * directory.all().size());
+    return total - Math.min(unresponsive, MAX_SILENT_PER_ENDPOINT * directory.all().size());
   }
 
   /** The mean of {@link #responsive} over time. */
@@ -28,7 +33,7 @@
     return traffic.meanInFlight(responsive(), nowUs);
   }
 
-  /** From now on the endpoint works for the attempt. */
+  /** The attempt counts as load from now on. */
   void start(Attempt attempt, long nowUs) {
     meanResponsive(nowUs);
     attempt.startLoad(nowUs);
@@ -36,7 +41,7 @@
     attempt.endpoint.addInFlight(attempt);
   }
 
-  /** The attempt is no load any more. */
+  /** The attempt no longer counts as load. */
   void release(Attempt attempt, long nowUs) {
     if (attempt.countsAsLoad()) {
       meanResponsive(nowUs);
@@ -48,13 +53,13 @@
     capacityChanged = true;
   }
 
-  /** Its silence must not use up the limit of a sidecar with little traffic. */
+  /** The attempt is silent: it must not use up the limit of a sidecar with little traffic. */
   void markSilent(Attempt attempt) {
     unresponsive += attempt.isConnectionSuspect() ? 0 : 1;
     attempt.markSilent();
   }
 
-  /** Dead connections alone would hold all of the limit until their requests end. */
+  /** Its connection seems dead: such attempts must not use up the limit until they end. */
   void markConnectionSuspect(Attempt attempt) {
     attempt.markConnectionSuspect();
     unresponsive++;
@@ -62,7 +67,7 @@
     capacityChanged = true;
   }
 
-  /** Something may be admitted that was not before. */
+  /** Waiting requests may be admitted from now on. */
   void signalCapacity() {
     capacityChanged = true;
   }
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -13,23 +13,23 @@
 import java.util.Random;
 
 /**
- * Every decision of one sidecar. Inputs ({@code on...}, {@link #applySettings}) carry the time in
- * whole microseconds of one clock that never goes back, and only note what is known. Then pull
- * {@link #next} until it is null and carry out each {@link Decision}. Not safe for use by several
- * threads.
+ * Takes every decision of one sidecar: the facade of this package. Inputs ({@code on...}, {@link
+ * #applySettings}) carry the time in whole microseconds of one clock that never goes back, and only
+ * note what is known. Then pull {@link #next} until it is null and carry out each {@link Decision}.
+ * Not safe for use by several threads.
  *
- * <p>The design decides the ordinary path: five consecutive failures eject an endpoint, a jittered
- * penalty ends in one real request on probation, a failed probation doubles the penalty, and among
- * the rest the better of two random choices by smoothed latency x (own in flight + 1). Beside it
- * stand:
+ * <p>A request's way: {@link RequestDeadline} and {@link RequestRanking} at its arrival, {@link
+ * RequestScheduler} for each next step. Attempts pass {@link AttemptRouter}, {@link EndpointPicker}
+ * and {@link AttemptDispatcher}; {@link RequestQueue} has requests wait and {@link FinalAnswer}
+ * gives them up. {@link OutlierEjection} ejects endpoints after consecutive failures, until one
+ * request on probation succeeds. Beside these stand six mechanisms:
  *
  * <ol>
- *   <li>{@link SlowStart}: a fresh or readmitted endpoint gets what its answers and our share
- *       allow.
+ *   <li>{@link SlowStart}: a new or readmitted endpoint gets little at first.
  *   <li>{@link SilenceMonitor}: an overdue attempt counts as a failure before its deadline.
  *   <li>{@link RetryBudget}: retries and hedges are paid for by first attempts.
- *   <li>{@link AdmissionControl}: a concurrency limit; a short wait, then a rejection.
- *   <li>{@link OutlierEjection}: a smoothed failure share ejects as consecutive failures do.
+ *   <li>{@link AdmissionControl}: a concurrency limit, by Little's law.
+ *   <li>{@link OutlierEjection}: a smoothed failure fraction ejects as consecutive failures do.
  *   <li>{@link RequestRanking}: requests wait by priority weight, class and tenant.
  * </ol>
  */
@@ -54,7 +54,7 @@
   private final IdleConnections idleConnections;
   private final InFlightTracker inFlight;
   private final AdmissionControl admission;
-  private final AttemptPolicy attempts;
+  private final AttemptPolicy attemptPolicy;
   private final AttemptDispatcher dispatcher;
   private final EndpointPicker picker;
   private final AttemptCanceller canceller;
@@ -84,18 +84,20 @@
     admission = new AdmissionControl(traffic, inFlight, slowdown, endpoints);
     OutlierEjection ejection = new OutlierEjection(random, slowStart, subset);
     DuplicateGuard duplicates = new DuplicateGuard(directory);
-    attempts = new AttemptPolicy(duplicates, new RetryBudget());
-    SilenceMonitor silence = new SilenceMonitor(checks, inFlight, ejection, attempts, this::hedge);
+    attemptPolicy = new AttemptPolicy(duplicates, new RetryBudget());
+    SilenceMonitor silence =
+        new SilenceMonitor(checks, inFlight, ejection, attemptPolicy, this::hedge);
     AttemptDeadline attemptDeadlines = new AttemptDeadline(duplicates, silence);
     dispatcher =
         new AttemptDispatcher(
-            slowStart, attempts, attemptDeadlines, inFlight, silence, demand, decisions);
+            slowStart, attemptPolicy, attemptDeadlines, inFlight, silence, demand, decisions);
     picker = new EndpointPicker(random, directory, endpoints, admission, dispatcher);
     AttemptRouter router = new AttemptRouter(endpoints, ejection, picker, dispatcher);
     canceller = new AttemptCanceller(requests, decisions);
     finalAnswer = new FinalAnswer(random, duplicates, requests, decisions);
     queue = new RequestQueue(requests, endpoints, admission, inFlight, checks, finalAnswer);
-    scheduler = new RequestScheduler(requests, attempts, admission, router, queue, finalAnswer);
+    scheduler =
+        new RequestScheduler(requests, attemptPolicy, admission, router, queue, finalAnswer);
     outcomes = new OutcomeRecorder(ejection, admission, slowdown, traffic, picker);
     applySettings(0, settings);
   }
@@ -117,7 +119,7 @@
     subset.configure(settings);
     admission.configure(settings);
     requestDeadlines.configure(settings.objective());
-    attempts.configure(settings.objective());
+    attemptPolicy.configure(settings.objective());
     picker.configure(settings);
     finalAnswer.configure(settings.maxRetryAfterUs());
   }
@@ -140,7 +142,7 @@
   /**
    * An update of the endpoint list.
    *
-   * @param complete whether what {@code entries} do not name is removed; else they are changes
+   * @param complete whether {@code entries} are all endpoints, and not only those that changed
    */
   public void onEndpointList(long nowUs, boolean complete, List<Endpoint> entries) {
     now = nowUs;
@@ -160,7 +162,7 @@
     discovery.onFailure(now, maxDelayUs);
   }
 
-  /** Whether attempts may still be sent to the endpoint; a host keeps its address as long. */
+  /** Whether attempts may be sent to the endpoint; the caller keeps its address until then. */
   public boolean isListed(String endpointId) {
     return directory.isListed(endpointId);
   }
@@ -178,7 +180,7 @@
       long nowUs, long id, String tenant, String className, long timeoutUs, boolean isRepeat) {
     now = nowUs;
     Request request = newRequest(id, classes.get(className), timeoutUs);
-    if (demand.fadeIfDue(now, meanObjectiveUs)) {
+    if (demand.decayIfDue(now, meanObjectiveUs)) {
       double spanUs = demand.timeForRequestsUs(MIN_REQUESTS_IN_SPAN);
       traffic.setSpan(Math.max((double) meanObjectiveUs, spanUs));
       subset.resize(demand.requestsPerSecond());
@@ -222,7 +224,7 @@
     if (request != null && attemptNumber < request.attempts().size()) {
       Attempt attempt = request.attempts().get(attemptNumber);
       request.startStreaming(attempt);
-      inFlight.release(attempt, now); // how long it streams is its client's doing as well
+      inFlight.release(attempt, now); // from now on the client sets the pace
       outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs()), now);
       requests.cancelOthers(request);
     }
@@ -251,7 +253,7 @@
     Attempt attempt = request.attempts().get(attemptNumber);
     request.endAttempt(attempt, outcome);
     inFlight.release(attempt, now);
-    long tookUs = Math.max(1, elapsedUs); // an answer within the clock's step takes time as well
+    long tookUs = Math.max(1, elapsedUs); // the clock may not have moved
     outcomes.recordOutcome(attempt, tookUs, now);
     requests.settle(request, requestOver);
     if (!request.isOver() && request.attemptsInFlight() == 0) {
@@ -268,7 +270,7 @@
     }
   }
 
-  /** The client has disconnected: no answer is owed. */
+  /** The client has disconnected and needs no answer. */
   public void onClientDisconnected(long nowUs, long id) {
     now = nowUs;
     Request request = requests.find(id);
@@ -304,7 +306,7 @@
     if (subset.refreshIfStale()) {
       inFlight.signalCapacity();
     }
-    if (now == demand.lastFadeUs()) {
+    if (now == demand.lastDecayUs()) {
       if (directory.expireRemoved(now)) {
         subset.invalidate();
       }
--- a/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
@@ -2,10 +2,10 @@
 
 import dillcross.model.AttemptOutcome;
 
-/** Measures endpoints and request classes by how attempts end. */
+/** Measures endpoints, request classes and traffic by how attempts end. */
 final class OutcomeRecorder {
   private static final long STALE_LATENCY_US = 5_000_000;
-  private static final double BASELINE_RISE_IDLE = 0.05; // less load would not make it faster
+  private static final double BASELINE_RISE_IDLE = 0.05; // without load the mean is the baseline
   private static final double BASELINE_RISE = 0.0001;
 
   private final OutlierEjection ejection;
@@ -27,7 +27,7 @@
     this.picker = picker;
   }
 
-  /** The attempt has ended after {@code tookUs}. */
+  /** The attempt has ended, {@code tookUs} after it was sent. */
   void recordOutcome(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     endpoint.recordOutcome(nowUs, STALE_LATENCY_US);
@@ -43,7 +43,7 @@
     ejection.endProbation(attempt);
   }
 
-  /** Notes whether it was late though its endpoint answered others meanwhile. */
+  /** Counts a late attempt only where its endpoint answered others meanwhile. */
   private static void recordLateness(Attempt attempt, long tookUs) {
     ClassState classState = attempt.request.classState;
     boolean isLate = tookUs > classState.requestClass().latencyObjectiveUs();
@@ -56,7 +56,7 @@
     }
   }
 
-  /** The endpoint has answered successfully after {@code tookUs}, or has begun to. */
+  /** The endpoint has answered successfully, or has begun to, {@code tookUs} after sending. */
   void recordSuccess(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     ClassState classState = attempt.request.classState;
@@ -74,17 +74,17 @@
     EndpointState endpoint = attempt.endpoint;
     boolean isTimeout = attempt.outcome() == AttemptOutcome.TIMED_OUT;
     LatencyEstimate latency = attempt.request.classState.latency;
-    // One time-out says as much as many slow answers; with little traffic there are no more.
-    boolean saysNothing = attempt.isConnectionSuspect() || attempt.request.isBodyIncomplete();
-    double ratio = saysNothing ? 0 : latency.boundedRatioToMean(tookUs);
+    // Raises the ratio at once: with little traffic there would be no more samples.
+    boolean isUninformative = attempt.isConnectionSuspect() || attempt.request.isBodyIncomplete();
+    double ratio = isUninformative ? 0 : latency.boundedRatioToMean(tookUs);
     endpoint.raiseLatencyRatio(ratio);
-    // A client that gives up before an answer could be expected says nothing of the endpoint.
+    // A client that gives up before an answer could be expected is no failure of the endpoint.
     boolean isProbation = endpoint.ejection.isProbation(attempt);
     if (!isTimeout || latency.isTimeoutFailure(tookUs) || isProbation) {
       ejection.recordFailure(attempt, nowUs);
     }
     if (isTimeout && !endpoint.ejection.isEjected() && !attempt.isConnectionSuspect()) {
-      slowdown.record(attempt, tookUs, nowUs); // a jam answers nothing, and must tell
+      slowdown.record(attempt, tookUs, nowUs); // else endpoints that answer nothing would not count
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -4,15 +4,16 @@
 import java.util.Random;
 
 /**
- * Ejects endpoints after consecutive failures or too large a share of failures, for a jittered
- * penalty that ends in one request on probation and doubles where that fails.
+ * Decides which endpoints are ejected and when they return (outlier detection): consecutive
+ * failures or a smoothed failure fraction eject an endpoint for a jittered penalty. Then one
+ * request on probation decides: success readmits it into slow start, failure doubles the penalty.
  */
 final class OutlierEjection {
-  private static final int CONSECUTIVE_FAILURES = 5; // the design's threshold
-  private static final double FAILURE_FRACTION = 0.4; // five failures in a row cross it too
-  private static final long MAX_PENALTY_US = 60_000_000; // the design's ceiling
-  private static final long FIRST_PENALTY_US = 1_000_000; // short, so that a pause costs little
-  private static final double JITTER = 0.2; // of a penalty
+  private static final int CONSECUTIVE_FAILURES = 5; // fewer: ejects healthy endpoints by chance
+  private static final double FAILURE_FRACTION = 0.4; // smoothed
+  private static final long MAX_PENALTY_US = 60_000_000;
+  private static final long FIRST_PENALTY_US = 1_000_000; // short, as a healthy one may have paused
+  private static final double JITTER = 0.2; // fraction of a penalty, up or down
 
   private final Random random;
   private final SlowStart slowStart;
@@ -24,7 +25,7 @@
     this.subset = subset;
   }
 
-  /** Notes a failure once, whether its silence or its end tells it. */
+  /** Counts a failure of the attempt, once: when it falls silent or when it ends. */
   void recordFailure(Attempt attempt, long nowUs) {
     EjectionState state = attempt.endpoint.ejection;
     if (!attempt.isSilent()) {
@@ -48,7 +49,7 @@
   }
 
   private void eject(EjectionState state, boolean bySilence, long nowUs) {
-    // It doubles soon after the last, too: who fails half of its requests may pass probation.
+    // Soon after the last one it doubles: an endpoint that fails half may pass probation.
     boolean isRepeated =
         state.penaltyUs() > 0 && nowUs < state.untilUs() + 2 * state.penaltyUs() + FIRST_PENALTY_US;
     long penaltyUs =
@@ -58,7 +59,10 @@
     subset.invalidate();
   }
 
-  /** A success on probation readmits; after silence alone any: it had paused, and is sound. */
+  /**
+   * Counts a success. On probation it readmits the endpoint; after an ejection by silence any
+   * success does, as the endpoint had only paused.
+   */
   void recordSuccess(Attempt attempt, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     EjectionState state = endpoint.ejection;
@@ -82,7 +86,7 @@
         && nowUs >= state.untilUs() + extraUs;
   }
 
-  /** The attempt has ended; another may be on probation. */
+  /** The attempt has ended; if it was on probation, another may be. */
   void endProbation(Attempt attempt) {
     EjectionState state = attempt.endpoint.ejection;
     if (state.isProbation(attempt)) {
--- a/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
+++ b/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
@@ -3,13 +3,14 @@
 import dillcross.model.DiscoveryPolicy;
 
 /**
- * Whether an endpoint that the list removes without draining it is used on. A list can be wrong,
- * and the endpoint's own answers say whether it is there: it stays until it refuses or resets.
- * Guards against lists that shrink or go back; costs one attempt for each sidecar where a machine
- * dies as it leaves the list.
+ * Decides whether an endpoint stays in use that discovery removed without draining it. Endpoint
+ * lists can be wrong, in part or whole, so where settings allow it the endpoint's own answers
+ * count: it stays until it refuses or resets a connection, or has not answered for a while.
+ *
+ * <p>The cost is one failed attempt per sidecar where a removed endpoint is really gone.
  */
 final class RemovalGrace {
-  private static final long MAX_RETENTION_US = 60_000_000; // after removal and last answer
+  private static final long MAX_RETENTION_US = 60_000_000; // after the removal and the last answer
 
   private DiscoveryPolicy policy;
 
@@ -17,11 +18,12 @@
     policy = newPolicy;
   }
 
-  /** Whether the endpoint, removed now, is used on. */
+  /** Whether the endpoint, removed now, stays in use. */
   boolean retains(EndpointState endpoint) {
     return policy.keepRemoved() && endpoint.isListed();
   }
 
+  /** Whether a removed endpoint has not answered for the whole grace period. */
   boolean isExpired(EndpointState endpoint, long nowUs) {
     long sinceUs = Math.max(endpoint.removedUs(), endpoint.lastSuccessUs());
     return endpoint.removedUs() != 0 && nowUs - sinceUs >= MAX_RETENTION_US;
--- a/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
@@ -1,8 +1,20 @@
 package dillcross.balancer;
 
-/** Ranks requests by priority weight for their time, and by how far class and tenant are behind. */
+/**
+ * Decides which waiting request goes first, and what a request is worth against others.
+ *
+ * <pre>
+ * valueRate = sqrt(priorityWeight / work) x timeoutFactor
+ * rank = need x valueRate
+ * relativeValue = valueRate / usual valueRate
+ * </pre>
+ *
+ * Work is the class's expected latency in microseconds, or 1 where weights are per unit of work;
+ * timeoutFactor is below 1 where the client gives up before an answer can come, and need is above 1
+ * where class or tenant got less than their quota. A repeat by the client counts for less in both.
+ */
 final class RequestRanking {
-  private static final double REPEAT_SHARE = 0.4; // of a first try's value, for a client's repeat
+  private static final double REPEAT_FRACTION = 0.4; // of the value of a first request
   private static final double MIN_SAMPLE_WEIGHT = 0.02;
   private static final double MIN_VALUE_RATE = 1e-9; // prevents a division by zero
 
@@ -16,19 +28,18 @@
 
   /**
    * Sets the request's rank in the queue and its relative value, by which {@link AdmissionControl}
-   * gives it a part of the concurrency limit. Both are lower where the client gives up before an
-   * answer can come.
+   * gives it a part of the concurrency limit.
    */
   void rank(Request request, double need, long timeoutUs, boolean isRepeat) {
     LatencyEstimate latency = request.classState.latency;
     long objectiveUs = request.requestClass.latencyObjectiveUs();
     double work = weightPerWork ? 1 : latency.workUs(objectiveUs);
-    double patience = Math.min(1, timeoutUs / latency.ampleUs());
-    double valueRate = Math.sqrt(request.requestClass.priorityWeight() / work) * patience;
+    double timeoutFactor = Math.min(1, timeoutUs / latency.ampleUs());
+    double valueRate = Math.sqrt(request.requestClass.priorityWeight() / work) * timeoutFactor;
     requests++;
     usualValueRate += Math.max(MIN_SAMPLE_WEIGHT, 1.0 / requests) * (valueRate - usualValueRate);
-    double repeatShare = isRepeat ? REPEAT_SHARE : 1;
-    double relativeValue = valueRate / Math.max(MIN_VALUE_RATE, usualValueRate) * repeatShare;
-    request.updateRank(need * valueRate * repeatShare, relativeValue);
+    double repeatFraction = isRepeat ? REPEAT_FRACTION : 1;
+    double relativeValue = valueRate / Math.max(MIN_VALUE_RATE, usualValueRate) * repeatFraction;
+    request.updateRank(need * valueRate * repeatFraction, relativeValue);
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
@@ -6,7 +6,7 @@
  */
 final class RequestScheduler {
   private final RequestTable requests;
-  private final AttemptPolicy attempts;
+  private final AttemptPolicy attemptPolicy;
   private final AdmissionControl admission;
   private final AttemptRouter router;
   private final RequestQueue queue;
@@ -14,13 +14,13 @@
 
   RequestScheduler(
       RequestTable requests,
-      AttemptPolicy attempts,
+      AttemptPolicy attemptPolicy,
       AdmissionControl admission,
       AttemptRouter router,
       RequestQueue queue,
       FinalAnswer finalAnswer) {
     this.requests = requests;
-    this.attempts = attempts;
+    this.attemptPolicy = attemptPolicy;
     this.admission = admission;
     this.router = router;
     this.queue = queue;
@@ -41,14 +41,14 @@
     if (isFirst && router.sendOnProbation(request, nowUs)) {
       return;
     }
-    if (!attempts.allowsNext(request)) {
+    if (!attemptPolicy.allowsNext(request)) {
       finalAnswer.giveUp(request, nowUs);
       return;
     }
-    double price = attempts.price(request);
+    double price = attemptPolicy.price(request);
     boolean mustQueue = isFirst && requests.hasWaiting();
     if (!mustQueue && admission.admits(request, nowUs) && router.sendToPicked(request, nowUs)) {
-      attempts.charge(price);
+      attemptPolicy.charge(price);
     } else {
       queue.addOrGiveUp(request, isFirst, nowUs);
     }
@@ -71,11 +71,11 @@
   /** Sends a second attempt beside a slow one, if the retry budget and the limit allow it. */
   void hedge(Request request, long nowUs) {
     boolean isSent =
-        attempts.allowsHedge(request)
+        attemptPolicy.allowsHedge(request)
             && admission.admits(request, nowUs)
             && router.sendToPicked(request, nowUs);
     if (isSent) {
-      attempts.chargeHedge();
+      attemptPolicy.chargeHedge();
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
+++ b/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
@@ -1,11 +1,14 @@
 package dillcross.balancer;
 
-/** Pays for further attempts out of first ones: retries and hedges must not feed an overload. */
+/**
+ * Decides whether another attempt is affordable: first attempts earn a budget that retries and
+ * hedges spend, so that these can't amplify an overload. The unit is one attempt.
+ */
 final class RetryBudget {
-  private static final double EARNED_PER_REQUEST = 0.2;
+  private static final double EARNED_PER_REQUEST = 0.2; // higher: more retries in an overload
   private static final double MAX_BALANCE = 20;
 
-  /** In attempts. More at the start would add up over hundreds of sidecars. */
+  // More at the start would add up over hundreds of sidecars.
   private double balance = 1;
 
   boolean allows(double price) {
@@ -16,7 +19,7 @@
     balance -= price;
   }
 
-  /** A request got its first attempt; {@code recentRequests} bounds what may be saved up. */
+  /** A request got its first attempt; {@code recentRequests} bounds the balance. */
   void earn(double recentRequests) {
     double limit = Math.max(1, Math.min(MAX_BALANCE, EARNED_PER_REQUEST * recentRequests));
     balance = Math.min(limit, balance + EARNED_PER_REQUEST);
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -3,35 +3,39 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Watches attempts in flight: one that takes far longer than its class does counts as a failure
- * before its deadline, and a hedge may help.
+ * Decides when an attempt in flight is overdue or due for a hedge.
+ *
+ * <p>An overdue attempt at an endpoint that has answered nothing meanwhile counts as a failure
+ * before its deadline, so that an endpoint that accepts requests and answers none is ejected soon.
+ * If the endpoint answered others, only the attempt's connection is suspect.
  */
 final class SilenceMonitor {
-  private static final double MAX_LATENCY_RATIO = 4; // a slow endpoint must not hide its silence
+  private static final double MAX_LATENCY_RATIO = 4; // a slow endpoint must become overdue too
 
   private final CheckQueue checks;
   private final InFlightTracker inFlight;
   private final OutlierEjection ejection;
-  private final AttemptPolicy attempts;
+  private final AttemptPolicy attemptPolicy;
   private final ObjLongConsumer<Request> hedge;
 
-  /** Calls {@code hedge} with a request that would gain by a second attempt, and the time. */
+  /** Calls {@code hedge} with a request for which a hedge is due, and the time. */
   SilenceMonitor(
       CheckQueue checks,
       InFlightTracker inFlight,
       OutlierEjection ejection,
-      AttemptPolicy attempts,
+      AttemptPolicy attemptPolicy,
       ObjLongConsumer<Request> hedge) {
     this.checks = checks;
     this.inFlight = inFlight;
     this.ejection = ejection;
-    this.attempts = attempts;
+    this.attemptPolicy = attemptPolicy;
     this.hedge = hedge;
   }
 
-  /** Checks an attempt that was sent now, until it ends. */
+  /** Checks an attempt that was sent now until it ends. */
   void watch(Attempt attempt, long nowUs) {
-    long firstUs = Math.min(overdueAfterUs(attempt) / 2, attempts.hedgeAfterUs(attempt.request));
+    long firstUs =
+        Math.min(overdueAfterUs(attempt) / 2, attemptPolicy.hedgeAfterUs(attempt.request));
     checks.schedule(nowUs + firstUs, checkUs -> check(attempt, checkUs));
   }
 
@@ -53,15 +57,15 @@
     if (isOverdue && attempt.endpoint.lastSuccessUs() <= silentSinceUs) {
       ejection.recordFailure(attempt, nowUs);
       inFlight.markSilent(attempt);
-    } else { // it answers others: check again, it may fall silent yet
-      long hedgeUs = attempts.hedgeAfterUs(request);
+    } else { // the endpoint answers others, but may fall silent later
+      long hedgeUs = attemptPolicy.hedgeAfterUs(request);
       long nextUs = elapsedUs < hedgeUs ? hedgeUs - elapsedUs : overdueUs / 2;
       checks.schedule(nowUs + Math.min(overdueUs / 2, nextUs), checkUs -> check(attempt, checkUs));
       if (isOverdue && !attempt.isConnectionSuspect()) {
         inFlight.markConnectionSuspect(attempt);
       }
     }
-    if (isOverdue || elapsedUs >= attempts.hedgeAfterUs(request)) {
+    if (isOverdue || elapsedUs >= attemptPolicy.hedgeAfterUs(request)) {
       hedge.accept(request, nowUs);
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -5,11 +5,15 @@
 import java.util.Random;
 
 /**
- * Limits what a fresh or readmitted endpoint gets: one request at a time until it answers, and this
- * sidecar's part of what all may send within a window.
+ * Decides whether an endpoint that has just started or been readmitted may get another attempt.
+ *
+ * <p>Two limits apply during the warm-up time: attempts in flight, which grow by one with each
+ * successful answer, and attempts sent within a window. The latter is this sidecar's part of the
+ * capacity that the endpoint has so far, which rises linearly. Because that part may be below one
+ * attempt, its fraction is rounded at random for each window.
  */
 final class SlowStart {
-  private static final double BUDGET_SHARE = 0.7; // of this sidecar's part
+  private static final double BUDGET_FRACTION = 0.7; // of this sidecar's part; the rest is margin
 
   private final Random random;
   private final TrafficMeter traffic;
@@ -28,13 +32,13 @@
     instances = settings.instanceCount();
   }
 
-  /** Has the endpoint warm up from {@code startUs} on; 0, or long ago, counts as warm. */
+  /** The endpoint warms up from {@code startUs} on; 0, or long ago, means that it is warm. */
   void begin(EndpointState endpoint, long startUs, long nowUs) {
     boolean isWarm = startUs == 0 || nowUs - startUs > policy.warmUpUs();
     endpoint.slowStart.begin(isWarm ? 0 : startUs);
   }
 
-  /** Whether the endpoint may get one more attempt now. */
+  /** Whether the endpoint may get one more attempt now. Draws once for each window. */
   boolean hasBudget(EndpointState endpoint, long nowUs) {
     SlowStartState state = endpoint.slowStart;
     long elapsedUs = nowUs - state.startUs();
@@ -49,7 +53,7 @@
         traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpoints.inUse());
     double floor = AdmissionControl.INITIAL_LIMIT_PER_ENDPOINT / instances;
     double budget =
-        BUDGET_SHARE * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
+        BUDGET_FRACTION * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
     openWindow(state, nowUs / policy.windowUs());
     return endpoint.inFlightCount() < 1 + state.successes()
         && state.sentInWindow() + 1 <= budget + state.rounding();
@@ -57,7 +61,7 @@
 
   private void openWindow(SlowStartState state, long window) {
     if (window != state.window()) {
-      // A floor of one attempt a sidecar would add up over hundreds of them.
+      // At least one attempt for each sidecar would add up over hundreds of them.
       state.openWindow(window, random.nextDouble());
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
@@ -2,9 +2,12 @@
 
 import java.util.Collection;
 
-/** Estimates how much slower answers are than without a queue: 1 is calm. */
+/**
+ * Measures how much slower answers are than without queueing, as a smoothed ratio: 1 is no slower.
+ * {@link AdmissionControl} lowers the concurrency limit by it.
+ */
 final class SlowdownEstimator {
-  private static final double MAX_SAMPLE = 2; // few that hang are no queue
+  private static final double MAX_SAMPLE = 2; // a few attempts that hang are no queueing
   private static final double MIN_SAMPLE = 0.6;
   private static final double MAX_USUAL_RATIO = 5;
   private static final double MIN_SAMPLE_WEIGHT = 0.06;
@@ -20,18 +23,18 @@
     this.classes = classes;
   }
 
-  /** Smoothed latency over the baseline. */
+  /** Smoothed ratio of latency to baseline latency. */
   double value() {
     return slowdown;
   }
 
   /**
-   * Takes an attempt in, against its endpoint's own usual: where one of the few in use is slow, the
-   * limit of the rest must not fall for it. A baseline learned under load is kept in bounds.
+   * Adds the latency of an attempt, divided by its endpoint's usual latency ratio: one slow
+   * endpoint must not lower the limit for the others.
    */
   void record(Attempt attempt, long tookUs, long nowUs) {
     if (!attempt.endpoint.slowStart.isWarm()) {
-      return; // it is slow without a queue
+      return; // slow without queueing
     }
     long objectiveUs = attempt.request.requestClass.latencyObjectiveUs();
     ClassState classState = attempt.request.classState;
@@ -44,9 +47,9 @@
   }
 
   /**
-   * How much more of a class comes late than of the least late one. What is slow wherever it goes
-   * (a store behind the endpoints) is no queue there; a queue makes all late. Costs where a
-   * generous objective hides a queue that a short one shows: the limit then falls later.
+   * How much more often a class is late than the class that is late least often. Queueing at the
+   * endpoints delays all classes; one that alone is late waits for something behind them, which a
+   * lower limit would not help. Where latency objectives differ much, a queue may be noticed later.
    */
   private double excessLateness(ClassState classState) {
     double lowest =
--- a/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
+++ b/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
@@ -1,11 +1,12 @@
 package dillcross.balancer;
 
 /**
- * Measures this sidecar's traffic as a whole, as means over a span that is long where it is thin.
+ * Measures this sidecar's traffic as a whole, as means over a time span that is longer where there
+ * are few requests.
  */
 final class TrafficMeter {
-  private final DecayingAverage baselineWork = new DecayingAverage(); // microseconds a microsecond
-  private final DecayingAverage successRate = new DecayingAverage(); // a microsecond
+  private final DecayingAverage baselineConcurrency = new DecayingAverage();
+  private final DecayingAverage successRate = new DecayingAverage(); // per microsecond
   private final DecayingAverage inFlight = new DecayingAverage();
   private double spanUs;
   private long firstSuccessUs;
@@ -18,10 +19,10 @@
     spanUs = Math.max(spanUs, minSpanUs);
   }
 
-  /** A successful answer, of a request that takes {@code baselineLatencyUs} without a queue. */
+  /** Counts a successful answer of a class with that baseline latency. */
   void recordSuccess(double baselineLatencyUs, long nowUs) {
     firstSuccessUs = firstSuccessUs == 0 ? nowUs : firstSuccessUs;
-    baselineWork.add(baselineLatencyUs / spanUs, nowUs, spanUs);
+    baselineConcurrency.add(baselineLatencyUs / spanUs, nowUs, spanUs);
     successRate.add(1 / spanUs, nowUs, spanUs);
   }
 
@@ -30,12 +31,12 @@
     return successRate.update(0, nowUs, spanUs);
   }
 
-  /** How many requests would be in flight without a queue, by Little's law. */
+  /** How many attempts would be in flight without queueing, by Little's law. */
   double baselineConcurrency(long nowUs) {
-    return baselineWork.update(0, nowUs, spanUs);
+    return baselineConcurrency.update(0, nowUs, spanUs);
   }
 
-  /** Mean in flight, where {@code current} have been since the last call. */
+  /** Mean attempts in flight, where {@code current} have been since the last call. */
   double meanInFlight(int current, long nowUs) {
     return inFlight.update(current, nowUs, spanUs);
   }
