--- a/sidecar/src/test/java/dillcross/KnownRedTest.java
+++ b/sidecar/src/test/java/dillcross/KnownRedTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Covers {@code .ci/known-red}, which reads the list of tests that are known to fail and prints the
+ * Covers {@code .ci/known-red}, which reads the file of tests that are known to fail and prints the
  * Maven options that exclude them.
  */
 class KnownRedTest {
--- a/sidecar/src/test/java/dillcross/balancer/AdmissionControlTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/AdmissionControlTest.java
@@ -72,8 +72,8 @@
     for (int requests = 0; requests < 300; requests++) {
       fixture.startRequest("read");
       long untilNextMs = (long) (-INTERVAL_MS * Math.log(1 - random.nextDouble()));
-      for (long leftMs = untilNextMs; leftMs >= 0; leftMs -= stepMs) {
-        fixture.advance(Math.min(stepMs, leftMs));
+      for (long remainingMs = untilNextMs; remainingMs >= 0; remainingMs -= stepMs) {
+        fixture.advance(Math.min(stepMs, remainingMs));
         fixture.succeedAfter(80);
       }
     }
@@ -120,16 +120,16 @@
     assertEquals(othersAreSlow, rejected > 100, "rejected " + rejected);
   }
 
-  /** Their attempts must not fill the limit until their deadlines. */
+  /** Such attempts must not count against the limit until their deadlines. */
   @Test
-  void doesNotCountAttemptsOnDeadConnections() {
+  void doesNotCountAttemptsOnUnresponsiveConnections() {
     BalancerFixture fixture = BalancerFixture.inFleet(1, 0, TestEndpoints.inOneZone(10));
 
     Set<Long> withoutResponse = new HashSet<>();
     for (int i = 0; i < 1500; i++) {
-      boolean connectionDies = i > 500 && i % 20 == 0;
-      long request = fixture.startRequest(connectionDies ? "once" : "read"); // "once": no hedge
-      if (connectionDies) {
+      boolean isUnresponsive = i > 500 && i % 20 == 0;
+      long request = fixture.startRequest(isUnresponsive ? "once" : "read"); // "once": no hedge
+      if (isUnresponsive) {
         withoutResponse.add(request);
       }
       fixture.advance(5);
@@ -187,7 +187,7 @@
     for (int i = 0; i < requests; i++) {
       fixture.startRequest("once");
       double untilNextMs = -200 * Math.log(1 - random.nextDouble());
-      for (double leftMs = untilNextMs; leftMs >= 0; leftMs -= stepMs) {
+      for (double remainingMs = untilNextMs; remainingMs >= 0; remainingMs -= stepMs) {
         fixture.advance(stepMs);
         fixture.endAttempts(
             attempt -> {
--- a/sidecar/src/test/java/dillcross/balancer/BalancerFixture.java
+++ b/sidecar/src/test/java/dillcross/balancer/BalancerFixture.java
@@ -113,7 +113,7 @@
    * Delivers a part of a request's body.
    *
    * @param complete whether it is the last part
-   * @param replayable whether the whole body could be sent again
+   * @param replayable whether all of the body could be sent again
    */
   void receiveBody(long request, boolean complete, boolean replayable) {
     balancer.onRequestBody(nowUs(), request, complete, replayable);
--- a/sidecar/src/test/java/dillcross/balancer/ConnectionReleaseTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/ConnectionReleaseTest.java
@@ -11,7 +11,7 @@
 /** Covers which idle connections are released; see {@link LoadBalancer}. */
 class ConnectionReleaseTest {
   @Test
-  void releasesConnectionsToEndpointsThatLeftTheSubset() {
+  void releasesConnectionsToEndpointsOutsideTheSubset() {
     String[] healthy = TestEndpoints.inThreeZones(30);
     BalancerFixture fixture = BalancerFixture.inFleet(100, 0, healthy);
     fixture.sendAtIntervals(40, 250);
--- a/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
@@ -102,7 +102,8 @@
     fixture.endAttempt(fixture.lastAttemptOf(request), AttemptOutcome.CONNECT_FAILED);
 
     long deadlineMs = fixture.lastAttemptOf(request).deadlineMs();
-    assertTrue(deadlineMs >= fixture.nowMs + 2000, "left: " + (deadlineMs - fixture.nowMs));
+    assertTrue(
+        deadlineMs >= fixture.nowMs + 2000, "time for the retry: " + (deadlineMs - fixture.nowMs));
   }
 
   /**
--- a/sidecar/src/test/java/dillcross/balancer/EndpointPickerTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/EndpointPickerTest.java
@@ -103,7 +103,7 @@
     assertTrue(toOverloaded <= 8, "attempts in half a minute: " + toOverloaded);
   }
 
-  /** All sidecars see the same weights late, so one low weight must not turn them all away. */
+  /** Weights reach all sidecars late, so one low weight must not divert all of them. */
   @Test
   void followsDynamicWeightsOnlyWhenTheyLast() {
     int before = 0;
--- a/sidecar/src/test/java/dillcross/balancer/EndpointSubsetTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/EndpointSubsetTest.java
@@ -59,9 +59,9 @@
 
   /** The sidecar's own zone is up, then draining or starting, then up again. */
   @ParameterizedTest
-  @CsvSource({"DRAINING", "COLD"})
+  @CsvSource({"DRAINING", "STARTING"})
   void usesOtherZonesWhileOwnZoneIsUnavailable(String condition) {
-    boolean isCold = condition.equals("COLD");
+    boolean isStarting = condition.equals("STARTING");
     String[] healthy = TestEndpoints.inThreeZones(30);
     BalancerFixture fixture = BalancerFixture.inFleet(100, 0, healthy);
     usedEndpoints(fixture, 40);
@@ -73,7 +73,7 @@
             .filter(endpoint -> endpoint.endsWith("east"))
             .map(
                 endpoint ->
-                    isCold ? endpoint + ":" + fixture.nowMs : endpoint.replace("UP", condition))
+                    isStarting ? endpoint + ":" + fixture.nowMs : endpoint.replace("UP", condition))
             .toArray(String[]::new));
     Map<String, Integer> attempts = fixture.sendAtIntervals(12, INTERVAL_MS);
     int toOtherZones =
@@ -81,7 +81,7 @@
             .filter(entry -> !IN_FIRST_ZONE.test(entry.getKey()))
             .mapToInt(Map.Entry::getValue)
             .sum();
-    assertTrue(toOtherZones >= (isCold ? 4 : 6), "starting endpoints get a share: " + attempts);
+    assertTrue(toOtherZones >= (isStarting ? 4 : 6), "starting endpoints get a share: " + attempts);
 
     fixture.advance(9000);
     fixture.updateEndpoints(true, healthy);
@@ -93,10 +93,11 @@
     return endpoints.stream().filter(IN_FIRST_ZONE.negate()).count();
   }
 
-  /** Where the endpoint list says that the own zone is loaded much more than the other. */
+  /** Dynamic weights show that its own zone is loaded much more than the other. */
   @ParameterizedTest
   @CsvSource({"0.1, 1, true", "1, 1, false", "1, 0.1, false"})
-  void leavesOwnZoneWhenItsWeightsAreLow(double ownWeight, double otherWeight, boolean leavesZone) {
+  void usesOtherZoneWhenOwnWeightsAreLow(
+      double ownWeight, double otherWeight, boolean usesOtherZone) {
     SettingsBuilder settings = new SettingsBuilder().instance("east", 0, 100);
     BalancerFixture fixture = new BalancerFixture(settings);
     fixture.applySettings(fixture.newSettings().dynamicWeights(true));
@@ -111,7 +112,7 @@
             .filter(entry -> TestEndpoints.indexOf(entry.getKey()) % 2 == 1)
             .mapToInt(Map.Entry::getValue)
             .sum();
-    assertEquals(leavesZone, toWest > 30, toWest + " of 60 requests left the zone");
+    assertEquals(usesOtherZone, toWest > 30, toWest + " of 60 requests to the other zone");
   }
 
   private static String[] inTwoZones(double eastWeight, double westWeight) {
--- a/sidecar/src/test/java/dillcross/balancer/GivingUpTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/GivingUpTest.java
@@ -22,7 +22,7 @@
     "once, CONNECT_FAILED, REJECT",
     "cell, OVERLOADED, REJECT"
   })
-  void answersAtOnceWhenNoEndpointIsLeft(
+  void answersAtOnceWhenNoEndpointIsAvailable(
       String requestClass, AttemptOutcome outcome, NextStep answer) {
     BalancerFixture fixture = BalancerFixture.withEndpoints("a:UP:1:east");
     long request = fixture.startRequest(requestClass);
--- a/sidecar/src/test/java/dillcross/cli/AdminEndpointIT.java
+++ b/sidecar/src/test/java/dillcross/cli/AdminEndpointIT.java
@@ -24,7 +24,7 @@
     startAndAwaitReady(new TestConfig(entryOfA()).adminAddress(ANY_PORT));
   }
 
-  /** Sends a method and path, or a whole message, on a connection of its own. */
+  /** Sends a method and path, or a complete message, on a connection of its own. */
   private String callAdmin(String call) throws IOException {
     Socket socket = connect(sidecar.adminPort);
     String request = call.contains(" ") ? call + " HTTP/1.1\r\nHost: a\r\n\r\n" : call;
--- a/sidecar/src/test/java/dillcross/cli/BodyRelayIT.java
+++ b/sidecar/src/test/java/dillcross/cli/BodyRelayIT.java
@@ -93,9 +93,9 @@
 
   private static void sendLargeBody(Socket socket, int client, byte[] body) throws IOException {
     boolean isChunked = client % 2 == 1;
-    OutputStream out = new BufferedOutputStream(socket.getOutputStream(), 50_000);
+    OutputStream output = new BufferedOutputStream(socket.getOutputStream(), 50_000);
     String framing = isChunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length;
-    out.write(
+    output.write(
         ascii(
             "POST /buy/echo"
                 + client % 2
@@ -107,17 +107,17 @@
     for (int sent = 0; sent < body.length; sent += CHUNK_BYTES) {
       int length = Math.min(CHUNK_BYTES, body.length - sent);
       if (isChunked) {
-        out.write(ascii(Integer.toHexString(length) + "\r\n"));
+        output.write(ascii(Integer.toHexString(length) + "\r\n"));
       }
-      out.write(body, sent, length);
+      output.write(body, sent, length);
       if (isChunked) {
-        out.write(ascii("\r\n"));
+        output.write(ascii("\r\n"));
       }
     }
     if (isChunked) {
-      out.write(ascii("0\r\n\r\n"));
+      output.write(ascii("0\r\n\r\n"));
     }
-    out.flush();
+    output.flush();
   }
 
   private static byte[] ascii(String text) {
@@ -129,12 +129,12 @@
   }
 
   /**
-   * A response that breaks off after its first bytes were forwarded ends early for an HTTP/1.1
+   * A response that is truncated after its first bytes were forwarded ends early for an HTTP/1.1
    * client. An HTTP/1.0 client, for which an end would mean that it is complete, gets a reset.
    */
   @ParameterizedTest
   @ValueSource(strings = {"brokenlength", "brokenchunks"})
-  void clientNoticesThatResponseBrokeOff(String behaviour) throws Exception {
+  void clientDetectsTruncatedResponse(String behaviour) throws Exception {
     startWithEndpointA();
     Socket socket = connect();
     send(socket, request("/read/" + behaviour));
--- a/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
@@ -21,7 +21,7 @@
  * see {@link dillcross.sidecar.RequestCoordinator}.
  */
 class DisconnectCrossingIT extends CrossingFixture {
-  /** The request and its client's end are found together. */
+  /** The request and its disconnect become readable together. */
   @ParameterizedTest
   @ValueSource(strings = {"closes", "resets", "half-closes"})
   void doesNotSendRequestWhoseClientHasDisconnected(String how) throws Exception {
@@ -42,7 +42,7 @@
   }
 
   /**
-   * The connection that the request waits for comes up after the client has gone.
+   * The connection that the request waits for is established after the client has disconnected.
    *
    * @param extraBytes how much the client has sent behind its request; below 0, the length of the
    *     request's own body, which is streamed
@@ -85,7 +85,7 @@
         0,
         countConnectionsTo(endpoint.port(), TcpState.ESTABLISHED),
         "the attempt still waits for its connection");
-    endpoint.makeRoomAndServe();
+    endpoint.drainQueueAndServe();
 
     assertEquals("200", statusOfNewClient(request("/read/after", REQUEST_TIMEOUT_MS)));
     assertEquals(List.of("/read/after"), endpoint.requestPaths);
@@ -165,7 +165,7 @@
 
     disconnect(client, how);
     awaitNoClientConnections();
-    endpoint.makeRoomAndServe();
+    endpoint.drainQueueAndServe();
 
     // Without endpoint A the next request goes where the retry would have gone.
     discovery.publishAndAwait(terminating("a", endpointA.address()));
--- a/sidecar/src/test/java/dillcross/cli/EchoEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/EchoEndpoint.java
@@ -14,7 +14,7 @@
   @Override
   void serve(Socket socket) throws Exception {
     InputStream in = socket.getInputStream();
-    OutputStream out = socket.getOutputStream();
+    OutputStream output = socket.getOutputStream();
     for (String head = readHead(in); !head.isEmpty(); head = readHead(in)) {
       requests.add(head);
       byte[] body =
@@ -24,11 +24,11 @@
       if (head.contains("/echo1")) {
         send(socket, "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n");
         send(socket, Integer.toHexString(body.length) + "\r\n");
-        out.write(body);
+        output.write(body);
         send(socket, "\r\n0\r\n\r\n");
       } else {
         send(socket, "HTTP/1.1 200 x\r\nContent-Length: " + body.length + "\r\n\r\n");
-        out.write(body);
+        output.write(body);
       }
     }
   }
--- a/sidecar/src/test/java/dillcross/cli/EndpointListCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/EndpointListCrossingIT.java
@@ -24,7 +24,7 @@
   /** Until what was written has arrived over loopback. */
   private static final int LOOPBACK_DELAY_MS = 20;
 
-  /** The attempt follows the list, or is not made at all. */
+  /** The request goes to an endpoint that is in service by then, or is rejected. */
   @ParameterizedTest
   @ValueSource(strings = {"terminating", "terminated", "moved", "restarted"})
   void doesNotSendToEndpointThatChangedDuringConnect(String change) throws Exception {
--- a/sidecar/src/test/java/dillcross/cli/LateEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/LateEndpoint.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An endpoint whose queue of connections is full until a test makes room, so that an attempt to it
+ * An endpoint whose queue of connections is full until a test drains it, so that an attempt to it
  * waits for its connection.
  */
 final class LateEndpoint implements AutoCloseable {
@@ -48,21 +48,21 @@
   }
 
   /** Takes the connections that fill the queue, so that the sidecar's can come up. */
-  void makeRoom() throws IOException {
+  void drainQueue() throws IOException {
     for (int i = 0; i < FILLING_CONNECTIONS; i++) {
       server.accept().close();
     }
   }
 
-  /** Makes room, and accepts the connection that waited. */
+  /** Drains the queue, and accepts the connection that waited. */
   Socket acceptWaiting() throws IOException {
-    makeRoom();
+    drainQueue();
     return accept();
   }
 
-  /** Makes room, and answers all requests from now on. */
-  void makeRoomAndServe() throws IOException {
-    makeRoom();
+  /** Drains the queue, and answers all requests from now on. */
+  void drainQueueAndServe() throws IOException {
+    drainQueue();
     serve();
   }
 
--- a/sidecar/src/test/java/dillcross/cli/ReloadIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ReloadIT.java
@@ -15,7 +15,7 @@
 
 /** Covers the configuration at the start and after SIGHUP; see {@link ServeCommand}. */
 class ReloadIT extends SidecarFixture {
-  /** Open connections are kept, and the new discovery service is asked for its whole list. */
+  /** Open connections are kept; the new discovery service is asked for a complete list. */
   @Test
   void reloadMovesDiscoveryAndIgnoresInvalidFiles() throws Exception {
     TestDiscovery newDiscovery = open(new TestDiscovery());
--- a/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
+++ b/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
@@ -14,7 +14,7 @@
 
 /** A discovery service that holds watches open until a test publishes endpoints. */
 final class TestDiscovery extends LoopbackServer {
-  /** A scripted reply that never comes. */
+  /** A scripted reply that keeps the call open for good. */
   static final String SILENCE = "silent";
 
   private static final String DELAY_PREFIX = "later";
@@ -27,7 +27,7 @@
   private int version = 1;
   private int requestedVersion; // which the last watch had
 
-  /** A scripted reply that comes late. */
+  /** A scripted reply with a delay of 0.4 s. */
   static String delayed(String reply) {
     return DELAY_PREFIX + reply;
   }
@@ -42,12 +42,12 @@
     return entry(id, "terminating", address);
   }
 
-  /** One endpoint that has gone. */
+  /** One endpoint that is removed. */
   static String terminated(String id, String address) {
     return entry(id, "terminated", address);
   }
 
-  /** One endpoint of the list, as JSON, in the given state of the protocol. */
+  /** One endpoint as JSON, in a state of the discovery protocol. */
   static String entry(String id, String state, String address) {
     return "{\"id\":\""
         + id
@@ -58,7 +58,7 @@
         + "\",\"weight\":1.0,\"started_ms\":0}";
   }
 
-  /** Publishes a new version of the list with these changes. */
+  /** Publishes a new version of the endpoint list with these changes. */
   synchronized void publish(String... changedEntries) {
     entries = String.join(",", changedEntries);
     version++;
