--- a/fleet/src/main/java/dillcross/fleet/MembershipView.java
+++ b/fleet/src/main/java/dillcross/fleet/MembershipView.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -11,8 +10,13 @@
 import java.util.Map;
 
 /**
- * What one sidecar's admin endpoint says at a moment: its own name, whom it holds for what, and its
- * counts.
+ * The members that one sidecar knows at a moment, as its admin endpoint reports them.
+ *
+ * @param name the sidecar's own name
+ * @param health its local health multiplier; 0 is healthy
+ * @param states of the other members, by name
+ * @param boots of the other members, by name
+ * @param counts its counters, by name
  */
 record MembershipView(
     String name,
@@ -20,47 +24,58 @@
     Map<String, String> states,
     Map<String, Long> boots,
     Map<String, Long> counts) {
+  private static final int TIMEOUT_MS = 400; // of the connect, and of each read
+  private static final String REQUEST = "GET /-/members HTTP/1.1\r\nHost: a\r\n\r\n";
+  private static final String STATUS_OK = "HTTP/1.1 200";
+  private static final String END_OF_HEAD = "\r\n\r\n";
+
   /**
-   * @throws IOException where there is no answer, as from a process that is stopped
+   * Requests the view of the sidecar with that admin address.
+   *
+   * @throws IOException where there is no response, as from a process that is stopped
    */
-  static MembershipView of(String admin) throws IOException {
-    int colon = admin.lastIndexOf(':');
+  static MembershipView of(String adminAddress) throws IOException {
+    String response = request(adminAddress);
+    int endOfHead = response.indexOf(END_OF_HEAD);
+    if (endOfHead < 0 || !response.startsWith(STATUS_OK)) {
+      throw new IOException("no view: " + response.lines().findFirst().orElse("nothing"));
+    }
+    return parse(JSON.std.mapFrom(response.substring(endOfHead + END_OF_HEAD.length())));
+  }
+
+  private static String request(String adminAddress) throws IOException {
+    int colon = adminAddress.lastIndexOf(':');
+    String host = adminAddress.substring(0, colon);
+    int port = Integer.parseInt(adminAddress.substring(colon + 1));
     try (Socket socket = new Socket()) {
-      socket.setSoTimeout(400);
-      socket.connect(
-          new InetSocketAddress(
-              admin.substring(0, colon), Integer.parseInt(admin.substring(colon + 1))),
-          400);
-      socket
-          .getOutputStream()
-          .write("GET /-/members HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      InputStream in = socket.getInputStream();
-      String all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-      int body = all.indexOf("\r\n\r\n");
-      if (body < 0 || !all.startsWith("HTTP/1.1 200")) {
-        throw new IOException("no view: " + all.lines().findFirst().orElse("nothing"));
-      }
-      return parse(JSON.std.mapFrom(all.substring(body + 4)));
+      socket.setSoTimeout(TIMEOUT_MS);
+      socket.connect(new InetSocketAddress(host, port), TIMEOUT_MS);
+      socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+      return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
-  private static MembershipView parse(Map<String, Object> all) {
-    Map<?, ?> self = (Map<?, ?>) all.get("self");
+  private static MembershipView parse(Map<String, Object> view) {
+    Map<?, ?> self = (Map<?, ?>) view.get("self");
     Map<String, String> states = new LinkedHashMap<>();
     Map<String, Long> boots = new LinkedHashMap<>();
-    for (Object one : (List<?>) all.get("members")) {
-      Map<?, ?> row = (Map<?, ?>) one;
-      states.put((String) row.get("name"), (String) row.get("state"));
-      boots.put((String) row.get("name"), ((Number) row.get("boot")).longValue());
+    for (Object item : (List<?>) view.get("members")) {
+      Map<?, ?> member = (Map<?, ?>) item;
+      String name = (String) member.get("name");
+      states.put(name, (String) member.get("state"));
+      boots.put(name, ((Number) member.get("boot")).longValue());
     }
     Map<String, Long> counts = new LinkedHashMap<>();
-    ((Map<?, ?>) all.get("counts"))
+    ((Map<?, ?>) view.get("counts"))
         .forEach((key, value) -> counts.put((String) key, ((Number) value).longValue()));
-    return new MembershipView(
-        (String) self.get("name"), ((Number) self.get("health")).intValue(), states, boots, counts);
+    int health = ((Number) self.get("health")).intValue();
+    return new MembershipView((String) self.get("name"), health, states, boots, counts);
   }
 
+  /** How many other members are alive or suspect. */
   long live() {
-    return states.values().stream().filter(s -> s.equals("alive") || s.equals("suspect")).count();
+    return states.values().stream()
+        .filter(state -> state.equals("alive") || state.equals("suspect"))
+        .count();
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/Schedule.java
+++ b/fleet/src/main/java/dillcross/fleet/Schedule.java
@@ -2,31 +2,37 @@
 
 import dillcross.emulator.random.RandomStream;
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.stream.Collectors;
-import java.util.stream.IntStream;
 
 /**
- * What goes wrong when, drawn from the seed alone: the same for the same seed, whatever the machine
- * does.
+ * The faults of one experiment run, drawn from the seed alone, so that one seed gives the same
+ * schedule on every machine.
+ *
+ * @param faults in the order of their times
  */
 record Schedule(List<Drawn> faults) {
-  /** One fault with its time; milliseconds from when all have found each other. */
+  private static final int MILLIS_PER_SECOND = 1000;
+  private static final Set<Experiment.Kind> WITHOUT_PEERS =
+      Set.of(Experiment.Kind.KILL, Experiment.Kind.PAUSE, Experiment.Kind.CLOCK);
+
+  /**
+   * One fault with its time.
+   *
+   * @param atMs its start, in milliseconds from when all members have found each other
+   * @param forMs its duration, in milliseconds; 0 for a fault that does not end
+   * @param fault as the experiment describes it
+   * @param of the members that it applies to
+   * @param to the members that it separates them from, for faults between members
+   */
   record Drawn(long atMs, long forMs, Experiment.Fault fault, Set<Integer> of, Set<Integer> to) {
+    /** A line for reports. */
     String describe() {
-      return fault.kind().word()
-          + " of "
-          + names(of)
-          + (fault.kind() == Experiment.Kind.KILL
-                  || fault.kind() == Experiment.Kind.PAUSE
-                  || fault.kind() == Experiment.Kind.CLOCK
-              ? ""
-              : " to " + names(to))
-          + (forMs > 0 ? " for " + forMs + " ms" : " for good");
+      String peers = WITHOUT_PEERS.contains(fault.kind()) ? "" : " to " + names(to);
+      String duration = forMs > 0 ? " for " + forMs + " ms" : " for good";
+      return fault.kind().word() + " of " + names(of) + peers + duration;
     }
 
     private static String names(Set<Integer> members) {
@@ -34,51 +40,35 @@
     }
   }
 
+  /** Draws the faults of an experiment, each repetition from a random stream of its own. */
   static Schedule draw(Experiment experiment, long seed) {
     List<Drawn> drawn = new ArrayList<>();
-    RandomStream all = RandomStream.of(seed).named("schedule");
+    RandomStream stream = RandomStream.of(seed).named("schedule");
     for (int i = 0; i < experiment.faults().size(); i++) {
       Experiment.Fault fault = experiment.faults().get(i);
-      for (int k = 0; k < fault.times(); k++) {
-        RandomStream own = all.named(i + " " + k);
-        long at =
-            Math.round(
-                1000 * (own.between(fault.atS().min(), fault.atS().max()) + k * fault.every()));
-        long lasts = Math.round(1000 * own.between(fault.forS().min(), fault.forS().max()));
-        Set<Integer> of = whom(experiment, fault.of(), own, Set.of());
-        drawn.add(new Drawn(at, lasts, fault, of, whom(experiment, fault.to(), own, of)));
+      for (int repetition = 0; repetition < fault.times(); repetition++) {
+        RandomStream random = stream.named(i + " " + repetition);
+        drawn.add(draw(experiment, fault, repetition, random));
       }
     }
     drawn.sort(Comparator.comparingLong(Drawn::atMs));
     return new Schedule(drawn);
   }
 
-  private static Set<Integer> whom(
-      Experiment experiment, String word, RandomStream random, Set<Integer> but) {
-    List<Integer> all =
-        IntStream.range(0, experiment.sidecars())
-            .boxed()
-            .collect(Collectors.toCollection(ArrayList::new));
-    if (word.equals("others")) {
-      all.removeAll(but);
-    } else if (word.equals("any")) {
-      all = List.of(random.oneOf(all));
-    } else if (word.startsWith("s") && !word.startsWith("share:")) {
-      all.retainAll(Set.of(Integer.parseInt(word.substring(1))));
-    } else if (word.startsWith("zone:")) {
-      all.removeIf(
-          m -> !experiment.zones().get(m % experiment.zones().size()).equals(word.substring(5)));
-    } else if (!word.equals("all")) {
-      double share = word.equals("half") ? 0.5 : Double.parseDouble(word.substring(6));
-      for (int i = all.size() - 1; i > 0; i--) {
-        Collections.swap(all, i, (int) random.between(0L, i));
-      }
-      all = all.subList(0, Math.max(1, (int) Math.round(share * all.size())));
-    }
-    return new TreeSet<>(all);
+  private static Drawn draw(
+      Experiment experiment, Experiment.Fault fault, int repetition, RandomStream random) {
+    double firstSeconds = random.between(fault.atS().min(), fault.atS().max());
+    long atMs = Math.round(MILLIS_PER_SECOND * (firstSeconds + repetition * fault.every()));
+    double durationSeconds = random.between(fault.forS().min(), fault.forS().max());
+    long forMs = Math.round(MILLIS_PER_SECOND * durationSeconds);
+    MemberSelector selector = new MemberSelector(experiment, random);
+    Set<Integer> of = selector.select(fault.of(), Set.of());
+    Set<Integer> to = selector.select(fault.to(), of);
+    return new Drawn(atMs, forMs, fault, of, to);
   }
 
+  /** When the last fault ends, in milliseconds from when all members have found each other. */
   long endMs() {
-    return faults.stream().mapToLong(d -> d.atMs + d.forMs).max().orElse(0);
+    return faults.stream().mapToLong(drawn -> drawn.atMs + drawn.forMs).max().orElse(0);
   }
 }
