--- a/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -196,7 +196,7 @@
     return isOrphaned;
   }
 
-  /** Records that the sidecar closed the connection before the request had arrived whole. */
+  /** Records that the sidecar closed the connection before the request had arrived completely. */
   public void markRejectedUnsent() {
     isExcused = true;
     isOver = true;
--- a/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
@@ -93,7 +93,7 @@
     answerRules.onConnectionDropped(request);
   }
 
-  /** A client has waited for its whole timeout; no violation if the request is over or excused. */
+  /** A client has waited until its timeout; no violation if the request is over or excused. */
   public void timedOut(ObservedRequest request) {
     answerRules.onTimeout(request);
   }
--- a/emulator/src/main/java/dillcross/emulator/oracle/ViolationLog.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ViolationLog.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Counts violations and keeps the first ones, since a broken run can have thousands. */
+/** Counts violations and stores the first ones, since a broken run can have thousands. */
 final class ViolationLog {
-  private static final int MAX_KEPT = 50;
+  private static final int MAX_STORED = 50;
 
   private final LongSupplier nowUs;
   private final long startUs;
@@ -23,7 +23,7 @@
 
   /** Reports a violation; {@code request} is null if it concerns none. */
   void report(Rule rule, ObservedRequest request, String message) {
-    if (count < MAX_KEPT) {
+    if (count < MAX_STORED) {
       String requestId = request == null ? null : request.id();
       violations.add(new Violation(nowUs.getAsLong() - startUs, rule, requestId, message));
     }
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
@@ -124,10 +124,10 @@
   }
 
   /** Closes the connection if the request still awaits its answer. */
-  void leave(ObservedRequest left) {
-    if (request == left) {
-      context.note("leave", "op", left.id());
-      left.markClientDisconnected(context.now());
+  void disconnect(ObservedRequest abandoned) {
+    if (request == abandoned) {
+      context.note("leave", "op", abandoned.id());
+      abandoned.markClientDisconnected(context.now());
       close();
       finishRequest();
     }
@@ -169,8 +169,8 @@
   private void handleAnswer() {
     ObservedRequest answered = request;
     int status = Integer.parseInt(incoming.startLineWord(1));
-    boolean wasSentWhole = answered.isSent();
-    long latencyUs = wasSentWhole ? incoming.headSentUs() - answered.sentUs() : -1;
+    boolean wasSentCompletely = answered.isSent();
+    long latencyUs = wasSentCompletely ? incoming.headSentUs() - answered.sentUs() : -1;
     context.note("answer", "op", answered.id(), "status", status, "us", latencyUs);
     context
         .oracle()
@@ -179,7 +179,7 @@
       String message = "a good request was turned down with " + status;
       context.oracle().report(Rule.TRUE_CONTENT, answered, message);
     }
-    boolean isLast = !wasSentWhole || "close".equalsIgnoreCase(incoming.field("connection"));
+    boolean isLast = !wasSentCompletely || "close".equalsIgnoreCase(incoming.field("connection"));
     String retryAfter = incoming.field("retry-after");
     incoming.startNextMessage();
     finishRequest();
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientRequestSender.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientRequestSender.java
@@ -85,7 +85,7 @@
       delayUs += random.between(MIN_PIECE_INTERVAL_US, MAX_PIECE_INTERVAL_US);
     }
     if (random.happens(leaveShare)) {
-      context.after(settings.leaveMs().drawUs(random), () -> connection.leave(request));
+      context.after(settings.leaveMs().drawUs(random), () -> connection.disconnect(request));
     }
   }
 
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
@@ -282,17 +282,17 @@
 
   /** Closes the connection in order, and ends the attempt on it. */
   void close() {
-    leave();
+    markClosed();
     socket.close();
   }
 
   /** Closes the connection with a reset, and ends the attempt on it. */
   void reset() {
-    leave();
+    markClosed();
     socket.reset();
   }
 
-  private void leave() {
+  private void markClosed() {
     isClosed = true;
     endpoint.removeConnection(this);
     if (attempt != null) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
@@ -9,10 +9,10 @@
 
 /**
  * Reads HTTP messages as the simulated peers do, and shares no code with the sidecar's parser. One
- * message at a time; of its body only the length and the first bytes are kept.
+ * message at a time; of its body only the length and the first bytes are stored.
  */
 final class HttpStreamReader {
-  private static final int MAX_KEPT_BODY_BYTES = 96; // enough to tell whose body it is
+  private static final int MAX_STORED_BODY_BYTES = 96; // enough to tell whose body it is
   private static final int INITIAL_BUFFER_BYTES = 512;
   private static final int CHUNK_BYTES = 7000;
   private static final int FRAMING_BYTES = 32;
@@ -65,7 +65,7 @@
     return startLine != null;
   }
 
-  /** Whether the message has arrived whole. */
+  /** Whether the message has arrived completely. */
   boolean isComplete() {
     return isComplete;
   }
@@ -181,7 +181,7 @@
 
   private boolean readBody() {
     int count = (int) Math.min(remaining, size);
-    for (int i = 0; i < count && bodyStart.length() < MAX_KEPT_BODY_BYTES; i++) {
+    for (int i = 0; i < count && bodyStart.length() < MAX_STORED_BODY_BYTES; i++) {
       bodyStart.append((char) Byte.toUnsignedInt(buffer[i]));
     }
     bodyLength += count;
--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -179,9 +179,12 @@
   private void checkIdle() {
     for (SidecarProcess sidecar : sidecars.all()) {
       if (!isIdle(sidecar)) {
-        String holds =
-            " with " + sidecar.connectionCount() + " connections still holds " + held(sidecar);
-        oracle.report(Rule.BACK_TO_REST, null, sidecar.name() + holds);
+        String message =
+            " with "
+                + sidecar.connectionCount()
+                + " connections still holds "
+                + unreleased(sidecar);
+        oracle.report(Rule.BACK_TO_REST, null, sidecar.name() + message);
       }
     }
   }
@@ -200,7 +203,7 @@
     return sidecar.connectionCount() - sidecar.app().connectionCount() - DISCOVERY_CONNECTIONS;
   }
 
-  private static String held(SidecarProcess sidecar) {
+  private static String unreleased(SidecarProcess sidecar) {
     int connections = endpointConnections(sidecar);
     String suffix = connections > 0 ? " and " + connections + " connections to endpoints" : "";
     return sidecar.usage() + suffix;
