--- a/emulator/src/main/java/dillcross/emulator/scenario/Fault.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Fault.java
@@ -1,7 +1,19 @@
 package dillcross.emulator.scenario;
 
+import java.util.Locale;
+
 /**
- * What goes wrong in a day, as a scenario words it. Times are milliseconds from the first arrival.
+ * A fault of a scenario, from which each run draws {@code count} instances.
+ *
+ * @param id identifier, from which the random stream of the fault is derived
+ * @param kind what happens
+ * @param atMs start in milliseconds after the first arrival
+ * @param forMs duration in milliseconds
+ * @param target name of the affected endpoint, sidecar or zone; {@code any} draws one
+ * @param factor a factor, count or time, depending on the kind
+ * @param share affected share of requests or connections, from 0 to 1
+ * @param mode variant of the kind
+ * @param count number of instances in each run
  */
 public record Fault(
     String id,
@@ -13,80 +25,86 @@
     double share,
     String mode,
     int count) {
-  /** What a trouble can be, and what it strikes. */
+  /** The kinds of faults. */
   public enum Kind {
-    /** The endpoint's process dies and comes back warming up after a while. */
-    DIE(On.ENDPOINT),
-    /** The endpoint's machine says nothing, and is back warming up after a while. */
-    VANISH(On.ENDPOINT),
-    /** The endpoint takes requests and answers none. */
-    SILENCE(On.ENDPOINT),
-    /** It takes {@code factor} times as long. */
-    SLOW(On.ENDPOINT),
-    /** It answers a share with an error. */
-    ERRORS(On.ENDPOINT),
-    /** It stands still and goes on. */
-    PAUSE(On.ENDPOINT),
-    /** It is told to drain, leaves after its grace, and another takes its place. */
-    DRAIN(On.ENDPOINT),
-    /** All endpoints are replaced so, one after another within the time. */
-    DEPLOY(On.ENDPOINTS),
-    /** It resets a share of its connections; {@code mode}: before, after or answer. */
-    RESETS(On.ENDPOINT),
-    /** A share of its answers can't be read. */
-    GARBLE(On.ENDPOINT),
-    /** It takes no more connections than {@code factor}. */
-    NARROW(On.ENDPOINT),
-    /** Connects to it never come up. */
-    BLACKHOLE(On.ENDPOINT),
-    /** The list can't be had; {@code mode}: refuse, silent or error. */
-    LIST_OUT(On.LIST),
-    /** The list takes {@code factor} milliseconds more. */
-    LIST_SLOW(On.LIST),
-    /** The list tells what it knew when this began. */
-    LIST_STALE(On.LIST),
-    /** The list begins its numbers anew. */
-    LIST_RENUMBER(On.LIST),
-    /** A zone hears nothing of the others. */
-    CUT(On.ZONE),
-    /** {@code factor} milliseconds more between a zone and the others. */
-    LAG(On.ZONE),
-    /** What is sent comes in pieces of {@code factor} bytes at the most. */
-    PIECES(On.NETWORK),
-    /** A sidecar is told to stop and started again after a while. */
-    TERM(On.SIDECAR),
-    /** A sidecar's process is killed and started again after a while. */
-    KILL(On.SIDECAR),
-    /** A sidecar's process stands still. */
-    STALL(On.SIDECAR),
-    /** A sidecar is told to drain at its admin endpoint, and to resume after a while. */
-    DOOR(On.SIDECAR),
+    /** The endpoint's process terminates; it restarts in slow start. */
+    DIE(TargetType.ENDPOINT),
+    /** The endpoint's machine stops responding; it restarts in slow start. */
+    VANISH(TargetType.ENDPOINT),
+    /** The endpoint accepts requests and never responds. */
+    SILENCE(TargetType.ENDPOINT),
+    /** The endpoint takes {@code factor} times as long. */
+    SLOW(TargetType.ENDPOINT),
+    /** The endpoint responds with an error to a share of its requests. */
+    ERRORS(TargetType.ENDPOINT),
+    /** The endpoint is suspended and then continues. */
+    PAUSE(TargetType.ENDPOINT),
+    /** The endpoint drains, stops after its grace period and is replaced. */
+    DRAIN(TargetType.ENDPOINT),
+    /** All endpoints are drained and replaced, one after another within the duration. */
+    DEPLOY(TargetType.ENDPOINTS),
+    /** The endpoint resets a share of its connections; {@code mode} is before, after or answer. */
+    RESETS(TargetType.ENDPOINT),
+    /** A share of the endpoint's responses is malformed. */
+    GARBLE(TargetType.ENDPOINT),
+    /** The endpoint accepts at most {@code factor} connections. */
+    NARROW(TargetType.ENDPOINT),
+    /** Connection attempts to the endpoint never complete. */
+    BLACKHOLE(TargetType.ENDPOINT),
+    /** The discovery service is unavailable; {@code mode} is refuse, silent or error. */
+    LIST_OUT(TargetType.LIST),
+    /** The discovery service responds {@code factor} milliseconds later. */
+    LIST_SLOW(TargetType.LIST),
+    /** The discovery service returns the endpoints as they were when the fault began. */
+    LIST_STALE(TargetType.LIST),
+    /** The discovery service restarts its version numbers. */
+    LIST_RENUMBER(TargetType.LIST),
+    /** A zone is partitioned from the others. */
+    CUT(TargetType.ZONE),
+    /** Adds {@code factor} milliseconds of delay between a zone and the others. */
+    LAG(TargetType.ZONE),
+    /** Data arrives in segments of at most {@code factor} bytes. */
+    PIECES(TargetType.NETWORK),
+    /** A sidecar receives SIGTERM and is restarted later. */
+    TERM(TargetType.SIDECAR),
+    /** A sidecar's process is killed and restarted later. */
+    KILL(TargetType.SIDECAR),
+    /** A sidecar's process is suspended. */
+    STALL(TargetType.SIDECAR),
+    /** A sidecar is drained through its admin endpoint and resumed later. */
+    DOOR(TargetType.SIDECAR),
     /**
-     * A sidecar's configuration is read again, and the list is at its other address from then on.
+     * A sidecar reloads its configuration, in which the discovery service has its other address.
      */
-    RELOAD(On.SIDECAR),
-    /** Clients ask {@code factor} times as often. */
-    BURST(On.CLIENTS),
-    /** {@code factor} connections of a sidecar that rested ask within the time. */
-    WAKE(On.CLIENTS),
-    /** {@code factor} clients that send what is no request, half of one, or nothing. */
-    RUDE(On.CLIENTS),
-    /** A share of the clients leaves before its answer. */
-    LEAVE(On.CLIENTS);
+    RELOAD(TargetType.SIDECAR),
+    /** Clients send {@code factor} times as many requests. */
+    BURST(TargetType.CLIENTS),
+    /** {@code factor} idle connections of a sidecar send a request within the duration. */
+    WAKE(TargetType.CLIENTS),
+    /** {@code factor} clients send invalid data, half a request, or nothing. */
+    RUDE(TargetType.CLIENTS),
+    /** A share of the clients disconnects before the response. */
+    LEAVE(TargetType.CLIENTS);
+
+    private final TargetType targetType;
 
-    public final On on;
+    Kind(TargetType targetType) {
+      this.targetType = targetType;
+    }
 
-    Kind(On on) {
-      this.on = on;
+    /** What this kind of fault affects. */
+    public TargetType targetType() {
+      return targetType;
     }
 
+    /** The name in scenario files. */
     public String word() {
-      return name().toLowerCase(java.util.Locale.ROOT);
+      return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** What a trouble strikes, and so what its target may name. */
-  public enum On {
+  /** What a fault affects, which determines the targets it accepts. */
+  public enum TargetType {
     ENDPOINT,
     ENDPOINTS,
     LIST,
@@ -96,6 +114,14 @@
     CLIENTS
   }
 
-  /** One that was drawn: when, for how long and whom it strikes. */
+  /**
+   * A fault as drawn for one run.
+   *
+   * @param from the fault of the scenario that this was drawn from
+   * @param atUs start in µs after the first arrival
+   * @param forUs duration in µs
+   * @param target the affected endpoint, sidecar or zone
+   * @param factor see {@link Kind}
+   */
   public record Drawn(Fault from, long atUs, long forUs, String target, double factor) {}
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/InvalidScenarioException.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/InvalidScenarioException.java
@@ -2,11 +2,12 @@
 
 import java.util.List;
 
-/** A scenario that can't be used; each line names file, line and key. */
+/** Thrown for invalid input. Each line of the message names the file, the line and the key. */
 public final class InvalidScenarioException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public InvalidScenarioException(List<String> faults) {
-    super(String.join(System.lineSeparator(), faults));
+  /** The message has one line per error. */
+  public InvalidScenarioException(List<String> errors) {
+    super(String.join(System.lineSeparator(), errors));
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -3,7 +3,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** A day as a file words it: the parts of the world and what goes wrong. */
+/**
+ * The content of a scenario file: the simulated components and the faults.
+ *
+ * @param name name of the scenario
+ * @param seconds time in seconds in which requests arrive
+ * @param sidecars the sidecars
+ * @param sidecarSettings configuration values of the sidecars by path
+ * @param requestClasses the request classes, at least one
+ * @param clients the clients of each sidecar
+ * @param endpoints the endpoints
+ * @param list the discovery service
+ * @param network delays of the network
+ * @param rules tolerances of the oracle
+ * @param faults the faults, in the order of the file
+ */
 public record Scenario(
     String name,
     double seconds,
@@ -17,7 +31,17 @@
     Rules rules,
     List<Fault> faults) {
 
-  /** The sidecars; those with the same index modulo the zones share a zone. */
+  /**
+   * The sidecars, distributed over the zones in turn by index.
+   *
+   * @param count number of sidecars
+   * @param zones names of the zones
+   * @param turnUs duration of an event loop iteration in µs
+   * @param startMs start-up time in milliseconds
+   * @param descriptors limit on file descriptors
+   * @param memoryMb memory limit in MiB
+   * @param calls number of warm-up requests that a sidecar sends to itself
+   */
   public record SidecarGroup(
       int count,
       List<String> zones,
@@ -27,7 +51,22 @@
       int memoryMb,
       int calls) {}
 
-  /** One request class, as the sidecars are told it and as endpoints carry it out. */
+  /**
+   * One request class, as configured in the sidecars and executed by the endpoints.
+   *
+   * @param name name of the class
+   * @param effect idempotent, deduplicated or at_most_once
+   * @param scope deduplication scope: all, zone or cell
+   * @param windowMs deduplication window in milliseconds
+   * @param targetMs latency objective in milliseconds
+   * @param timeoutMs timeout of a request in milliseconds
+   * @param priorityWeight weight of a successful request in the benefit
+   * @param share share of the arrivals, relative to the other classes
+   * @param workMs processing time in milliseconds
+   * @param spread standard deviation of the logarithm of the processing time
+   * @param bodyBytes size of the request body in bytes
+   * @param answerBytes size of the response body in bytes
+   */
   public record RequestClass(
       String name,
       String effect,
@@ -42,7 +81,19 @@
       int bodyBytes,
       int answerBytes) {}
 
-  /** The clients of each sidecar. */
+  /**
+   * The clients of each sidecar.
+   *
+   * @param perS requests per second
+   * @param retry none, at_once or after the advised time
+   * @param retries maximum number of retries of a request
+   * @param leaveShare share of requests whose client disconnects early
+   * @param leaveMs time in milliseconds until such a client disconnects
+   * @param pieceShare share of requests sent in several parts
+   * @param closeShare share of requests after which the connection closes
+   * @param resting number of idle connections, used by the fault {@code wake}
+   * @param patienceMs time in milliseconds that clients wait beyond the deadline
+   */
   public record ClientSettings(
       double perS,
       String retry,
@@ -54,6 +105,23 @@
       int resting,
       double patienceMs) {}
 
+  /**
+   * The endpoints.
+   *
+   * @param count number of endpoints
+   * @param zones names of the zones
+   * @param cells number of cells
+   * @param cores processor cores of each endpoint
+   * @param queue maximum number of queued requests
+   * @param connections maximum number of connections
+   * @param idleMs time in milliseconds after which an idle connection closes
+   * @param chokeAbove number of requests in flight above which an endpoint slows down
+   * @param choke slowdown for each request above that number
+   * @param speed relative speed, drawn for each endpoint
+   * @param graceMs grace period of a drain in milliseconds
+   * @param reportShare share of responses that carry a load report
+   * @param chunks whether responses are chunked
+   */
   public record EndpointSettings(
       int count,
       List<String> zones,
@@ -69,10 +137,29 @@
       double reportShare,
       boolean chunks) {}
 
+  /**
+   * The discovery service.
+   *
+   * @param delayMs response delay in milliseconds
+   * @param tellMs time in milliseconds until watches are notified of a change of the endpoints
+   */
   public record DiscoverySettings(Range delayMs, double tellMs) {}
 
+  /**
+   * Network delays.
+   *
+   * @param nearUs one-way delay within a zone in µs
+   * @param farUs one-way delay between zones in µs
+   * @param jitterUs random additional delay in µs
+   */
   public record NetworkSettings(double nearUs, double farUs, double jitterUs) {}
 
-  /** What the oracle allows beside the rules themselves. */
+  /**
+   * Tolerances of the oracle.
+   *
+   * @param answerSlackMs time in milliseconds allowed after the deadline of a request
+   * @param drainSlackMs time in milliseconds allowed for attempts to a draining endpoint
+   * @param slowStartSlack factor on the budget of an endpoint in slow start
+   */
   public record Rules(double answerSlackMs, double drainSlackMs, double slowStartSlack) {}
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Seeds.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Seeds.java
@@ -2,9 +2,14 @@
 
 import java.util.List;
 
-/** Seeds from one to another, as a command line names them. */
+/** An inclusive range of seeds, as given on a command line. */
 public record Seeds(long from, long to) {
-  /** Of A..B, numbers of so many digits at the most; faulty where it is none, or names none. */
+  /**
+   * Parses {@code A..B}.
+   *
+   * @param digits maximum number of digits of each seed
+   * @throws InvalidScenarioException if the text has another form or B is less than A
+   */
   public static Seeds of(String text, int digits) throws InvalidScenarioException {
     if (!text.matches("[0-9]{1," + digits + "}\\.\\.[0-9]{1," + digits + "}")) {
       throw new InvalidScenarioException(
@@ -20,6 +25,7 @@
     return seeds;
   }
 
+  /** Number of seeds. */
   public long count() {
     return to - from + 1;
   }
--- a/emulator/src/main/java/dillcross/emulator/search/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Crossings.java
@@ -168,7 +168,7 @@
   private Drawn drawn(Event event, int number, Moment at, long atUs) {
     List<String> zones = scenario.endpoints().zones();
     String target =
-        switch (event.kind.on) {
+        switch (event.kind.targetType()) {
           case ENDPOINT -> at.endpoint;
           case SIDECAR, CLIENTS -> at.sidecar;
           case ZONE -> zones.get(Integer.parseInt(at.endpoint.substring(1)) % zones.size());
--- a/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -76,7 +76,7 @@
   }
 
   private static String drawTarget(Scenario scenario, Kind kind, RandomStream draws) {
-    return switch (kind.on) {
+    return switch (kind.targetType()) {
       case ENDPOINT -> "e" + draws.between(0, scenario.endpoints().count() - 1);
       case SIDECAR, CLIENTS -> "s" + draws.between(0, scenario.sidecars().count() - 1);
       case ZONE -> draws.oneOf(scenario.endpoints().zones());
@@ -108,7 +108,7 @@
     if (disturbsList(fault.kind())) {
       context.oracle().listDisturbed(context.now(), endUs);
     }
-    switch (fault.kind().on) {
+    switch (fault.kind().targetType()) {
       case ENDPOINT ->
           endpoints
               .named(drawn.target())
