--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -80,14 +80,19 @@
   private final FaultInjector faults;
 
   private Simulation(
-      Scenario scenario, long seed, List<Drawn> drawn, OutputStream lines, Trace.Reader reader) {
+      Scenario scenario,
+      long seed,
+      List<Drawn> drawn,
+      OutputStream lines,
+      Trace.Listener listener) {
     this.scenario = scenario;
     this.seed = seed;
     this.drawn = drawn;
     RandomStream random = RandomStream.of(seed);
     VirtualNetwork network = network(scenario.network(), clock, random.named("network"));
     Trace trace =
-        new Trace(lines, () -> clock.now() - SimulationContext.START_US, network::checksum, reader);
+        new Trace(
+            lines, () -> clock.now() - SimulationContext.START_US, network::checksum, listener);
     oracle = new Oracle(clock::now, SimulationContext.START_US, scenario);
     context = new SimulationContext(scenario, clock, random, network, oracle, trace);
     DiscoveryService discovery = new DiscoveryService(context);
@@ -119,11 +124,15 @@
    * Plays a run with the given faults in place of drawn ones.
    *
    * @param lines receives the trace
-   * @param reader receives each event of the trace as it happens; null for none
+   * @param listener receives each event of the trace as it happens; null for none
    */
   public static Result play(
-      Scenario scenario, long seed, List<Drawn> drawn, OutputStream lines, Trace.Reader reader) {
-    return new Simulation(scenario, seed, drawn, lines, reader).play();
+      Scenario scenario,
+      long seed,
+      List<Drawn> drawn,
+      OutputStream lines,
+      Trace.Listener listener) {
+    return new Simulation(scenario, seed, drawn, lines, listener).play();
   }
 
   private Result play() {
--- a/emulator/src/main/java/dillcross/emulator/trace/Trace.java
+++ b/emulator/src/main/java/dillcross/emulator/trace/Trace.java
@@ -11,71 +11,105 @@
 import java.util.function.LongSupplier;
 
 /**
- * What happened in a day as JSON, one event a line, and the digest of all of it. Each line bears a
- * sum over all bytes that were carried so far, so two days with the same digest were the same to
- * the byte.
+ * The events of a simulation run as JSON, one per line, and the digest of all lines. Each line
+ * contains a checksum of the bytes transferred so far, so two runs with the same digest transferred
+ * the same bytes.
  */
 public final class Trace {
-  /** Who wants to hear the events as they come. */
-  public interface Reader {
-    void event(long us, String what, Object[] pairs);
+  /** Receives each event when it is recorded. */
+  public interface Listener {
+    /**
+     * Receives one event.
+     *
+     * @param timeUs time in µs since the start of the run
+     * @param event name of the event
+     * @param fields names and values of the fields, alternating
+     */
+    void onEvent(long timeUs, String event, Object[] fields);
   }
 
+  private static final String TIME_FIELD = "t";
+  private static final String EVENT_FIELD = "e";
+  private static final String CHECKSUM_FIELD = "w";
+
   private static final JsonFactory JSON = new JsonFactory();
+
   private final MessageDigest digest;
   private final JsonGenerator lines;
   private final LongSupplier nowUs;
-  private final LongSupplier sum;
-  private final Reader reader; // null where there is none
+  private final LongSupplier trafficChecksum;
+  private final Listener listener; // null if there is none
   private long count;
 
-  /** {@code nowUs} counts from the start of the day. */
-  public Trace(OutputStream to, LongSupplier nowUs, LongSupplier sum, Reader reader) {
+  /**
+   * Starts a trace.
+   *
+   * @param output where the lines are written
+   * @param nowUs time in µs since the start of the run
+   * @param trafficChecksum checksum of the bytes transferred so far
+   * @param listener receives the events; may be null
+   */
+  public Trace(
+      OutputStream output, LongSupplier nowUs, LongSupplier trafficChecksum, Listener listener) {
     this.nowUs = nowUs;
-    this.sum = sum;
-    this.reader = reader;
+    this.trafficChecksum = trafficChecksum;
+    this.listener = listener;
     digest = Sha256.newDigest();
     try {
-      lines = JSON.createGenerator(new DigestOutputStream(to, digest));
+      lines = JSON.createGenerator(new DigestOutputStream(output, digest));
       lines.setRootValueSeparator(new SerializedString("\n"));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** An event and its figures: a name, a value, and so on; what is null is left out. */
-  public void note(String what, Object... pairs) {
+  /**
+   * Records an event.
+   *
+   * @param event name of the event
+   * @param fields names and values of the fields, alternating; fields that are null are omitted
+   */
+  public void note(String event, Object... fields) {
+    count++;
     try {
-      count++;
-      lines.writeStartObject();
-      lines.writeNumberField("t", nowUs.getAsLong());
-      lines.writeStringField("e", what);
-      for (int i = 0; i < pairs.length; i += 2) {
-        if (pairs[i + 1] instanceof String text) {
-          lines.writeStringField((String) pairs[i], text);
-        } else if (pairs[i + 1] instanceof Double number) {
-          lines.writeNumberField((String) pairs[i], number);
-        } else if (pairs[i + 1] instanceof Boolean flag) {
-          lines.writeBooleanField((String) pairs[i], flag);
-        } else if (pairs[i + 1] instanceof Number number) {
-          lines.writeNumberField((String) pairs[i], number.longValue());
-        }
-      }
-      lines.writeNumberField("w", sum.getAsLong());
-      lines.writeEndObject();
+      writeLine(event, fields);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    if (reader != null) {
-      reader.event(nowUs.getAsLong(), what, pairs);
+    if (listener != null) {
+      listener.onEvent(nowUs.getAsLong(), event, fields);
+    }
+  }
+
+  private void writeLine(String event, Object[] fields) throws IOException {
+    lines.writeStartObject();
+    lines.writeNumberField(TIME_FIELD, nowUs.getAsLong());
+    lines.writeStringField(EVENT_FIELD, event);
+    for (int i = 0; i < fields.length; i += 2) {
+      writeField((String) fields[i], fields[i + 1]);
+    }
+    lines.writeNumberField(CHECKSUM_FIELD, trafficChecksum.getAsLong());
+    lines.writeEndObject();
+  }
+
+  private void writeField(String name, Object value) throws IOException {
+    if (value instanceof String text) {
+      lines.writeStringField(name, text);
+    } else if (value instanceof Double number) {
+      lines.writeNumberField(name, number);
+    } else if (value instanceof Boolean flag) {
+      lines.writeBooleanField(name, flag);
+    } else if (value instanceof Number number) {
+      lines.writeNumberField(name, number.longValue());
     }
   }
 
+  /** Number of events recorded. */
   public long count() {
     return count;
   }
 
-  /** Ends the trace; its digest. */
+  /** Ends the trace and returns its digest. */
   public String end() {
     try {
       lines.writeRaw('\n');
