--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -62,8 +62,9 @@
   }
 
   /**
-   * Whether an attempt of the request may be sent now. A burst may exceed the limit by its square
-   * root while the mean is below it, because a small limit would otherwise reject most bursts.
+   * Whether an attempt of the request may be sent now. A burst may exceed the limit by up to its
+   * square root while the mean is below it, and at any time if the limit is above {@link
+   * #SMALL_LIMIT}; a small limit is lowered while the mean is above it.
    */
   boolean admits(Request request, long nowUs) {
     double limit = concurrencyLimit(nowUs) * limitFactor(request);
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
@@ -21,7 +21,7 @@
   long deadlineUs(Attempt attempt, boolean isFirst, long nowUs) {
     Request request = attempt.request;
     if (!isFirst && request.hasIdempotencyKey()) {
-      return duplicates.memoryEndsUs(request, attempt);
+      return duplicates.repeatDeadlineUs(request, attempt);
     }
     boolean isEarly = request.hasEarlyDeadline && !request.isBodyIncomplete();
     long deadlineUs = isEarly ? request.deadlineUs() : NONE;
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -35,7 +35,7 @@
 
   /** Whether the request may go to the endpoint now, by every rule. May draw for slow start. */
   boolean permits(Request request, EndpointState endpoint, long nowUs) {
-    return endpoint.isListed() // draining and removed endpoints get nothing
+    return endpoint.isListed() // neither draining nor removed, unless RemovalGrace retains it
         && attemptPolicy.permits(request, endpoint, nowUs)
         && slowStart.hasBudget(endpoint, nowUs);
   }
--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -29,7 +29,8 @@
   }
 
   /**
-   * Whether an attempt of the request may go to the endpoint now, as far as the request matters.
+   * Whether an attempt of the request may go to the endpoint now, judging by the request alone, not
+   * by the endpoint's state.
    */
   boolean permits(Request request, EndpointState endpoint, long nowUs) {
     return isUnanswered(request, nowUs)
@@ -86,7 +87,7 @@
   }
 
   /**
-   * How long after its first attempt was sent a request is hedged, in microseconds: as late as
+   * How long after the attempt in flight was sent a hedge is due, in microseconds: as late as
    * leaves the hedge time to be answered within the latency objective.
    */
   long hedgeAfterUs(Request request) {
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -24,7 +24,7 @@
     this.classes = classes;
   }
 
-  /** Replaces the tenants; the counts of those that stay hold on. */
+  /** Replaces the tenants; tenants that remain keep their counts. */
   void configure(List<Tenant> configured) {
     double quotas = configured.stream().mapToDouble(Tenant::quotaPerSecond).sum();
     Map<String, DemandCounter> before = tenants;
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -56,8 +56,11 @@
     };
   }
 
-  /** When the deduplication window of the attempts before {@code repeat} ends: it must end too. */
-  long memoryEndsUs(Request request, Attempt repeat) {
+  /**
+   * The deadline of {@code repeat}: 0.9 of the deduplication window after the first earlier attempt
+   * that may have run; counted from the request's deadline if none may have.
+   */
+  long repeatDeadlineUs(Request request, Attempt repeat) {
     long firstSentUs = Long.MAX_VALUE;
     for (Attempt earlier : request.attempts()) {
       if (earlier != repeat && earlier.mayHaveRun()) {
--- a/sidecar/src/main/java/dillcross/balancer/EjectionState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EjectionState.java
@@ -28,7 +28,10 @@
     return isEjected;
   }
 
-  /** Whether silence alone ejected it, with no failed answer. */
+  /**
+   * Whether a silent attempt triggered the ejection, and no probation since has ended with a
+   * failure. Earlier failures may have been answers.
+   */
   boolean isEjectedBySilence() {
     return isEjectedBySilence;
   }
@@ -63,7 +66,10 @@
     failureFraction *= 1 - SAMPLE_WEIGHT;
   }
 
-  /** Ejects the endpoint until {@code newUntilUs}, by silence alone or by failed answers. */
+  /**
+   * Ejects the endpoint until {@code newUntilUs}; {@code bySilence} if a silent attempt triggered
+   * it.
+   */
   void eject(long newPenaltyUs, long newUntilUs, boolean bySilence) {
     penaltyUs = newPenaltyUs;
     untilUs = newUntilUs;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -17,7 +17,7 @@
   private final RemovalGrace removal;
   private DiscoveryPolicy policy;
   private String zone;
-  private double remoteCrowding = 1;
+  private double remoteOccupancyRatio = 1;
   private boolean changed;
 
   EndpointDirectory(SlowStart slowStart, RemovalGrace removal) {
@@ -53,10 +53,11 @@
   }
 
   /**
-   * Occupancy of other zones over that of this sidecar's zone, by the weights in endpoint lists.
+   * (1 + mean occupancy of other zones) / (1 + mean occupancy of this sidecar's zone), from the
+   * weights in endpoint lists.
    */
-  double remoteCrowding() {
-    return remoteCrowding;
+  double remoteOccupancyRatio() {
+    return remoteOccupancyRatio;
   }
 
   /**
@@ -70,7 +71,7 @@
       endpoints.values().forEach(state -> remove(state, nowUs));
     }
     entries.forEach(entry -> applyEntry(entry, nowUs));
-    remoteCrowding = measureRemoteCrowding();
+    remoteOccupancyRatio = measureRemoteOccupancyRatio();
     return changed;
   }
 
@@ -113,7 +114,7 @@
     return isRetained;
   }
 
-  private double measureRemoteCrowding() {
+  private double measureRemoteOccupancyRatio() {
     double localLoad = 0;
     double localSize = MIN_WEIGHT;
     double remoteLoad = 0;
@@ -150,8 +151,8 @@
   }
 
   /**
-   * How long the zone has left attempts unanswered that were sent after every one it answered, in
-   * microseconds. One endpoint that hangs among others that answer does not count.
+   * The longest wait, in microseconds, of an attempt in flight in the zone that was sent after
+   * every attempt that succeeded there. An endpoint that hangs while others succeed does not count.
    */
   long unansweredUs(String zoneName, long nowUs) {
     long lastAnsweredSentUs = 0;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
@@ -121,7 +121,7 @@
   }
 
   private boolean isUsable(Request request, EndpointState endpoint, long nowUs) {
-    return nowUs >= endpoint.retryAfterUs()
+    return nowUs >= endpoint.backoffUntilUs()
         && endpoint.inFlightCount() < maxInFlight(nowUs)
         && dispatcher.permits(request, endpoint, nowUs)
         && request.attempts().stream().noneMatch(attempt -> attempt.endpoint == endpoint);
@@ -145,7 +145,7 @@
       latency = Math.max(latency, waited);
     }
     boolean isLocal = endpoint.zone().equals(zone);
-    double zoneCost = isLocal ? 1 : crossZoneCost * directory.remoteCrowding();
+    double zoneCost = isLocal ? 1 : crossZoneCost * directory.remoteOccupancyRatio();
     return latency * (endpoint.inFlightCount() + 1) * zoneCost;
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -31,7 +31,7 @@
   private long lastOutcomeUs;
   private double latencyRatio = 1;
   private int latencySamples;
-  private long retryAfterUs;
+  private long backoffUntilUs;
   private int consecutiveOverloads;
   private double reportedLoad;
 
@@ -168,7 +168,7 @@
     return lastSuccessUs;
   }
 
-  /** The latest time at which an attempt was sent that it has answered. */
+  /** When the latest-sent of the attempts that succeeded was sent. */
   long lastAnsweredSentUs() {
     return lastAnsweredSentUs;
   }
@@ -186,7 +186,10 @@
     return lastOutcomeUs;
   }
 
-  /** An attempt has ended; a high latency from before {@code staleAfterUs} is forgotten. */
+  /**
+   * Records that an attempt ended. If the previous one ended more than {@code staleAfterUs}
+   * earlier, a latency ratio above 1 is reset to 1.
+   */
   void recordOutcome(long nowUs, long staleAfterUs) {
     if (nowUs - lastOutcomeUs > staleAfterUs) {
       latencyRatio = Math.min(1, latencyRatio);
@@ -222,9 +225,12 @@
     latencySamples = 0;
   }
 
-  /** It answered that it is overloaded: nothing is sent there before this time. */
-  long retryAfterUs() {
-    return retryAfterUs;
+  /**
+   * End of the backoff after an overload response: no attempt is sent before it; 0 if there was
+   * none.
+   */
+  long backoffUntilUs() {
+    return backoffUntilUs;
   }
 
   /** Such answers since its last success. */
@@ -234,7 +240,7 @@
 
   void recordOverload(long newRetryAfterUs) {
     consecutiveOverloads++;
-    retryAfterUs = newRetryAfterUs;
+    backoffUntilUs = newRetryAfterUs;
   }
 
   /** Requests that it reported in flight, per unit of weight. */
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Counts a success. On probation it readmits the endpoint; after an ejection by silence any
-   * success does, as the endpoint had only paused.
+   * Counts a success. On probation it readmits the endpoint; after an ejection that a silent
+   * attempt triggered any success does, as the endpoint may only have paused.
    */
   void recordSuccess(Attempt attempt, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
@@ -82,7 +82,7 @@
         request.isIdempotent() ? 0 : state.penaltyUs(); // it could not be retried elsewhere
     return state.isEjected()
         && !state.hasProbation()
-        && nowUs >= endpoint.retryAfterUs()
+        && nowUs >= endpoint.backoffUntilUs()
         && nowUs >= state.untilUs() + extraUs;
   }
 
--- a/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
+++ b/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
@@ -23,7 +23,7 @@
     return policy.keepRemoved() && endpoint.isListed();
   }
 
-  /** Whether a removed endpoint has not answered for the whole grace period. */
+  /** Whether the grace period has passed since the endpoint's removal and its last success. */
   boolean isExpired(EndpointState endpoint, long nowUs) {
     long sinceUs = Math.max(endpoint.removedUs(), endpoint.lastSuccessUs());
     return endpoint.removedUs() != 0 && nowUs - sinceUs >= MAX_RETENTION_US;
--- a/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
@@ -2,7 +2,7 @@
 
 /**
  * Decides what happens next to each request: an attempt, a wait for capacity, or its final answer.
- * Asks each rule in turn and holds none itself.
+ * Consults the rule classes in a fixed order and contains no rule itself.
  */
 final class RequestScheduler {
   private final RequestTable requests;
--- a/sidecar/src/main/java/dillcross/config/ConfigValues.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigValues.java
@@ -19,7 +19,7 @@
  * is asked for. Immutable.
  */
 public final class ConfigValues {
-  /** The end of the path under which the length of a list is held. */
+  /** The end of the path under which the length of a list is stored. */
   static final String COUNT_SUFFIX = ".count";
 
   private static final String ABSENT = "-"; // as is an empty text
--- a/sidecar/src/main/java/dillcross/membership/MemberEntry.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberEntry.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The state held of one other member: its record, a running suspicion, and its payloads. */
+/** The state of one other member: its record, a running suspicion, and its payloads. */
 final class MemberEntry {
   private final Set<String> suspectors = new HashSet<>(); // names of the members that suspect it
   private final Map<Integer, Payload> payloads = new TreeMap<>(); // by type
@@ -25,7 +25,7 @@
     return record;
   }
 
-  /** When the record came to be held, in microseconds. */
+  /** When the record was stored, in microseconds. */
   long sinceUs() {
     return sinceUs;
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberTable.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberTable.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** All other members that are held, in the order in which they were added; bounded in size. */
+/** All other members in the table, in the order in which they were added; bounded in size. */
 final class MemberTable {
   private final int maxMembers;
   private final Map<String, MemberEntry> entries = new LinkedHashMap<>(); // by name
@@ -80,7 +80,7 @@
   }
 
   /**
-   * The held record that supersedes a sender's own, for it to refute; empty where there is none.
+   * The stored record that supersedes a sender's own, for it to refute; empty where there is none.
    */
   Optional<MemberRecord> newerThan(MemberRecord senderRecord) {
     return find(senderRecord.name())
--- a/sidecar/src/main/java/dillcross/membership/Membership.java
+++ b/sidecar/src/main/java/dillcross/membership/Membership.java
@@ -100,7 +100,10 @@
     }
   }
 
-  /** Answers with what is held against the sender, if anything, so that it can refute that. */
+  /**
+   * Replies with the stored record that supersedes the sender's own, if any, so that the sender can
+   * refute it.
+   */
   private void onPing(Packet packet) {
     List<MemberRecord> records = table.newerThan(packet.sender()).stream().toList();
     outbox.replyAck(packet.sender().address(), packet.sequence(), records);
@@ -180,7 +183,7 @@
     return local.self();
   }
 
-  /** All other members that are held, dead ones included, in the order of their first record. */
+  /** All other members in the table, dead ones included, in the order of their first record. */
   public List<Member> members() {
     return table.all().stream().map(entry -> new Member(entry.record(), entry.sinceUs())).toList();
   }
--- a/sidecar/src/main/java/dillcross/membership/MembershipSettings.java
+++ b/sidecar/src/main/java/dillcross/membership/MembershipSettings.java
@@ -10,7 +10,7 @@
  * @param intervalUs between two probes of a healthy member, in microseconds
  * @param timeoutUs from a ping without answer to the indirect probe, in microseconds; less than
  *     half the interval
- * @param maxMembers other members that are held, dead ones included
+ * @param maxMembers other members in the table, dead ones included
  * @param datagramBytes of the largest packet, without the name of the fleet
  * @param bytesPerSecond the byte budget: replies are suppressed above it
  */
--- a/sidecar/src/main/java/dillcross/net/ChangeQueue.java
+++ b/sidecar/src/main/java/dillcross/net/ChangeQueue.java
@@ -20,7 +20,10 @@
     wakeUp.run();
   }
 
-  /** As {@link #submit}, and returns when it was made. Not from the selector thread. */
+  /**
+   * As {@link #submit}, and returns once the change has run or has thrown; the caller is not told
+   * which. Not from the selector thread.
+   */
   void submitAndWait(Runnable change) throws InterruptedException {
     CountDownLatch made = new CountDownLatch(1);
     submit(
@@ -28,7 +31,7 @@
           try {
             change.run();
           } finally {
-            made.countDown(); // a failure is logged by the event loop, and must not hold later ones
+            made.countDown(); // the event loop logs a failure; the caller must not wait forever
           }
         });
     made.await();
--- a/sidecar/src/main/java/dillcross/net/SidecarServer.java
+++ b/sidecar/src/main/java/dillcross/net/SidecarServer.java
@@ -64,7 +64,7 @@
   private boolean needsFirstList;
   private long expiredUs;
   private int failedIterations;
-  private long now; // the clock when this iteration began to gather events
+  private long now; // the clock, read before events and again after them
 
   /**
    * A server that does not run yet.
--- a/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
+++ b/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
@@ -88,8 +88,7 @@
   }
 
   /**
-   * Of a client's timeout, as much as the shutdown leaves: who brings a request late on a
-   * connection that stayed open gets its answer too.
+   * Limits a request's timeout during shutdown, so that it is answered before the process exits.
    */
   public long limitTimeout(long timeoutUs, long maxTimeoutUs, long nowUs) {
     if (!isStopping()) {
--- a/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -21,8 +21,9 @@
   static final long FIRST_BYTE_US = 200_000;
 
   private static final long PARTIAL_REQUEST_US = 1_000_000; // at the limit: for all of its request
-  private static final int CROWDED_NUMERATOR = 3; // the share of the limit that counts as crowded
-  private static final int CROWDED_DENOMINATOR = 8;
+  private static final int HIGH_USE_NUMERATOR =
+      3; // of the limit, from which idle timeouts are short
+  private static final int HIGH_USE_DENOMINATOR = 8;
   private static final long LOG_INTERVAL_US = 10_000_000;
   private static final Logger LOG = Logger.getLogger(ClientConnections.class.getName());
 
@@ -115,8 +116,8 @@
    * Whether a large share of the limit is in use. Below the limit itself, because clients may have
    * a limit of their own and reach it earlier.
    */
-  boolean isCrowded() {
-    return connections.size() > maxConnections * CROWDED_NUMERATOR / CROWDED_DENOMINATOR;
+  boolean isHighlyUsed() {
+    return connections.size() > maxConnections * HIGH_USE_NUMERATOR / HIGH_USE_DENOMINATOR;
   }
 
   private void pauseAccepting() {
@@ -148,7 +149,7 @@
   }
 
   private void logLimit() {
-    if (clock.getAsLong() - loggedUs > LOG_INTERVAL_US) { // not for each client of a crowd
+    if (clock.getAsLong() - loggedUs > LOG_INTERVAL_US) { // not once for every rejected client
       loggedUs = clock.getAsLong();
       LOG.warning(
           () ->
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -224,7 +224,7 @@
    * crosses the close.
    */
   private boolean closesAfter(Connection connection, HttpRequest request) {
-    boolean isLeastUsed = connections.isCrowded() && connection.activity().requestCount() <= 1;
+    boolean isLeastUsed = connections.isHighlyUsed() && connection.activity().requestCount() <= 1;
     return lifecycle.closesConnections()
         || !request.keepsAlive()
         || isLeastUsed
@@ -349,7 +349,7 @@
     if (lifecycle.closesIdleConnections(nowUs)) {
       return 0;
     }
-    return connections.isCrowded() ? ClientConnections.RECENT_US : IDLE_US;
+    return connections.isHighlyUsed() ? ClientConnections.RECENT_US : IDLE_US;
   }
 
   private void expirePartial(Connection connection, long nowUs, boolean isSilent) {
--- a/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
+++ b/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
@@ -5,7 +5,7 @@
 import dillcross.net.http.HttpMessageParser;
 
 /**
- * Streams the rest of a body that is too large to be held from one connection to another, as it
+ * Streams the rest of a body that is too large to buffer from one connection to another, as it
  * arrives and no faster than the other side takes it. What arrives meanwhile waits in the first
  * connection's buffer, which then stops reading.
  */
--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -18,7 +18,7 @@
  */
 public final class Connection implements Network.ConnectionHandler, TransportChannel.WriteCallback {
   private static final int MAX_DISCARDED_BYTES = 1 << 20; // after the last response
-  private static final int MAX_PIPELINED_BYTES = 512 << 10; // held behind an open request
+  private static final int MAX_PIPELINED_BYTES = 512 << 10; // buffered behind an open request
   private static final ByteBuffer DISCARDED =
       ByteBuffer.allocate(32 << 10); // its content is unused
 
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * One HTTP/1.1 message. Of a body too large to be held, {@code body} are the first bytes, and the
- * rest is streamed.
+ * One HTTP/1.1 message. If the body is too large to buffer, {@code body} has its first bytes, and
+ * the rest is streamed.
  */
 public sealed interface HttpMessage permits HttpRequest, HttpResponse {
   /** A body with no bytes. */
