--- a/sidecar/src/test/java/dillcross/cli/DiscoveryCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/DiscoveryCrossingIT.java
@@ -23,6 +23,9 @@
  * dillcross.net.discovery.DiscoveryClient}.
  */
 class DiscoveryCrossingIT extends CrossingFixture {
+  /** Below the 2 s without a request after which an idle connection may be closed. */
+  private static final int KEEP_IN_USE_INTERVAL_MS = 400;
+
   /** A second reply to one call must not be read as the reply to the next, which has a drain. */
   @Test
   void ignoresSecondReplyToOneCall() throws Exception {
@@ -88,7 +91,10 @@
     }
     assertFalse(discovery.scriptedReplies.isEmpty(), "discovery is still unavailable");
 
-    replaceAByB(discovery);
+    discovery.publish(entryOfB(), terminating("a", endpointA.address()));
+    do { // calls that discovery rejects are repeated after up to 2.5 s
+      assertEquals("200", statusOf(exchange(regular, request("/read/meanwhile"))));
+    } while (!discovery.awaitReceived(KEEP_IN_USE_INTERVAL_MS));
 
     assertEquals("200", statusOf(exchange(regular, request("/read/after"))));
     assertEquals(1, endpointB.requestCounts.get("/read/after"));
--- a/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
+++ b/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
@@ -11,6 +11,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 
 /** A discovery service that holds watches open until a test publishes endpoints. */
 final class TestDiscovery extends LoopbackServer {
@@ -73,6 +74,24 @@
     }
   }
 
+  /**
+   * Waits for at most {@code timeoutMs} until the sidecar has asked for the version after the last
+   * published one.
+   *
+   * @return whether it has asked for it
+   */
+  synchronized boolean awaitReceived(long timeoutMs) throws InterruptedException {
+    long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    while (requestedVersion < version) {
+      long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+      if (remainingMs <= 0) {
+        return false;
+      }
+      wait(remainingMs);
+    }
+    return true;
+  }
+
   @Override
   void serve(Socket socket) throws Exception {
     InputStream in = socket.getInputStream();
