--- a/emulator/src/test/java/dillcross/emulator/PlantedFault.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedFault.java
@@ -19,8 +19,8 @@
 import javax.tools.ToolProvider;
 
 /**
- * The program with a line of the sidecar's text changed, compiled anew and loaded beside the
- * unchanged one.
+ * The program with one line of the sidecar's source changed, recompiled and loaded beside the
+ * unchanged program.
  */
 final class PlantedFault {
   private static final Path SOURCES = Path.of("../sidecar/src/main/java/dillcross");
--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Faults planted in the sidecar's own text: a line of core, network code or module is changed, that
- * file compiled anew, and the day played with it. The oracle has to find each within 200 seeds.
+ * Faults planted in the sidecar's own source: one line is changed, that file recompiled, and the
+ * scenario run with it. The oracle has to find each within 200 seeds.
  */
 class PlantedTest {
   private static final Path SCENARIOS = Path.of("../scenarios");
@@ -149,7 +149,7 @@
         fault(
             "a retry that outlasts its deduplication window",
             "balancer/AttemptDispatcher.java",
-            "deadlineUs == Long.MAX_VALUE ? 0 : deadlineUs));",
+            "deadlineUs == AttemptDeadline.NONE ? 0 : deadlineUs));",
             "0 * deadlineUs));",
             "NO_EFFECT_TWICE",
             "heals.toml"),
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -66,7 +66,7 @@
     long deadlineUs = deadlines.deadlineUs(attempt, isFirst, nowUs);
     decisions.add(
         new Decision.SendAttempt(
-            request.id, endpoint.id(), deadlineUs == Long.MAX_VALUE ? 0 : deadlineUs));
+            request.id, endpoint.id(), deadlineUs == AttemptDeadline.NONE ? 0 : deadlineUs));
     return true;
   }
 
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -155,16 +155,16 @@
    * every attempt that succeeded there. An endpoint that hangs while others succeed does not count.
    */
   long unansweredUs(String zoneName, long nowUs) {
-    long lastAnsweredSentUs = 0;
+    long lastSucceededSentUs = 0;
     for (EndpointState state : endpoints.values()) {
       if (state.zone().equals(zoneName)) {
-        lastAnsweredSentUs = Math.max(lastAnsweredSentUs, state.lastAnsweredSentUs());
+        lastSucceededSentUs = Math.max(lastSucceededSentUs, state.lastSucceededSentUs());
       }
     }
     long longestUs = 0;
     for (EndpointState state : endpoints.values()) {
       if (state.zone().equals(zoneName)) {
-        longestUs = Math.max(longestUs, state.longestWaitUs(lastAnsweredSentUs, nowUs));
+        longestUs = Math.max(longestUs, state.longestWaitUs(lastSucceededSentUs, nowUs));
       }
     }
     return longestUs;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -27,7 +27,7 @@
   private double occupancy;
   private long lastAttemptUs;
   private long lastSuccessUs;
-  private long lastAnsweredSentUs;
+  private long lastSucceededSentUs;
   private long lastOutcomeUs;
   private double latencyRatio = 1;
   private int latencySamples;
@@ -169,14 +169,14 @@
   }
 
   /** When the latest-sent of the attempts that succeeded was sent. */
-  long lastAnsweredSentUs() {
-    return lastAnsweredSentUs;
+  long lastSucceededSentUs() {
+    return lastSucceededSentUs;
   }
 
   /** It has answered an attempt that was sent at that time successfully. */
   void recordSuccess(long sentUs, long nowUs) {
     lastSuccessUs = nowUs;
-    lastAnsweredSentUs = Math.max(lastAnsweredSentUs, sentUs);
+    lastSucceededSentUs = Math.max(lastSucceededSentUs, sentUs);
     consecutiveOverloads = 0;
     slowStart.recordSuccess();
   }
@@ -238,9 +238,9 @@
     return consecutiveOverloads;
   }
 
-  void recordOverload(long newRetryAfterUs) {
+  void recordOverload(long newBackoffUntilUs) {
     consecutiveOverloads++;
-    backoffUntilUs = newRetryAfterUs;
+    backoffUntilUs = newBackoffUntilUs;
   }
 
   /** Requests that it reported in flight, per unit of weight. */
--- a/sidecar/src/main/java/dillcross/net/ChangeQueue.java
+++ b/sidecar/src/main/java/dillcross/net/ChangeQueue.java
@@ -21,7 +21,7 @@
   }
 
   /**
-   * As {@link #submit}, and returns once the change has run or has thrown; the caller is not told
+   * As {@link #submit}, and returns once the change has run or has thrown; the caller can't tell
    * which. Not from the selector thread.
    */
   void submitAndWait(Runnable change) throws InterruptedException {
--- a/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
+++ b/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
@@ -139,7 +139,7 @@
     arrive("read");
     assertEquals(2, channels.size(), "no request goes where a late answer may still come");
     channels.get(0).receive(OK);
-    assertFalse(channels.get(0).isOpen(), "it was nobody's");
+    assertFalse(channels.get(0).isOpen(), "its response belongs to no request");
     channels.get(1).connect();
     iterate();
     channels.get(1).receive(OK);
--- a/sidecar/src/test/java/dillcross/sidecar/CoordinatorFixture.java
+++ b/sidecar/src/test/java/dillcross/sidecar/CoordinatorFixture.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A coordinator, and a network that reports abandoned attempts at once unless told otherwise. */
+/** A coordinator, and a network that by default reports abandoned attempts at once. */
 final class CoordinatorFixture {
   static final long TIMEOUT_US = 500_000;
   static final String CLIENT = "client";
@@ -60,7 +60,7 @@
     progressWhenAbandoned = progress;
   }
 
-  /** Has abandoned attempts reported by nobody. */
+  /** Abandoned attempts are no longer reported. */
   void withholdReports() {
     reportsAbandonedAttempts = false;
   }
@@ -83,7 +83,7 @@
     coordinator.onEndpointList(nowUs, version, true, List.of(entries), false);
   }
 
-  /** Reports changes of the list that no watch brought. */
+  /** Reports endpoint-list changes that no watch brought. */
   void listChanges(long version, EndpointEntry... entries) {
     coordinator.onEndpointList(nowUs, version, false, List.of(entries), false);
   }
