--- a/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
+++ b/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
@@ -6,10 +6,10 @@
  * How an attempt ended on the network: a value, never an exception.
  *
  * @param progress how far the request was written
- * @param content the answer that is forwarded; null where there is none
+ * @param content the endpoint's answer, an object of the network; null where there is none
  */
 public record AttemptResult(Kind kind, WriteProgress progress, Object content) {
-  /** What ended it. */
+  /** What ended the attempt. */
   public enum Kind {
     /** A successful answer. */
     SUCCEEDED,
@@ -21,14 +21,16 @@
     CLIENT_ERROR,
     /** The connection failed or broke. */
     CONNECTION_BROKEN,
-    /** The coordinator abandoned it. */
+    /** The coordinator abandoned the attempt. */
     ABANDONED,
-    /** It was never started, through no fault of the endpoint. */
+    /** The attempt was never sent, through no fault of the endpoint. */
     NOT_SENT
   }
 
   /**
-   * What it means to the load balancer; {@code timedOut} where it was abandoned for its deadline.
+   * The outcome for the load balancer.
+   *
+   * @param timedOut whether the attempt was abandoned because its deadline had passed
    */
   AttemptOutcome outcome(boolean timedOut) {
     return switch (kind) {
@@ -42,7 +44,7 @@
     };
   }
 
-  /** The endpoint starts with the last byte: what was not fully written has never run. */
+  /** An endpoint executes a request only after its last byte: one not fully written has not run. */
   private AttemptOutcome ifWritten(AttemptOutcome outcome) {
     return progress == WriteProgress.FULLY_WRITTEN ? outcome : AttemptOutcome.CONNECT_FAILED;
   }
--- a/sidecar/src/main/java/dillcross/sidecar/DecisionExecutor.java
+++ b/sidecar/src/main/java/dillcross/sidecar/DecisionExecutor.java
@@ -12,7 +12,7 @@
   private final EndpointListTracker endpoints;
   private final TimerQueue timers;
   private final Queue<NetworkCommand> commands;
-  private long nowUs; // of the decision that is executed
+  private long nowUs; // when the decision that is executed was made
 
   DecisionExecutor(
       OpenRequests requests,
@@ -38,14 +38,14 @@
     if (request == null) {
       return;
     }
-    boolean isLimited =
+    boolean hasOwnDeadline =
         !request.isBodyIncomplete()
             && decision.deadlineUs() > 0
             && decision.deadlineUs() < request.deadlineUs();
-    long deadlineUs = isLimited ? decision.deadlineUs() : request.earliestDeadlineUs(nowUs);
+    long deadlineUs = hasOwnDeadline ? decision.deadlineUs() : request.earliestDeadlineUs(nowUs);
     EndpointEntry target = endpoints.find(decision.endpoint());
     int number = request.startAttempt(target, nowUs);
-    if (isLimited) {
+    if (hasOwnDeadline) {
       timers.add(deadlineUs, TimerKind.ATTEMPT_DEADLINE, id, number);
     }
     commands.add(
--- a/sidecar/src/main/java/dillcross/sidecar/EndpointAddresses.java
+++ b/sidecar/src/main/java/dillcross/sidecar/EndpointAddresses.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The address and process of each endpoint that may be used, by the latest endpoint list. */
+/**
+ * The address and process of each endpoint that attempts may be sent to, as the endpoint list last
+ * gave them.
+ */
 final class EndpointAddresses {
   private final Map<String, EndpointEntry> entries = new HashMap<>();
 
@@ -37,12 +40,12 @@
     return entries.get(id);
   }
 
-  /** How many endpoints may be used. */
+  /** The number of endpoints that attempts may be sent to. */
   int size() {
     return entries.size();
   }
 
-  /** Whether the entry is still the same process at the same address. */
+  /** Whether the endpoint of the entry is still listed as the same process at the same address. */
   boolean isCurrent(EndpointEntry entry) {
     return entry.isSameProcess(entries.get(entry.endpoint().id()));
   }
--- a/sidecar/src/main/java/dillcross/sidecar/EndpointListTracker.java
+++ b/sidecar/src/main/java/dillcross/sidecar/EndpointListTracker.java
@@ -6,20 +6,20 @@
 import java.util.Queue;
 
 /**
- * Follows the endpoint list: which version is known, where endpoints are, and when the list is
- * watched again. Tells the load balancer about endpoints, and has connections closed to those that
- * were removed, moved or restarted. Belongs to the selector thread.
+ * Tracks the endpoint list: its known version, the addresses of endpoints, and when the list is
+ * watched again. Passes updates on to the load balancer, and issues commands to close connections
+ * to endpoints that were removed, moved or restarted. Belongs to the selector thread.
  */
 final class EndpointListTracker {
-  /** Limits how often a list that answers at once, without an update, is watched again. */
+  /** Shortest time between two watches while discovery answers at once without an update. */
   private static final long MIN_WATCH_INTERVAL_US = 100_000;
 
   private final LoadBalancer balancer;
   private final TimerQueue timers;
   private final Queue<NetworkCommand> commands;
   private final EndpointAddresses addresses = new EndpointAddresses();
-  private long listVersion; // of the last update that was applied
-  private long watchedVersion; // what the next watch asks to follow; 0 for the complete list
+  private long listVersion; // version of the last update that was applied; 0 before the first
+  private long watchedVersion; // the next watch requests changes since it; 0: the complete list
   private long lastWatchUs;
   private boolean hasReceivedWatchEvent;
 
@@ -31,10 +31,10 @@
 
   /**
    * Applies an update. Changes of an older version are dropped, because they could undo a drain,
-   * and the complete list is requested: the version numbering has restarted, or the update was
-   * overtaken.
+   * and the complete list is requested: the version numbering has restarted, or a newer update has
+   * overtaken this one.
    *
-   * @param fromWatch whether a watch brought the update; the next watch is then scheduled
+   * @param fromWatch whether the update answers a watch; the next watch is then scheduled
    */
   void onUpdate(
       long nowUs, long version, boolean complete, List<EndpointEntry> updates, boolean fromWatch) {
@@ -77,18 +77,18 @@
     timers.add(dueUs, TimerKind.WATCH_ENDPOINTS, 0, 0);
   }
 
-  /** Watches for what is newer than the known version. */
+  /** Requests the changes since the known version, or the complete list where none is known. */
   void watch(long nowUs) {
     lastWatchUs = nowUs;
     commands.add(new NetworkCommand.WatchEndpoints(watchedVersion));
   }
 
-  /** The version of the last update that was applied; 0 before any. */
+  /** The version of the last update that was applied; 0 before the first. */
   long listVersion() {
     return listVersion;
   }
 
-  /** How many endpoints may be used. */
+  /** The number of endpoints that attempts may be sent to. */
   int endpointCount() {
     return addresses.size();
   }
@@ -98,12 +98,12 @@
     return hasReceivedWatchEvent;
   }
 
-  /** The entry of an endpoint that may be used; null if there is none. */
+  /** The entry of an endpoint; null if no attempts may be sent to it. */
   EndpointEntry find(String endpoint) {
     return addresses.find(endpoint);
   }
 
-  /** Whether the entry is still the same process at the same address. */
+  /** Whether the endpoint of the entry is still listed as the same process at the same address. */
   boolean isCurrent(EndpointEntry entry) {
     return addresses.isCurrent(entry);
   }
--- a/sidecar/src/main/java/dillcross/sidecar/IncomingRequest.java
+++ b/sidecar/src/main/java/dillcross/sidecar/IncomingRequest.java
@@ -3,13 +3,13 @@
 /**
  * A request as the network received it.
  *
- * @param client who waits for the answer; opaque here
- * @param content what is sent to endpoints; opaque here
- * @param tenant null where it names none
- * @param requestClass a class that the settings name
- * @param timeoutUs how long its client waits, in microseconds from the last byte of the body
- * @param isRepeat whether its client says that it tried before
- * @param isBodyIncomplete whether more of its body follows
+ * @param client the client that waits for the answer: an object of the network
+ * @param content the request that is sent to endpoints: an object of the network
+ * @param tenant the tenant that the request names; null where it names none
+ * @param requestClass the name of a request class of the settings
+ * @param timeoutUs how long the client waits, in microseconds from the last byte of the body
+ * @param isRepeat whether the client says that the request is a retry
+ * @param isBodyIncomplete whether more of the body follows
  */
 public record IncomingRequest(
     Object client,
--- a/sidecar/src/main/java/dillcross/sidecar/NetworkCommand.java
+++ b/sidecar/src/main/java/dillcross/sidecar/NetworkCommand.java
@@ -1,12 +1,15 @@
 package dillcross.sidecar;
 
-/** One thing for the network to carry out. {@code client} and {@code content} are opaque here. */
+/**
+ * A command of the coordinator to the network. {@code client} and {@code content} are the network's
+ * own objects, which the coordinator only hands back.
+ */
 public sealed interface NetworkCommand {
   /**
    * Send a request to an endpoint.
    *
-   * @param attempt its number within the request, from 0
-   * @param deadlineUs when it will be abandoned, in microseconds of the caller's clock
+   * @param attempt the attempt's number within the request, from 0
+   * @param deadlineUs when the attempt will be abandoned, in microseconds of the caller's clock
    */
   record SendAttempt(
       long requestId,
@@ -18,7 +21,7 @@
       long deadlineUs)
       implements NetworkCommand {}
 
-  /** Stop waiting for an attempt, and report how far it came. */
+  /** Abandon an attempt, and report how much of its request was written. */
   record AbandonAttempt(long requestId, int attempt) implements NetworkCommand {}
 
   /** Forward a successful answer to the client. */
@@ -27,16 +30,21 @@
   /** Forward an answer that has begun to the client; the rest is streamed as it arrives. */
   record StartStreaming(Object client, Object content) implements NetworkCommand {}
 
-  /** The answer that is streamed has ended; {@code complete} is false where it broke off. */
+  /** End the answer that is streamed; {@code complete} is false where it broke off. */
   record FinishStreaming(Object client, boolean complete) implements NetworkCommand {}
 
-  /** Tell the client that its request is at fault; the content is the endpoint's answer. */
+  /** Forward an answer in which the endpoint says that the request itself is invalid. */
   record ForwardClientError(Object client, Object content) implements NetworkCommand {}
 
-  /** Tell the client that a retry is safe, after {@code retryAfterUs} if that is not 0. */
+  /**
+   * Tell the client that its request was rejected and that a retry is safe.
+   *
+   * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 for no
+   *     advice
+   */
   record RejectRequest(Object client, long retryAfterUs) implements NetworkCommand {}
 
-  /** Tell the client that its request failed, with no promise. */
+  /** Tell the client that its request failed; the request may have been executed. */
   record FailRequest(Object client) implements NetworkCommand {}
 
   /**
@@ -45,6 +53,6 @@
    */
   record CloseConnections(String endpoint) implements NetworkCommand {}
 
-  /** Watch the endpoint list for what is newer than that version; 0 for all of it. */
+  /** Request the changes of the endpoint list since {@code version}; 0 for the complete list. */
   record WatchEndpoints(long version) implements NetworkCommand {}
 }
--- a/sidecar/src/main/java/dillcross/sidecar/OpenAttempt.java
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenAttempt.java
@@ -3,12 +3,12 @@
 /** One attempt of an {@link OpenRequest}. Times are in microseconds. */
 final class OpenAttempt {
   private final EndpointEntry target;
-  private long sentUs;
+  private long sentUs; // or when the request's body was complete, if that was later
   private long streamingSinceUs; // 0 until its response is streamed
   private boolean hasTimedOut;
   private boolean hasEnded;
 
-  /** An attempt in flight. */
+  /** Creates an attempt that is in flight. */
   OpenAttempt(EndpointEntry target, long sentUs) {
     this.target = target;
     this.sentUs = sentUs;
@@ -19,6 +19,7 @@
     return target;
   }
 
+  /** Measures the attempt's time from now on, if it has not ended. */
   void restartTimeUnlessEnded(long nowUs) {
     if (!hasEnded) {
       sentUs = nowUs;
@@ -29,12 +30,16 @@
     streamingSinceUs = nowUs;
   }
 
-  /** Notes why the attempt is abandoned: its deadline has passed, or it is not needed any more. */
+  /**
+   * Records why the attempt is abandoned.
+   *
+   * @param timedOut whether its deadline has passed; else it is not needed any more
+   */
   void abandon(boolean timedOut) {
     hasTimedOut = timedOut;
   }
 
-  /** Whether it was abandoned because its deadline had passed. */
+  /** Whether the attempt was abandoned because its deadline had passed. */
   boolean hasTimedOut() {
     return hasTimedOut;
   }
@@ -48,8 +53,8 @@
   }
 
   /**
-   * The endpoint's time, up to the first bytes of a streamed response: how fast the rest arrives
-   * depends on the client as well.
+   * How long the endpoint took until {@code nowUs}, or until the first bytes of a streamed
+   * response, as how fast the rest arrives depends on the client as well.
    */
   long elapsedUs(long nowUs) {
     long endUs = streamingSinceUs > 0 ? streamingSinceUs : nowUs;
--- a/sidecar/src/main/java/dillcross/sidecar/OpenRequest.java
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenRequest.java
@@ -26,12 +26,12 @@
     this.timeoutUs = timeoutUs;
   }
 
-  /** Who waits for the answer. */
+  /** The client that waits for the answer: an object of the network. */
   Object client() {
     return client;
   }
 
-  /** What is sent to endpoints. */
+  /** The request that is sent to endpoints: an object of the network. */
   Object content() {
     return content;
   }
@@ -55,14 +55,14 @@
     return deadlineUs == BODY_INCOMPLETE;
   }
 
-  /** Notes that the last byte of the body has arrived: attempts in flight are timed from now. */
+  /** Records that the last byte of the body has arrived: attempts in flight are timed from now. */
   void completeBody(long nowUs) {
     for (OpenAttempt attempt : attempts) {
       attempt.restartTimeUnlessEnded(nowUs);
     }
   }
 
-  /** Notes that a part of the body was released, so that no other attempt can send all of it. */
+  /** Records that a part of the body was released, so that no later attempt can send all of it. */
   void releaseBody() {
     isReplayable = false;
   }
@@ -112,7 +112,7 @@
     return streaming != null;
   }
 
-  /** Whether it is this attempt's response that is streamed to the client. */
+  /** Whether the response of {@code attempt} is streamed to the client. */
   boolean isStreaming(OpenAttempt attempt) {
     return streaming == attempt;
   }
@@ -122,7 +122,7 @@
     return attempts.indexOf(streaming);
   }
 
-  /** Notes that the client gets no further answer: it has one, or has disconnected. */
+  /** Records that the client gets no further answer: it has one, or has disconnected. */
   void finish() {
     isFinished = true;
   }
@@ -131,7 +131,7 @@
     return isFinished;
   }
 
-  /** Whether nothing more can happen to the request. */
+  /** Whether the request is finished and none of its attempts is in flight. */
   boolean isRemovable() {
     return isFinished && attemptsInFlight == 0;
   }
--- a/sidecar/src/main/java/dillcross/sidecar/OpenRequests.java
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenRequests.java
@@ -5,7 +5,7 @@
 import java.util.Queue;
 
 /**
- * The requests that are kept, by the ids that this sidecar gives them. Abandons their attempts by
+ * The requests in memory, by the ids that this sidecar gives them. Abandons their attempts by
  * commands to the network. Belongs to the selector thread.
  */
 final class OpenRequests {
@@ -24,12 +24,12 @@
     return lastId;
   }
 
-  /** The request of that id; null if it is not kept. */
+  /** The request of that id; null if none is in memory. */
   OpenRequest find(long id) {
     return requests.get(id);
   }
 
-  /** The request of that id; null if it is finished or not kept. */
+  /** The request of that id; null if it is finished or not in memory. */
   OpenRequest findUnfinished(long id) {
     OpenRequest request = requests.get(id);
     return request == null || request.isFinished() ? null : request;
@@ -76,12 +76,12 @@
     commands.add(new NetworkCommand.AbandonAttempt(id, number));
   }
 
-  /** How many requests wait for their answer. */
+  /** The number of requests whose clients still wait for the end of their answer. */
   long unfinishedCount() {
     return requests.values().stream().filter(request -> !request.isFinished()).count();
   }
 
-  /** How many requests are kept. */
+  /** The number of requests in memory, finished ones included. */
   int size() {
     return requests.size();
   }
--- a/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
+++ b/sidecar/src/main/java/dillcross/sidecar/RequestCoordinator.java
@@ -8,10 +8,11 @@
 import java.util.List;
 
 /**
- * One sidecar without I/O and without a clock: turns what the network reports into calls of the
- * load balancer, and its decisions into commands for the network. It decides nothing itself.
+ * One sidecar without I/O and without a clock: turns the network's events into calls of the load
+ * balancer, and the load balancer's decisions into commands for the network. It takes no decision
+ * itself.
  *
- * <p>The methods that report an event only note it; the caller then pulls {@link #next} until it
+ * <p>The methods that report an event only record it; the caller then calls {@link #next} until it
  * returns null. All times are in microseconds of the caller's clock. Belongs to the selector
  * thread.
  */
@@ -46,7 +47,7 @@
    * @param version the discovery service's version of the list
    * @param complete whether endpoints without an entry are removed; if false the entries are
    *     changes
-   * @param fromWatch whether a watch brought the update; the next watch is then scheduled
+   * @param fromWatch whether the update answers a watch; the next watch is then scheduled
    */
   public void onEndpointList(
       long nowUs, long version, boolean complete, List<EndpointEntry> updates, boolean fromWatch) {
@@ -54,8 +55,8 @@
   }
 
   /**
-   * Applies an update from the former discovery address, while the new one has not answered yet.
-   * Its versions are not comparable with those of the new address.
+   * Applies an update from the former discovery address, while the new address has not answered
+   * yet. Its versions are not comparable with those of the new address.
    */
   public void onFormerEndpointList(long nowUs, boolean complete, List<EndpointEntry> updates) {
     endpoints.onFormerUpdate(nowUs, complete, updates);
@@ -66,12 +67,12 @@
     endpoints.onDiscoveryMoved(nowUs);
   }
 
-  /** The version of the last endpoint list that was applied; 0 before any. */
+  /** The version of the last endpoint list that was applied; 0 before the first. */
   public long endpointListVersion() {
     return endpoints.listVersion();
   }
 
-  /** How many endpoints may be used. */
+  /** The number of endpoints that attempts may be sent to. */
   public int endpointCount() {
     return endpoints.endpointCount();
   }
@@ -82,7 +83,7 @@
   }
 
   /**
-   * The endpoint list is unavailable, or a watch of it broke.
+   * Reports that the endpoint list is unavailable, or that a watch of it broke.
    *
    * @param maxDelayUs the longest backoff before the next watch; the backoff is jittered by a
    *     factor of 0.5 to 1.5
@@ -94,8 +95,8 @@
   // Requests
 
   /**
-   * A request has arrived. If its body is incomplete, {@link #onBodyComplete} is called with the
-   * last byte.
+   * Reports that a request has arrived. If its body is incomplete, the caller has to call {@link
+   * #onBodyComplete} at the last byte.
    *
    * @return the id of the request, unique within this coordinator
    */
@@ -123,7 +124,10 @@
     timers.add(request.deadlineUs(), TimerKind.REQUEST_DEADLINE, id, 0);
   }
 
-  /** A part of the body was released, so that no other attempt can send all of it. */
+  /**
+   * Reports that a part of the request's body was released from its buffer, so that no later
+   * attempt can send all of it.
+   */
   public void onBodyReleased(long nowUs, long id) {
     OpenRequest request = requests.find(id);
     if (request != null && request.isReplayable()) {
@@ -132,7 +136,10 @@
     }
   }
 
-  /** The last byte of the body has arrived; later calls for the same request have no effect. */
+  /**
+   * Reports that the last byte of the request's body has arrived, which starts the client's
+   * timeout. Later calls for the same request have no effect.
+   */
   public void onBodyComplete(long nowUs, long id) {
     OpenRequest request = requests.find(id);
     if (request != null && request.isBodyIncomplete()) {
@@ -142,7 +149,7 @@
     }
   }
 
-  /** No endpoint takes the body of a request any more: its attempts time out. */
+  /** Reports that the transfer of a request's body has stalled: its attempts time out. */
   public void onBodyStalled(long id) {
     OpenRequest request = requests.find(id);
     if (request != null) {
@@ -150,7 +157,7 @@
     }
   }
 
-  /** The client has disconnected. */
+  /** Reports that the client of a request has disconnected: it gets no further answer. */
   public void onClientDisconnected(long nowUs, long id) {
     OpenRequest request = requests.find(id);
     if (request != null && !request.isFinished()) {
@@ -166,7 +173,8 @@
   /**
    * Whether an attempt that waited for its connection may still be sent: its request is not
    * finished, its deadline has not passed, and its endpoint is still the same process at the same
-   * address and may be used. True for an id that is no request's, as of warm-up probes.
+   * address and may be used. Also true for an id that belongs to no request, such as a warm-up
+   * probe's.
    */
   public boolean maySend(long nowUs, long id, int attemptNumber) {
     OpenRequest request = requests.find(id);
@@ -178,7 +186,7 @@
   }
 
   /**
-   * The first bytes of an attempt's response have arrived, and more will follow.
+   * Reports that the first bytes of an attempt's response have arrived, and that more will follow.
    *
    * @return whether the response is streamed to the client; if false it is to be discarded
    */
@@ -198,7 +206,10 @@
     return true;
   }
 
-  /** An attempt has ended on the network; later calls for the same attempt have no effect. */
+  /**
+   * Reports that an attempt has ended on the network. Later calls for the same attempt have no
+   * effect.
+   */
   public void onAttemptEnded(long nowUs, long id, int attemptNumber, AttemptResult result) {
     OpenRequest request = requests.find(id);
     if (request == null || request.attempt(attemptNumber).hasEnded()) {
@@ -232,7 +243,7 @@
 
   // Commands and timers
 
-  /** The next command to carry out; null if there is none. */
+  /** Takes the next command to carry out; null if there is none at {@code nowUs}. */
   public NetworkCommand next(long nowUs) {
     while (commands.isEmpty()) {
       if (timerHandler.handleNextDue(nowUs)) {
@@ -247,22 +258,28 @@
     return commands.poll();
   }
 
-  /** When the next timer is due: a caller without events must call {@link #next} by then. */
+  /**
+   * When the next timer is due: a caller without events must call {@link #next} by then. {@code
+   * Long.MAX_VALUE} if no timer is set.
+   */
   public long nextTimerUs() {
     return timers.nextDueUs();
   }
 
-  /** How many requests wait for their answer. */
+  /** The number of requests whose clients still wait for the end of their answer. */
   public long openRequests() {
     return requests.unfinishedCount();
   }
 
-  /** How many requests are kept: those that wait, and those with an attempt still in flight. */
+  /**
+   * The number of requests in memory: those whose clients still wait, and finished ones that have
+   * an attempt in flight.
+   */
   public int trackedRequests() {
     return requests.size();
   }
 
-  /** How many timers are set. Those of a finished request stay until they are due. */
+  /** The number of timers that are set. Those of a finished request stay until they are due. */
   public int pendingTimers() {
     return timers.size();
   }
--- a/sidecar/src/main/java/dillcross/sidecar/TimerHandler.java
+++ b/sidecar/src/main/java/dillcross/sidecar/TimerHandler.java
@@ -4,11 +4,11 @@
 import java.util.Queue;
 
 /**
- * Acts on timers that are due: times attempts and requests out, has the endpoint list watched, and
- * passes the load balancer's own timers on. Belongs to the selector thread.
+ * Handles timers that are due: times out attempts and requests, starts the next watch of the
+ * endpoint list, and calls the load balancer for its own timers. Belongs to the selector thread.
  */
 final class TimerHandler {
-  /** How long after its deadline a request may stay unanswered before it is failed here. */
+  /** How long after its deadline an unanswered request is failed, in microseconds. */
   private static final long UNANSWERED_GRACE_US = 10_000;
 
   private final TimerQueue timers;
@@ -30,7 +30,7 @@
     this.commands = commands;
   }
 
-  /** Acts on the next timer that is due; returns false if there is none. */
+  /** Handles the next timer that is due; returns false if there is none. */
   boolean handleNextDue(long nowUs) {
     TimerQueue.Timer timer = timers.pollDue(nowUs);
     if (timer == null) {
@@ -69,7 +69,10 @@
     }
   }
 
-  /** A fault in the load balancer must not leave a client without an answer. */
+  /**
+   * Fails a request that is still unanswered, so that a fault in the load balancer leaves no client
+   * without an answer.
+   */
   private void failUnanswered(long nowUs, long id) {
     OpenRequest request = requests.findUnfinished(id);
     if (request != null && !request.isStreaming()) {
--- a/sidecar/src/main/java/dillcross/sidecar/TimerKind.java
+++ b/sidecar/src/main/java/dillcross/sidecar/TimerKind.java
@@ -4,12 +4,12 @@
 enum TimerKind {
   /** An attempt's own deadline, before that of its request. */
   ATTEMPT_DEADLINE,
-  /** The client's deadline. */
+  /** The client's deadline for the request. */
   REQUEST_DEADLINE,
-  /** The request should have been answered by now. */
+  /** A check, shortly after the client's deadline, that the request has been answered. */
   REQUEST_UNANSWERED,
-  /** The load balancer asked for it. */
+  /** A timer that the load balancer scheduled. */
   BALANCER,
-  /** The endpoint list is to be watched again. */
+  /** The next watch of the endpoint list. */
   WATCH_ENDPOINTS
 }
--- a/sidecar/src/main/java/dillcross/sidecar/WriteProgress.java
+++ b/sidecar/src/main/java/dillcross/sidecar/WriteProgress.java
@@ -1,6 +1,9 @@
 package dillcross.sidecar;
 
-/** How far an attempt came on its connection: only one that was fully written can have run. */
+/**
+ * How much of an attempt's request was written to its connection: an endpoint can have executed
+ * only a request that was fully written.
+ */
 public enum WriteProgress {
   /** Nothing was written. */
   NOT_CONNECTED,
--- a/sidecar/src/test/java/dillcross/sidecar/CoordinatorFixture.java
+++ b/sidecar/src/test/java/dillcross/sidecar/CoordinatorFixture.java
@@ -13,7 +13,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A coordinator, and a network that by default reports abandoned attempts at once. */
+/**
+ * A coordinator, a clock, and a network on which attempts end only when the test reports it, except
+ * that by default the end of an abandoned attempt is reported at once.
+ */
 final class CoordinatorFixture {
   static final long TIMEOUT_US = 500_000;
   static final String CLIENT = "client";
@@ -55,13 +58,13 @@
     nowUs += us;
   }
 
-  /** Has abandoned attempts reported as written so far. */
-  void abandonAt(WriteProgress progress) {
+  /** Sets how far attempts that are abandoned from now on are reported to have been written. */
+  void reportAbandonedAs(WriteProgress progress) {
     progressWhenAbandoned = progress;
   }
 
-  /** Abandoned attempts are no longer reported. */
-  void withholdReports() {
+  /** From now on the network does not report the end of abandoned attempts. */
+  void stopReportingAbandonedAttempts() {
     reportsAbandonedAttempts = false;
   }
 
@@ -73,27 +76,27 @@
     return new EndpointEntry(new Endpoint(id, health, startedUs, 1, "east", 1), address);
   }
 
-  /** Lists one endpoint, {@code a} at {@code h:1}. */
+  /** Reports a complete endpoint list of one endpoint, {@code a} at {@code h:1}. */
   void listOneEndpoint() {
     listAll(1, entry("a", Health.UP, "h:1"));
   }
 
-  /** Reports a complete list that no watch brought. */
+  /** Reports a complete endpoint list that does not answer a watch. */
   void listAll(long version, EndpointEntry... entries) {
     coordinator.onEndpointList(nowUs, version, true, List.of(entries), false);
   }
 
-  /** Reports endpoint-list changes that no watch brought. */
+  /** Reports changes of the endpoint list that do not answer a watch. */
   void listChanges(long version, EndpointEntry... entries) {
     coordinator.onEndpointList(nowUs, version, false, List.of(entries), false);
   }
 
-  /** Reports an update that a watch brought. */
+  /** Reports an update of the endpoint list that answers a watch. */
   void onWatchUpdate(long version, boolean complete, EndpointEntry... entries) {
     coordinator.onEndpointList(nowUs, version, complete, List.of(entries), true);
   }
 
-  /** Carries out all commands that are there now. */
+  /** Takes and returns all commands at the present time; reports abandoned attempts as ended. */
   List<NetworkCommand> pull() {
     List<NetworkCommand> commands = new ArrayList<>();
     NetworkCommand command = coordinator.next(nowUs);
@@ -111,8 +114,11 @@
     return commands;
   }
 
-  /** Carries out all commands of the next {@code us}; the clock then stands at the last timer. */
-  List<NetworkCommand> pass(long us) {
+  /**
+   * Advances the clock from timer to timer for at most {@code us} microseconds, and returns all
+   * commands of that time. The clock then shows when the last timer was due, not the end of it.
+   */
+  List<NetworkCommand> runFor(long us) {
     long endUs = nowUs + us;
     List<NetworkCommand> commands = pull();
     while (coordinator.nextTimerUs() <= endUs) {
@@ -122,7 +128,7 @@
     return commands;
   }
 
-  /** A request has arrived completely; returns its id. */
+  /** Reports a request whose body is complete; returns its id. */
   long onRequest(String requestClass) {
     return onRequest(requestClass, false);
   }
@@ -134,12 +140,13 @@
             CLIENT, CONTENT, null, requestClass, TIMEOUT_US, false, isBodyIncomplete));
   }
 
-  /** A request has arrived; returns its first attempt. */
+  /** Reports a request; returns the command that sends its first attempt. */
   NetworkCommand.SendAttempt sendFirstAttempt(String requestClass) {
     onRequest(requestClass);
     return only(NetworkCommand.SendAttempt.class, pull()).get(0);
   }
 
+  /** Reports the first bytes of a response; returns whether it is streamed to the client. */
   boolean startResponse(NetworkCommand.SendAttempt attempt, Object head) {
     return coordinator.onResponseStarted(nowUs, attempt.requestId(), attempt.attempt(), head);
   }
@@ -165,7 +172,7 @@
     return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  /** The commands that answer clients, as their names with spaces between them. */
+  /** The names of the commands that answer clients, separated by spaces. */
   static String answers(List<NetworkCommand> commands) {
     return String.join(
         " ",
--- a/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorAnswersTest.java
+++ b/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorAnswersTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The one answer that each client gets, and when. */
+/** Each client gets exactly one answer: tests which one, and when. */
 class RequestCoordinatorAnswersTest {
   private final CoordinatorFixture fixture = new CoordinatorFixture();
   private final RequestCoordinator coordinator = fixture.coordinator;
@@ -23,7 +23,10 @@
     fixture.listOneEndpoint();
   }
 
-  /** Each row of the protocol's outcomes: a client may retry what never ran or is idempotent. */
+  /**
+   * One row for each outcome of an attempt: a request that fails is rejected, which permits a
+   * retry, if it never ran or is idempotent.
+   */
   @ParameterizedTest
   @CsvSource({
     "buy,SUCCEEDED,FULLY_WRITTEN,ForwardResponse",
@@ -56,7 +59,7 @@
                 assertEquals(
                     new NetworkCommand.ForwardResponse(CoordinatorFixture.CLIENT, "body"),
                     forward));
-    assertEquals("", answers(fixture.pass(5_000_000)), "one final answer only");
+    assertEquals("", answers(fixture.runFor(5_000_000)), "one final answer only");
     assertEquals(0, coordinator.openRequests());
   }
 
@@ -71,23 +74,23 @@
   })
   void abandonsAttemptsAndAnswersAtTheDeadline(
       String requestClass, WriteProgress progress, String answer) {
-    fixture.abandonAt(progress);
+    fixture.reportAbandonedAs(progress);
     long deadlineUs = fixture.nowUs() + TIMEOUT_US;
     NetworkCommand.SendAttempt attempt = fixture.sendFirstAttempt(requestClass);
     assertEquals(deadlineUs, attempt.deadlineUs());
-    assertEquals(answer, answers(fixture.pass(TIMEOUT_US)));
+    assertEquals(answer, answers(fixture.runFor(TIMEOUT_US)));
     assertEquals(deadlineUs, fixture.nowUs(), "at the deadline, not later");
   }
 
   @Test
   void failsARequestWhoseAbandonedAttemptIsNeverReported() {
-    fixture.withholdReports();
+    fixture.stopReportingAbandonedAttempts();
     fixture.sendFirstAttempt("buy");
-    assertEquals("FailRequest", answers(fixture.pass(TIMEOUT_US + 50_000)));
+    assertEquals("FailRequest", answers(fixture.runFor(TIMEOUT_US + 50_000)));
     assertEquals(0, coordinator.openRequests());
   }
 
-  /** The last row is a client that disconnects. */
+  /** In the row of {@code ABANDONED} the client disconnects instead of the attempt ending. */
   @ParameterizedTest
   @CsvSource({
     "SUCCEEDED,StartStreaming FinishStreaming,true",
@@ -99,7 +102,7 @@
     fixture.advance(10_000);
     assertTrue(fixture.startResponse(attempt, "head"));
     assertFalse(fixture.startResponse(attempt, "head"), "started once only");
-    List<NetworkCommand> commands = fixture.pass(20 * TIMEOUT_US);
+    List<NetworkCommand> commands = fixture.runFor(20 * TIMEOUT_US);
     assertEquals(0, only(NetworkCommand.AbandonAttempt.class, commands).size());
     assertEquals(1, coordinator.openRequests());
     if (end == AttemptResult.Kind.ABANDONED) {
@@ -107,25 +110,26 @@
     } else {
       fixture.end(attempt, end, WriteProgress.FULLY_WRITTEN, "head");
     }
-    commands.addAll(fixture.pass(TIMEOUT_US));
+    commands.addAll(fixture.runFor(TIMEOUT_US));
     assertEquals(answers, answers(commands));
     only(NetworkCommand.FinishStreaming.class, commands)
         .forEach(finish -> assertEquals(complete, finish.complete()));
     assertEquals(0, coordinator.openRequests());
   }
 
-  /** While its body arrives a request has no deadline; a stalled body times out all the same. */
+  /** A request has no deadline while its body arrives, but its attempts time out if that stalls. */
   @Test
   void startsTheDeadlineAtTheLastByteOfTheBody() {
     long request = fixture.onRequest("buy", true);
-    assertEquals("", answers(fixture.pass(10 * TIMEOUT_US)), "no deadline while the body arrives");
+    assertEquals(
+        "", answers(fixture.runFor(10 * TIMEOUT_US)), "no deadline while the body arrives");
     coordinator.onBodyReleased(fixture.nowUs(), request);
     coordinator.onBodyComplete(fixture.nowUs(), request);
     long completeUs = fixture.nowUs();
-    assertEquals("FailRequest", answers(fixture.pass(TIMEOUT_US)));
+    assertEquals("FailRequest", answers(fixture.runFor(TIMEOUT_US)));
     assertEquals(completeUs + TIMEOUT_US, fixture.nowUs());
 
-    fixture.abandonAt(WriteProgress.PARTIALLY_WRITTEN);
+    fixture.reportAbandonedAs(WriteProgress.PARTIALLY_WRITTEN);
     long stalled = fixture.onRequest("buy", true);
     fixture.pull();
     coordinator.onBodyReleased(fixture.nowUs(), stalled);
@@ -140,7 +144,7 @@
     List<NetworkCommand> commands = fixture.pull();
     assertEquals(
         1, only(NetworkCommand.AbandonAttempt.class, commands).size(), "its attempt is abandoned");
-    assertEquals("", answers(commands) + answers(fixture.pass(TIMEOUT_US)));
+    assertEquals("", answers(commands) + answers(fixture.runFor(TIMEOUT_US)));
     fixture.end(attempt, AttemptResult.Kind.SUCCEEDED, WriteProgress.FULLY_WRITTEN, "late");
     assertEquals("", answers(fixture.pull()), "a late response is discarded");
   }
--- a/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorEndpointListTest.java
+++ b/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorEndpointListTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What updates of the endpoint list change, and when the list is watched again. */
+/** Tests the effects of updates of the endpoint list, and when the list is watched again. */
 class RequestCoordinatorEndpointListTest {
   private final CoordinatorFixture fixture = new CoordinatorFixture();
   private final RequestCoordinator coordinator = fixture.coordinator;
@@ -53,23 +53,24 @@
   @Test
   void watchesAgainAfterEachUpdate() {
     fixture.listAll(7, entry("a", Health.UP, "h:1"));
-    fixture.assertOneWatch(7, fixture.pass(4_000_000), "the load balancer requests the first");
+    fixture.assertOneWatch(
+        7, fixture.runFor(4_000_000), "the load balancer starts the first watch");
     fixture.onWatchUpdate(8, false, entry("b", Health.UP, "h:2"));
     long updatedUs = fixture.nowUs();
-    fixture.assertOneWatch(8, fixture.pass(200_000), "watched again");
+    fixture.assertOneWatch(8, fixture.runFor(200_000), "the next watch follows the update");
     assertTrue(fixture.nowUs() - updatedUs <= 200_000);
     fixture.onWatchUpdate(3, false);
-    fixture.assertOneWatch(0, fixture.pass(200_000), "the numbering has restarted");
+    fixture.assertOneWatch(0, fixture.runFor(200_000), "the numbering has restarted");
   }
 
   @Test
   void doesNotUndoADrainWithAnOlderUpdate() {
     fixture.listAll(1, entry("a", Health.UP, "h:1"), entry("b", Health.UP, "h:2"));
-    fixture.pass(4_000_000);
+    fixture.runFor(4_000_000);
     fixture.onWatchUpdate(9, false, entry("a", Health.DRAINING, "h:1"));
-    fixture.pass(200_000);
+    fixture.runFor(200_000);
     fixture.onWatchUpdate(8, false, entry("a", Health.UP, "h:1"));
-    fixture.assertOneWatch(0, fixture.pass(200_000), "the complete list is requested");
+    fixture.assertOneWatch(0, fixture.runFor(200_000), "the complete list is requested");
     for (int i = 0; i < 20; i++) {
       NetworkCommand.SendAttempt attempt = fixture.sendFirstAttempt("read");
       assertEquals("b", attempt.endpoint());
@@ -80,22 +81,22 @@
   @Test
   void requestsTheCompleteListAtOnceWhenDiscoveryMoves() {
     fixture.listAll(7, entry("a", Health.UP, "h:1"));
-    fixture.pass(4_000_000);
+    fixture.runFor(4_000_000);
     coordinator.onDiscoveryMoved(fixture.nowUs());
     fixture.assertOneWatch(0, fixture.pull(), "the complete list is requested");
     fixture.onWatchUpdate(3, true, entry("a", Health.UP, "h:1"));
-    fixture.assertOneWatch(3, fixture.pass(200_000), "the new address has its own versions");
+    fixture.assertOneWatch(3, fixture.runFor(200_000), "the new address has its own versions");
   }
 
   @Test
   void limitsHowOftenAListThatAnswersAtOnceIsWatched() {
     fixture.listOneEndpoint();
-    fixture.pass(4_000_000);
+    fixture.runFor(4_000_000);
     long endUs = fixture.nowUs() + 1_000_000;
     int watches = 0;
     while (fixture.nowUs() < endUs) {
       fixture.onWatchUpdate(1, false);
-      assertFalse(only(NetworkCommand.WatchEndpoints.class, fixture.pass(200_000)).isEmpty());
+      assertFalse(only(NetworkCommand.WatchEndpoints.class, fixture.runFor(200_000)).isEmpty());
       watches++;
     }
     assertTrue(watches <= 11, "watched too often: " + watches);
@@ -116,12 +117,12 @@
   }
 
   /**
-   * Where only a drain is binding, the address of a removed endpoint is kept for as long as the
-   * load balancer may use it.
+   * With settings that keep removed endpoints in use ({@code keepRemoved}), their addresses are
+   * kept as well; a draining endpoint gets no requests all the same.
    */
   @ParameterizedTest
   @EnumSource(value = Health.class, names = "UP", mode = EnumSource.Mode.EXCLUDE)
-  void keepsUsingRemovedEndpointsWhereOnlyDrainsBind(Health health) {
+  void keepsUsingRemovedButNotDrainingEndpoints(Health health) {
     coordinator.applySettings(
         fixture.nowUs(),
         TestSettings.of(
@@ -170,7 +171,7 @@
           fixture.succeed(attempt);
         }
       }
-      fixture.pass(200_000);
+      fixture.runFor(200_000);
     }
     assertEquals(List.of("e0"), closedConnections(commands).stream().distinct().toList());
   }
--- a/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorMaySendTest.java
+++ b/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorMaySendTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether an attempt that waited for its connection may still be sent. */
+/** Tests whether an attempt that waited for its connection may still be sent. */
 class RequestCoordinatorMaySendTest {
   private final CoordinatorFixture fixture = new CoordinatorFixture();
 
@@ -21,7 +21,7 @@
     fixture.listChanges(2, CoordinatorFixture.entry("a", Health.DRAINING, "h:1"));
     assertFalse(fixture.maySend(attempt), "the endpoint drains");
     fixture.listChanges(3, CoordinatorFixture.entry("a", Health.UP, "h:1"));
-    fixture.withholdReports();
+    fixture.stopReportingAbandonedAttempts();
     fixture.coordinator.onClientDisconnected(fixture.nowUs(), attempt.requestId());
     assertFalse(fixture.maySend(attempt), "the request is finished");
   }
@@ -33,7 +33,7 @@
     "h:1,7,0,false",
     "h:1,0," + CoordinatorFixture.TIMEOUT_US + ",false"
   })
-  void requiresTheSameProcessAddressAndTheDeadline(
+  void requiresSameProcessAndAddressBeforeTheDeadline(
       String address, long startedUs, long laterUs, boolean isPermitted) {
     fixture.listOneEndpoint();
     NetworkCommand.SendAttempt attempt = fixture.sendFirstAttempt("read");
