--- a/sidecar/src/main/java/dillcross/config/ConfigKeys.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigKeys.java
@@ -6,8 +6,8 @@
  * also come from the environment as {@code NODE_X}, see {@link EnvironmentVariables}.
  */
 final class ConfigKeys {
-  // The process, at the top level of the file. Only a restart takes on changes of the name, the
-  // addresses of listening sockets, and the process limits.
+  // The process, at the top level of the file. Changes of the name, of the addresses of listening
+  // sockets and of the process limits take effect at a restart only.
 
   /** The sidecar's name; none where absent. */
   static final String NAME = "name";
@@ -30,7 +30,7 @@
   /** Seed of all random choices: 64 bits, hexadecimal; 0 where absent. */
   static final String SEED = "seed";
 
-  /** File descriptors that the process may use; fewer connections are accepted below it. */
+  /** File descriptors that the process may have open; they limit the number of connections. */
   static final String MAX_DESCRIPTORS = "limits.sockets";
 
   /** Largest request or response body, in bytes; a larger request is answered 413. */
@@ -45,9 +45,9 @@
   /** The section that a running sidecar takes on at a reload; the keys below stand in it. */
   static final String SETTINGS = "settings";
 
-  // The sidecar among others
+  // The sidecar's place among all sidecars
 
-  /** The zone. */
+  /** The zone where the sidecar runs. */
   static final String ZONE = "locality";
 
   /** This sidecar's number among all sidecars, from 0. */
@@ -84,7 +84,7 @@
   /** Latency objective, in ms: an answer within it earns all of the priority weight. */
   static final String LATENCY_OBJECTIVE_MS = "target_latency_ms";
 
-  /** Largest deadline of a request, in ms. */
+  /** Largest timeout of a request, in ms. */
   static final String MAX_TIMEOUT_MS = "ttl_ms";
 
   /** Priority weight: what an answer is worth compared with other classes. */
@@ -107,7 +107,7 @@
   /** The name of a tenant, as requests give it. */
   static final String TENANT_NAME = "name";
 
-  /** Requests a second over all sidecars; 0 for no quota. */
+  /** Requests per second over all sidecars; 0 for no quota. */
   static final String TENANT_QUOTA_PER_SECOND = "quota_per_s";
 
   // Slow start
@@ -124,7 +124,7 @@
   /** Multiple of its present capacity that overloads an endpoint in slow start. */
   static final String SLOW_START_OVERLOAD_MULTIPLE = "rules.fall_multiple";
 
-  /** The window over which requests are counted for that, in ms. */
+  /** The window over which requests are counted to detect that overload, in ms. */
   static final String SLOW_START_WINDOW_MS = "rules.fall_ms";
 
   // Discovery
@@ -135,13 +135,16 @@
   static final String DISCOVERY_BY_WATCH = "subscribe";
   static final String DISCOVERY_PUSHED = "automatic";
 
-  /** A sidecar without watch or poll for so long counts as notified of every change, in ms. */
+  /**
+   * Time without watch or poll, in ms, after which a sidecar counts as notified of every change of
+   * the endpoint list.
+   */
   static final String POLL_WITHIN_MS = "rules.ask_within_ms";
 
   /** Whether an endpoint that disappears without draining may still be used. */
   static final String KEEP_REMOVED = "rules.dropped_stay_open";
 
-  /** Whether endpoint weights follow the load ({@link #WEIGHTS_DYNAMIC}) or are sizes. */
+  /** Whether endpoint weights follow the load ({@link #WEIGHTS_DYNAMIC}) or are capacities. */
   static final String WEIGHT_SOURCE = "weight_source";
 
   static final String WEIGHTS_ROUGH = "rough";
@@ -163,7 +166,7 @@
   /** Whether a rejection may advise when to retry. */
   static final String RETRY_AFTER_ALLOWED = "limits.retry_after";
 
-  /** The longest such advice, in ms. */
+  /** The longest wait that a rejection may advise, in ms. */
   static final String MAX_RETRY_AFTER_MS = "limits.max_retry_after_ms";
 
   /** Timeout of a connect to an endpoint, in ms. */
@@ -177,16 +180,16 @@
   /** The section of prices. */
   static final String PRICES = "prices";
 
-  /** What a request that leaves its zone costs, compared with its priority weight. */
+  /** What a request sent to another zone costs, in units of the priority weight. */
   static final String CROSS_ZONE_PRICE = "prices.cross_zone";
 
-  /** The section of objectives beside priority weights. */
+  /** The section of objectives other than priority weights. */
   static final String OBJECTIVE = "goal";
 
   /** Weight of the objective that few requests miss their latency objective; 0 for none. */
   static final String TAIL_WEIGHT = "goal.punctual";
 
-  /** Share of the requests of a class that may miss it, 0 to 1. */
+  /** Share of the requests of a class that may miss their latency objective, 0 to 1. */
   static final String TAIL_SLACK = "goal.tail_slack";
 
   private ConfigKeys() {}
--- a/sidecar/src/main/java/dillcross/config/ConfigReader.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigReader.java
@@ -20,7 +20,7 @@
  */
 public final class ConfigReader {
   private static final int BYTES_PER_MB = 1 << 20;
-  private static final int RESIDENT_MEMORY_MB = 48; // of the process without buffers
+  private static final int RESIDENT_MEMORY_MB = 48; // what the process needs without buffers
   private static final int DEFAULT_MEMORY_MB = 192;
   private static final int MIN_BUFFER_MB = 8;
   private static final int MIN_DESCRIPTORS = 128;
@@ -42,7 +42,7 @@
 
   private ConfigReader() {}
 
-  /** The settings of a sidecar on sockets, where the endpoint list always has to be polled. */
+  /** The settings of a sidecar on real sockets, which always has to poll the endpoint list. */
   public static SidecarSettings sidecarSettings(ConfigValues settings) {
     return new SidecarSettings(
         balancerSettings(settings, true),
@@ -58,7 +58,7 @@
   /**
    * The settings of a load balancer.
    *
-   * @param pollRequired whether the endpoint list has to be polled
+   * @param pollRequired whether the sidecar has to poll the endpoint list
    */
   public static BalancerSettings balancerSettings(ConfigValues settings, boolean pollRequired) {
     return new BalancerSettings(
@@ -76,7 +76,9 @@
         objective(settings));
   }
 
-  /** Whether the settings say that the endpoint list has to be polled; else it is pushed. */
+  /**
+   * Whether, by the settings, the sidecar has to poll the endpoint list; otherwise it is pushed.
+   */
   public static boolean pollsDiscovery(ConfigValues settings) {
     return settings
         .keyword(
@@ -166,12 +168,12 @@
     double max = values.number(ConfigKeys.MAX_DESCRIPTORS, DEFAULT_DESCRIPTORS);
     if (max < MIN_DESCRIPTORS) {
       throw values.invalid(
-          ConfigKeys.MAX_DESCRIPTORS, "has to be " + MIN_DESCRIPTORS + " at least: " + (long) max);
+          ConfigKeys.MAX_DESCRIPTORS, "has to be at least " + MIN_DESCRIPTORS + ": " + (long) max);
     }
     return (int) max;
   }
 
-  /** Half of the memory that the process itself does not need; the rest is left to garbage. */
+  /** Half of the memory that the process itself does not need; the other half is for garbage. */
   private static long bufferBytes(ConfigValues values) {
     double memoryMb = values.number(ConfigKeys.MAX_MEMORY_MB, DEFAULT_MEMORY_MB);
     return (long) (Math.max(MIN_BUFFER_MB, memoryMb - RESIDENT_MEMORY_MB) / 2 * BYTES_PER_MB);
--- a/sidecar/src/main/java/dillcross/config/ConfigReplacement.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigReplacement.java
@@ -7,9 +7,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks whether a configuration may replace the one in force. At a start, defaults stand in for
- * absent keys; at a reload an absent key more likely means a truncated file, and a default would
- * silently change a rule.
+ * Checks whether a configuration may replace the current one at a reload. At a start, absent keys
+ * take their defaults; at a reload an absent key more likely means a truncated file, and a default
+ * would silently change a rule.
  */
 final class ConfigReplacement {
   private static final List<String> REQUIRED_LIMITS =
@@ -25,8 +25,8 @@
       List.of(ConfigKeys.DEDUPLICATION_SCOPE, ConfigKeys.DEDUPLICATION_WINDOW_MS);
 
   /**
-   * Paths that may go away: the endpoint list and list items, which change all the time, and keys
-   * that a migration of the deployment adds and removes.
+   * Paths of the current configuration that the next may leave out: the endpoint list and list
+   * items, which change all the time, and keys that a migration of the deployment adds and removes.
    */
   private static final Pattern OPTIONAL =
       Pattern.compile(
@@ -57,7 +57,8 @@
         .ifPresent(
             path -> {
               throw next.invalid(
-                  ConfigValues.withoutCount(path), "is missing, and stood in the last one");
+                  ConfigValues.withoutCount(path),
+                  "is missing, but is set in the current configuration");
             });
   }
 
--- a/sidecar/src/main/java/dillcross/config/ConfigValues.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigValues.java
@@ -14,21 +14,21 @@
 
 /**
  * Configuration values as text, by path: keys joined by dots, list items counted from 0. They come
- * from pairs or from a JSON file. Unknown keys are ignored. Every method that takes a path throws
- * {@link InvalidConfigException}, which names the path, where the value does not have the type that
- * is asked for. Immutable.
+ * from key-value pairs or from a JSON file. Unknown keys are ignored. Every method that reads a
+ * value throws {@link InvalidConfigException}, which names the path, where the value does not have
+ * the requested type. Immutable.
  */
 public final class ConfigValues {
   /** The end of the path under which the length of a list is stored. */
   static final String COUNT_SUFFIX = ".count";
 
-  private static final String ABSENT = "-"; // as is an empty text
+  private static final String ABSENT = "-"; // an empty text counts as absent too
   private static final double MAX_NUMBER = 1e15;
   private static final int MICROS_PER_MILLI = 1000;
 
   private final Map<String, String> values;
   private final Map<?, ?> json; // empty where the values are from pairs
-  private final String prefix; // of all paths in the complete configuration, for error messages
+  private final String prefix; // completes paths of a section in error messages
 
   private ConfigValues(Map<String, String> values, Map<?, ?> json, String prefix) {
     this.values = values;
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Values from a JSON file; the environment stands in for keys that it leaves out.
+   * Values from a JSON file; the environment supplies keys that the file leaves out.
    *
    * @throws InvalidConfigException if the file can't be read or holds no JSON object
    */
@@ -105,7 +105,7 @@
     return values.keySet();
   }
 
-  /** Whether the value at a path and all values below it are equal in both. */
+  /** Whether the value at the path and all values below it equal those of {@code other}. */
   public boolean isSame(ConfigValues other, String path) {
     return Objects.equals(values.get(path), other.values.get(path))
         && section(path).values.equals(other.section(path).values);
@@ -135,8 +135,8 @@
   }
 
   /**
-   * One of the known words; the first where it is absent. Other words are invalid, as they must not
-   * pass as the default.
+   * The value, one of the known words; the first of them where it is absent. Any other word is
+   * invalid, as a misspelt one must not count as the default.
    */
   String keyword(String path, String... known) {
     String word = find(path).orElse(known[0]);
@@ -152,7 +152,10 @@
     return integer(path + COUNT_SUFFIX, 0, 0);
   }
 
-  /** Throws {@link InvalidConfigException} for a plain value in place of a list or an object. */
+  /**
+   * Throws {@link InvalidConfigException} where a plain value is in place of a list or an object,
+   * which may be absent.
+   */
   void checkSection(String path) {
     plainValue(path)
         .ifPresent(
@@ -161,7 +164,7 @@
             });
   }
 
-  /** A whole number of at least {@code min}. */
+  /** A whole number of at least {@code min}; {@code defaultValue} where it is absent. */
   int integer(String path, int defaultValue, int min) {
     double number = number(path, defaultValue);
     if (number != Math.rint(number) || number < min || number > Integer.MAX_VALUE) {
@@ -180,7 +183,7 @@
     };
   }
 
-  /** A number of at least 0. */
+  /** A number of at least 0; {@code defaultValue} where it is absent. */
   double number(String path, double defaultValue) {
     Optional<String> value = find(path);
     double number;
@@ -195,7 +198,7 @@
     return number;
   }
 
-  /** A number from 0 to 1. */
+  /** A number from 0 to 1; {@code defaultValue} where it is absent. */
   double fraction(String path, double defaultValue) {
     double fraction = number(path, defaultValue);
     if (fraction > 1) {
@@ -204,12 +207,12 @@
     return fraction;
   }
 
-  /** A duration in microseconds, of a value in milliseconds. */
+  /** A duration, converted from milliseconds to microseconds. */
   long durationUs(String path, double defaultMs) {
     return Math.round(number(path, defaultMs) * MICROS_PER_MILLI);
   }
 
-  /** A duration above 0, in microseconds, of a value in milliseconds. */
+  /** A duration above 0, converted from milliseconds to microseconds. */
   long positiveDurationUs(String path, double defaultMs) {
     long durationUs = durationUs(path, defaultMs);
     if (durationUs < 1) {
@@ -218,7 +221,7 @@
     return durationUs;
   }
 
-  /** The path without the suffix of a list's length. */
+  /** The path without the suffix under which a list's length is stored, if it has that suffix. */
   static String withoutCount(String path) {
     return path.endsWith(COUNT_SUFFIX)
         ? path.substring(0, path.length() - COUNT_SUFFIX.length())
--- a/sidecar/src/main/java/dillcross/config/EnvironmentVariables.java
+++ b/sidecar/src/main/java/dillcross/config/EnvironmentVariables.java
@@ -5,9 +5,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The variables of the environment that configure a sidecar. */
+/** The environment variables that configure a sidecar. An empty variable counts as unset. */
 public final class EnvironmentVariables {
-  /** {@code NODE_X} stands in for the key {@code x} that the configuration file leaves out. */
+  /**
+   * {@code NODE_X} supplies the value of key {@code x} where the configuration file leaves it out.
+   */
   private static final String PREFIX = "NODE_";
 
   /** The path of the configuration file. */
@@ -37,7 +39,7 @@
     return Optional.ofNullable(environment.get(variable)).filter(value -> !value.isEmpty());
   }
 
-  /** The values of the environment, by the configuration keys that they stand in for. */
+  /** The values that the environment supplies, by configuration key. */
   static Map<String, String> valuesByKey(Map<String, String> environment) {
     Map<String, String> values = new HashMap<>();
     environment.forEach(
--- a/sidecar/src/main/java/dillcross/config/InvalidConfigException.java
+++ b/sidecar/src/main/java/dillcross/config/InvalidConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A configuration value that is missing or invalid. */
+/** Thrown for a configuration value that is missing or invalid. */
 public final class InvalidConfigException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -35,7 +35,7 @@
     return Optional.ofNullable(location);
   }
 
-  /** The path of the value, or the file where all of it is invalid. */
+  /** The path of the value; the file where the file as a whole is invalid. */
   public String key() {
     return key;
   }
--- a/sidecar/src/main/java/dillcross/config/MembershipConfig.java
+++ b/sidecar/src/main/java/dillcross/config/MembershipConfig.java
@@ -7,10 +7,10 @@
 /**
  * The table {@code [membership]} of the operators' file.
  *
- * @param fleet datagrams of members of other fleets are ignored
- * @param name of this member, unique in the fleet
- * @param zone of this member; empty for none
- * @param bind numeric address and port where datagrams are received; port 0 for any
+ * @param fleet the fleet's name; datagrams of members of other fleets are ignored
+ * @param name this member's name, unique in the fleet
+ * @param zone this member's zone; empty for none
+ * @param bind numeric address and port where datagrams are received; port 0 for any free port
  * @param advertise numeric address and port that other members send to; empty for {@code bind}
  * @param settings the timing and the bounds of the protocol
  */
@@ -21,7 +21,7 @@
     String bind,
     String advertise,
     MembershipSettings settings) {
-  /** Where datagrams are received. */
+  /** The address where datagrams are received. */
   public InetSocketAddress bindAddress() {
     return NumericAddress.parse(bind).orElseThrow();
   }
--- a/sidecar/src/main/java/dillcross/config/OperatorConfig.java
+++ b/sidecar/src/main/java/dillcross/config/OperatorConfig.java
@@ -17,14 +17,15 @@
 import org.tomlj.TomlTable;
 
 /**
- * The operators' file, as TOML: features that are off unless a table switches them on. An {@link
- * InvalidConfigException} names file, line and key. An unknown key is invalid, as it would be a
- * setting without effect.
+ * Reads the operators' file, in TOML: it configures features that are off unless the file has their
+ * table. An {@link InvalidConfigException} names file, line and key. An unknown key is invalid, as
+ * it would be a setting without effect.
  */
 public final class OperatorConfig {
   private static final String MEMBERSHIP = "membership";
 
-  // The keys of the table, with the field of MembershipConfig or MembershipSettings that each sets.
+  // The keys of the table [membership]. Each sets the field of MembershipConfig or
+  // MembershipSettings that has the same name, unless its comment names another.
 
   private static final String FLEET = "fleet";
   private static final String NAME = "name";
@@ -81,7 +82,7 @@
   private static final String NAME_OR_EMPTY_PATTERN = "|" + NAME_PATTERN;
   private static final int MICROS_PER_MILLI = 1000;
 
-  /** The valid values of a number, both ends included. */
+  /** The range of valid values of a number, both ends included. */
   private record Range(long min, long max) {
     boolean contains(long number) {
       return number >= min && number <= max;
@@ -96,7 +97,12 @@
     this.toml = toml;
   }
 
-  /** Reads the file; throws {@link InvalidConfigException} if it is no TOML or has unknown keys. */
+  /**
+   * Reads the file.
+   *
+   * @throws InvalidConfigException if it can't be read, is not TOML or has an unknown key at its
+   *     top
+   */
   public static OperatorConfig read(String file) {
     OperatorConfig config = new OperatorConfig(file, parse(file));
     config.checkKeys(config.toml, Set.of(MEMBERSHIP), "");
@@ -121,7 +127,7 @@
     for (String key : table.keySet()) {
       if (!known.contains(key)) {
         String names = String.join(", ", known.stream().sorted().toList());
-        throw invalid(prefix + key, "is not known; known are " + names);
+        throw invalid(prefix + key, "unknown key; known keys are " + names);
       }
     }
   }
@@ -186,7 +192,7 @@
       throw new InvalidConfigException(
           file,
           path(BIND),
-          "names no port, so membership.advertise has to say where others reach it");
+          "has port 0, so membership.advertise has to name the address that other members send to");
     }
   }
 
@@ -216,7 +222,7 @@
   private Optional<String> address(String key) {
     Optional<String> address = string(key);
     if (address.isPresent() && !NumericAddress.hasForm(address.get())) {
-      throw invalid(path(key), "out of range: " + address.get());
+      throw invalid(path(key), "not a numeric address and port: " + address.get());
     }
     return address;
   }
@@ -224,7 +230,7 @@
   private Optional<String> text(String key, String pattern) {
     Optional<String> text = string(key);
     if (text.isPresent() && !text.get().matches(pattern)) {
-      throw invalid(path(key), "out of range: " + text.get());
+      throw invalid(path(key), "does not match " + pattern + ": " + text.get());
     }
     return text;
   }
@@ -235,7 +241,7 @@
       return Optional.empty();
     }
     if (!toml.isString(path)) {
-      throw invalid(path, "out of range: " + toml.get(path));
+      throw invalid(path, "not a text: " + toml.get(path));
     }
     return Optional.of(toml.getString(path));
   }
@@ -264,7 +270,7 @@
     return file + " line " + position.line();
   }
 
-  /** The position of the value, or of its table where it is absent. */
+  /** The position of the value, or of its table where the value is absent; empty without table. */
   private Optional<TomlPosition> position(String path) {
     if (toml.contains(path)) {
       return Optional.of(toml.inputPositionOf(path));
--- a/sidecar/src/main/java/dillcross/config/RequestClassReader.java
+++ b/sidecar/src/main/java/dillcross/config/RequestClassReader.java
@@ -23,7 +23,7 @@
     this.settings = settings;
   }
 
-  /** All request classes: at least one, with different names. */
+  /** All request classes: at least one, with different names; throws where that does not hold. */
   List<RequestClass> requestClasses() {
     List<RequestClass> classes = new ArrayList<>();
     Set<String> names = new HashSet<>();
@@ -32,7 +32,7 @@
       String namePath = path(section, ConfigKeys.CLASS_NAME);
       String name = settings.require(namePath);
       if (!names.add(name)) {
-        throw settings.invalid(namePath, "stands twice: " + name);
+        throw settings.invalid(namePath, "duplicate name: " + name);
       }
       classes.add(requestClass(section, name));
     }
@@ -54,7 +54,7 @@
         settings.number(path(section, ConfigKeys.LATE_VALUE_SHARE), 1));
   }
 
-  /** The default is the strictest: without a statement a request may not run twice. */
+  /** The idempotency of a class; where absent the strictest: a request may not run twice. */
   private Idempotency idempotency(String path) {
     String word =
         settings.keyword(
@@ -66,7 +66,7 @@
     };
   }
 
-  /** The default is the narrowest scope. */
+  /** The deduplication scope of a class; where absent the narrowest, the cell. */
   private DeduplicationScope deduplicationScope(String path) {
     String word =
         settings.keyword(path, ConfigKeys.SCOPE_CELL, ConfigKeys.SCOPE_ZONE, ConfigKeys.SCOPE_ALL);
@@ -77,7 +77,7 @@
     };
   }
 
-  /** The largest timeout of any request class, in microseconds. */
+  /** The largest timeout of any request class, in microseconds; 3 s where there is no class. */
   long maxTimeoutUs() {
     long maxUs = 0;
     for (int i = 0; i < settings.count(ConfigKeys.REQUEST_CLASSES); i++) {
--- a/sidecar/src/main/java/dillcross/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dillcross/config/SidecarConfig.java
@@ -14,18 +14,18 @@
 /**
  * The complete and valid configuration of one sidecar.
  *
- * @param name of the sidecar; empty where it has none
+ * @param name the sidecar's name; empty where it has none
  * @param listenAddress where clients connect
  * @param inheritsListeningSocket whether the process inherits the socket of that address as
  *     descriptor 0
- * @param discoveryAddress of the discovery service: numeric address and port, as text
- * @param adminAddress of the admin endpoint; empty where there is none
+ * @param discoveryAddress numeric address and port of the discovery service, as text
+ * @param adminAddress the address of the admin endpoint; empty where there is none
  * @param knownEndpoints the endpoint list to start with; empty where there is none
- * @param seed of all random choices
- * @param pollsDiscovery whether the endpoint list has to be polled; else it is pushed
- * @param settings that a reload can change
- * @param limits of the process, which only a restart changes
- * @param values the text values that all of it was read from
+ * @param seed the seed of all random choices
+ * @param pollsDiscovery whether the sidecar has to poll the endpoint list; otherwise it is pushed
+ * @param settings the settings that a reload can change
+ * @param limits the limits of the process, which only a restart changes
+ * @param values the values, as text, that the configuration was read from
  */
 public record SidecarConfig(
     String name,
@@ -44,7 +44,7 @@
           ConfigKeys.NAME, ConfigKeys.LISTEN_ADDRESS, ConfigKeys.ADMIN_ADDRESS, ConfigKeys.LIMITS);
 
   /**
-   * Reads and checks a configuration file; the environment stands in for keys that it leaves out.
+   * Reads and checks a configuration file; the environment supplies keys that the file leaves out.
    *
    * @throws InvalidConfigException for the first value that is missing or invalid
    */
@@ -74,7 +74,11 @@
         values);
   }
 
-  /** The numeric address; throws {@link InvalidConfigException} where the text is none. */
+  /**
+   * The numeric address and port in {@code text}.
+   *
+   * @throws InvalidConfigException if the text holds none; the error names {@code key}
+   */
   public static InetSocketAddress address(String key, String text) {
     return NumericAddress.parse(text)
         .orElseThrow(
@@ -90,17 +94,23 @@
     }
   }
 
-  /** Throws {@link InvalidConfigException} where this may not replace {@code current}. */
+  /**
+   * Checks that a reload may replace {@code current} by this configuration.
+   *
+   * @throws InvalidConfigException for the first key that this configuration may not leave out
+   */
   public void checkReplaces(SidecarConfig current) {
     ConfigReplacement.check(values, current.values);
   }
 
-  /** Whether the settings of both files are equal, value by value. */
+  /** Whether the settings of both configurations are equal, value by value. */
   public boolean hasSameSettings(SidecarConfig other) {
     return values.isSame(other.values, ConfigKeys.SETTINGS);
   }
 
-  /** Keys that differ from {@code current} and that only a restart changes. */
+  /**
+   * The keys whose values differ from those of {@code current} and take effect at a restart only.
+   */
   public List<String> restartOnlyChanges(SidecarConfig current) {
     return RESTART_ONLY.stream().filter(key -> !values.isSame(current.values, key)).toList();
   }
--- a/sidecar/src/test/java/dillcross/config/ConfigReaderTest.java
+++ b/sidecar/src/test/java/dillcross/config/ConfigReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reading and replacing configurations: defaults, and errors that name the key. */
+/** Tests reading and replacing configurations: precedence, and errors that name the key. */
 class ConfigReaderTest {
   @TempDir private Path folder;
 
@@ -72,8 +72,8 @@
   }
 
   /**
-   * A change of a valid configuration by replacing {@code oldText} with {@code newText}, and the
-   * error that refuses it at a reload; null where it is accepted.
+   * Each row replaces {@code oldText} in a valid configuration by {@code newText}, and has the
+   * start of the error that refuses the reload; null where the reload is accepted.
    */
   @ParameterizedTest
   @CsvSource(
@@ -99,11 +99,11 @@
         "\"max_pushes\":3!\"max_pushes\":0!settings.limits.max_pushes: out of range",
         "\"max_pushes\":3!\"max_pushes\":1.5!settings.limits.max_pushes: out of range",
         "\"cancel\":true!\"x\":1!settings.limits.cancel: is missing",
-        "\"fall_ms\":1500!\"x\":1!settings.rules.fall_ms: is missing, and stood in the last one",
-        "\"rules\"!\"ruled\"!settings.rules.fall_ms: is missing, and stood in the last one",
+        "\"fall_ms\":1500!\"x\":1!settings.rules.fall_ms: is missing, but is set in the current configuration",
+        "\"rules\"!\"ruled\"!settings.rules.fall_ms: is missing, but is set in the current configuration",
         "\"categories\":[!\"categories\":[],\"x\":[!settings.categories: is missing or empty",
         "\"discovery\"!\"found\"!discovery: is missing",
-        "\"seed\"!\"sown\"!seed: is missing, and stood in the last one"
+        "\"seed\"!\"sown\"!seed: is missing, but is set in the current configuration"
       })
   void reloadAcceptsValidReplacementAndNamesMissingOrInvalidKey(
       String oldText, String newText, String expectedError) throws IOException {
--- a/sidecar/src/test/java/dillcross/config/OperatorConfigTest.java
+++ b/sidecar/src/test/java/dillcross/config/OperatorConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reading the operators' file: defaults, and errors that name line and key. */
+/** Tests reading the operators' file: defaults, and errors that name line and key. */
 class OperatorConfigTest {
   @TempDir private Path folder;
 
