--- a/sidecar/src/main/java/dillcross/common/NumericAddress.java
+++ b/sidecar/src/main/java/dillcross/common/NumericAddress.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Numeric IP addresses with a port, as text: {@code 127.0.0.1:80} or {@code [::1]:80}. Host names
- * are refused, as resolving them would block the selector thread. Stateless.
+ * Converts numeric IP addresses with a port from and to text: {@code 127.0.0.1:80} or {@code
+ * [::1]:80}. Host names are refused, as resolving them would block the selector thread. Stateless.
  */
 public final class NumericAddress {
   private static final String FORM = "([0-9.]+|\\[[0-9a-fA-F:.]+\\]):[0-9]{1,5}";
@@ -27,7 +27,7 @@
     return text.matches(FORM);
   }
 
-  /** The address; empty where the text is null or no numeric address and port. */
+  /** The address that the text holds; empty where it is null or not a numeric address and port. */
   public static Optional<InetSocketAddress> parse(String text) {
     if (text == null || !hasForm(text)) {
       return Optional.empty();
--- a/sidecar/src/main/java/dillcross/common/package-info.java
+++ b/sidecar/src/main/java/dillcross/common/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Helpers without state that several packages share; they may be called from any thread. The
- * package knows no other package.
+ * Stateless helpers that several packages share; they may be called from any thread. The package
+ * depends on no other package of the program.
  */
 package dillcross.common;
--- a/sidecar/src/main/java/dillcross/endpointlist/EndpointListFields.java
+++ b/sidecar/src/main/java/dillcross/endpointlist/EndpointListFields.java
@@ -1,20 +1,23 @@
 package dillcross.endpointlist;
 
-/** The protocol's names in the JSON of an endpoint list, each with the term that the code uses. */
+/**
+ * The names of fields and values in the JSON of an endpoint list, each with the term that the code
+ * uses.
+ */
 final class EndpointListFields {
   /** The entries of the list. */
   static final String ENTRIES = "servers";
 
-  /** Whether the list is complete; false where it holds changes only. */
+  /** Whether the list is complete, as where the field is absent; false for changes only. */
   static final String IS_COMPLETE = "full";
 
-  /** The list's version. */
+  /** The list's version, a number; 0 where absent. */
   static final String VERSION = "version";
 
-  /** An endpoint's id. */
+  /** An endpoint's id, without which a list is malformed. */
   static final String ID = "id";
 
-  /** An endpoint's health; one of the {@code HEALTH_} values, any other means removed. */
+  /** An endpoint's health: one of the {@code HEALTH_} values; any other means removed. */
   static final String HEALTH = "state";
 
   /** The health of an endpoint that takes requests: up. */
@@ -23,19 +26,19 @@
   /** The health of an endpoint that shuts down gracefully: draining. */
   static final String HEALTH_DRAINING = "terminating";
 
-  /** When an endpoint's process started, in milliseconds. */
+  /** When an endpoint's process started, in milliseconds; 0 where absent. */
   static final String STARTED_MS = "started_ms";
 
-  /** An endpoint's weight, above 0. */
+  /** An endpoint's weight; 1 where absent or not above 0. */
   static final String WEIGHT = "weight";
 
-  /** The number of an endpoint's cell. */
+  /** The number of an endpoint's cell; 0 where absent. */
   static final String CELL = "cell";
 
-  /** An endpoint's zone. */
+  /** An endpoint's zone; empty where absent. */
   static final String ZONE = "zone";
 
-  /** An endpoint's numeric address and port. */
+  /** An endpoint's numeric address and port; empty where absent. */
   static final String ADDRESS = "addr";
 
   private EndpointListFields() {}
--- a/sidecar/src/main/java/dillcross/endpointlist/EndpointListParser.java
+++ b/sidecar/src/main/java/dillcross/endpointlist/EndpointListParser.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads endpoint lists from JSON. Fields that are absent take their default. */
+/**
+ * Reads endpoint lists from JSON. A field that is absent or of another type takes its default; only
+ * the list of entries and their ids are required.
+ */
 public final class EndpointListParser {
   private static final int MICROS_PER_MILLI = 1000;
 
@@ -19,7 +22,7 @@
   /**
    * Reads the body of a discovery response.
    *
-   * @throws MalformedEndpointListException if it is not JSON, or not an endpoint list
+   * @throws MalformedEndpointListException if the body is not JSON, or not an endpoint list
    */
   public static EndpointListUpdate parse(byte[] text) {
     Object json;
@@ -35,9 +38,9 @@
   }
 
   /**
-   * Reads a JSON object that was parsed already.
+   * Reads an endpoint list from a parsed JSON object.
    *
-   * @throws MalformedEndpointListException if it is not an endpoint list
+   * @throws MalformedEndpointListException if the object is not an endpoint list
    */
   public static EndpointListUpdate fromJson(Map<?, ?> json) {
     if (!(json.get(EndpointListFields.ENTRIES) instanceof List<?> servers)) {
--- a/sidecar/src/main/java/dillcross/endpointlist/MalformedEndpointListException.java
+++ b/sidecar/src/main/java/dillcross/endpointlist/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package dillcross.endpointlist;
 
-/** Thrown for an endpoint list that can't be read; the message says what is wrong with it. */
+/** Thrown for JSON that is not an endpoint list; the message says what is wrong with it. */
 public final class MalformedEndpointListException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/dillcross/simulator/DecisionWriter.java
+++ b/sidecar/src/main/java/dillcross/simulator/DecisionWriter.java
@@ -2,7 +2,7 @@
 
 import dillcross.model.Decision;
 
-/** Writes the decisions of one instance as lines of the simulator's wire. */
+/** Writes the decisions of one load balancer as lines of the simulator's protocol. */
 final class DecisionWriter implements Decision.Handler {
   private static final int MICROS_PER_MILLI = 1000;
   private static final int DECIMAL = 10;
@@ -61,11 +61,12 @@
     output.append(" w\n");
   }
 
+  /** Appends the name of a message and the number of the load balancer. */
   private StringBuilder begin(String name) {
     return output.append(name).append(' ').append(instance);
   }
 
-  /** Milliseconds with three decimals; without an intermediate string, as there are many. */
+  /** Appends milliseconds with three decimals; without a temporary string, as a run writes many. */
   private void appendMillis(long us) {
     output.append(us / MICROS_PER_MILLI).append('.');
     long micros = us % MICROS_PER_MILLI;
--- a/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
+++ b/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
@@ -6,11 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns events of the simulator's wire into calls of a load balancer. */
+/** Turns events of the simulator's protocol into calls of a load balancer. */
 final class EventDispatcher {
   private final Map<Integer, List<Endpoint>> snapshots;
 
-  /** {@code snapshots} are the endpoint lists by their numbers, a live view. */
+  /**
+   * Creates a dispatcher.
+   *
+   * @param snapshots the endpoint lists by their numbers; the caller adds to the map later
+   */
   EventDispatcher(Map<Integer, List<Endpoint>> snapshots) {
     this.snapshots = snapshots;
   }
@@ -31,7 +35,7 @@
   }
 
   private void onEndpoints(WireFields fields, LoadBalancer balancer, long nowUs) {
-    fields.wholeNumber(0);
+    fields.wholeNumber(0); // checked, but not used
     int snapshot = fields.index();
     String form = fields.text();
     if (form.equals(WireFormat.LIST_UNAVAILABLE)) {
@@ -40,7 +44,7 @@
     }
     List<Endpoint> entries = snapshots.get(snapshot);
     if (entries == null) {
-      throw fields.malformed("no such list");
+      throw fields.malformed("no endpoint list has this number");
     }
     balancer.onEndpointList(nowUs, !form.equals(WireFormat.LIST_OF_CHANGES), entries);
   }
@@ -49,7 +53,7 @@
     long requestId = fields.wholeNumber(0);
     String tenant = fields.optionalText();
     long timeoutUs = fields.microseconds();
-    fields.skip();
+    fields.skip(); // the load balancer has no use for this field and the next
     fields.skip();
     boolean isClientRetry = (fields.wholeNumber(0) & WireFormat.CLIENT_RETRY_FLAG) != 0;
     balancer.onRequest(nowUs, requestId, tenant, fields.text(), timeoutUs, isClientRetry);
@@ -70,7 +74,7 @@
 
   private static void onResponseStarted(WireFields fields, LoadBalancer balancer, long nowUs) {
     long requestId = fields.wholeNumber(0);
-    fields.text();
+    fields.text(); // this field and the next are checked, but not used
     fields.microseconds();
     balancer.onResponseStarted(nowUs, requestId, fields.index());
   }
--- a/sidecar/src/main/java/dillcross/simulator/MalformedInputException.java
+++ b/sidecar/src/main/java/dillcross/simulator/MalformedInputException.java
@@ -1,6 +1,6 @@
 package dillcross.simulator;
 
-/** Input that is not of the simulator's wire; the message names the line. */
+/** Thrown for input that violates the simulator's protocol; the message names the line. */
 public final class MalformedInputException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/dillcross/simulator/SimulatorSession.java
+++ b/sidecar/src/main/java/dillcross/simulator/SimulatorSession.java
@@ -20,8 +20,9 @@
 import java.util.Map;
 
 /**
- * Hosts many load balancers, which share nothing, on the simulator's wire: reads batches of events,
- * and answers each batch with the decisions of the load balancers that it touched. Single-threaded.
+ * Runs many load balancers, which share nothing, for a simulator: reads batches of events, and
+ * answers each batch with the decisions of the load balancers that had an event in it.
+ * Single-threaded.
  */
 public final class SimulatorSession {
   private static final int INPUT_BUFFER_BYTES = 1 << 16;
@@ -32,13 +33,13 @@
   private final Map<Integer, LoadBalancer> instances = new HashMap<>();
   private final Map<Integer, List<Endpoint>> snapshots = new HashMap<>();
   private final EventDispatcher dispatcher = new EventDispatcher(snapshots);
-  private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>(); // in this batch
-  private final Map<Integer, String> failures = new LinkedHashMap<>(); // in this batch
+  private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>(); // by this batch
+  private final Map<Integer, String> failures = new LinkedHashMap<>(); // exceptions of this batch
   private final StringBuilder output = new StringBuilder(OUTPUT_BUFFER_CHARS);
   private long lineNumber;
   private long nowUs;
 
-  /** A session that has read nothing yet. */
+  /** Creates a session, which reads nothing before {@link #run}; it does not close the streams. */
   public SimulatorSession(InputStream in, OutputStream out) {
     InputStreamReader reader = new InputStreamReader(in, StandardCharsets.UTF_8);
     this.in = new BufferedReader(reader, INPUT_BUFFER_BYTES);
@@ -48,7 +49,7 @@
   /**
    * Answers batches until the input ends.
    *
-   * @throws MalformedInputException for input that is not of the wire
+   * @throws MalformedInputException for input that violates the protocol
    */
   public void run() throws IOException {
     boolean isInBatch = false;
@@ -63,7 +64,7 @@
     }
   }
 
-  /** Whether a batch is open after the line. */
+  /** Handles one line; returns whether a batch is open after it. */
   private boolean handle(WireFields fields, boolean isInBatch) throws IOException {
     String name = fields.text();
     if (name.equals(WireFormat.BATCH_BEGIN)) {
@@ -74,7 +75,7 @@
       return true;
     }
     if (!isInBatch) {
-      throw fields.malformed("outside a batch");
+      throw fields.malformed("message outside a batch");
     }
     if (name.equals(WireFormat.BATCH_END)) {
       answer();
@@ -155,7 +156,7 @@
       lineNumber++;
       WireFields fields = new WireFields(line == null ? "" : line, lineNumber);
       if (line == null || !fields.text().equals(WireFormat.ENDPOINT)) {
-        throw fields.malformed("a row of the list is missing");
+        throw fields.malformed("a row of the endpoint list is missing");
       }
       entries.add(readEndpoint(fields));
     }
--- a/sidecar/src/main/java/dillcross/simulator/WireFields.java
+++ b/sidecar/src/main/java/dillcross/simulator/WireFields.java
@@ -24,7 +24,7 @@
   /** The next field; null where it is absent ({@code -}). */
   String optionalText() {
     if (!hasMore()) {
-      throw malformed("a part is missing");
+      throw malformed("a field is missing");
     }
     int end = line.indexOf(' ', position);
     end = end < 0 ? line.length() : end;
@@ -37,15 +37,17 @@
   String text() {
     String field = optionalText();
     if (field == null) {
-      throw malformed("a part is absent that has to be there");
+      throw malformed("a required field is absent");
     }
     return field;
   }
 
+  /** Skips the next field, whatever its value. */
   void skip() {
     optionalText();
   }
 
+  /** A whole number; {@code defaultValue} where it is absent. */
   long wholeNumber(long defaultValue) {
     String field = optionalText();
     try {
@@ -64,6 +66,7 @@
     return (int) value;
   }
 
+  /** A number; {@code defaultValue} where it is absent. */
   double number(double defaultValue) {
     String field = optionalText();
     try {
@@ -73,7 +76,7 @@
     }
   }
 
-  /** The number that a piece of a field holds; 0 where it is absent. */
+  /** The number in {@code text}, which is part of a field; 0 where it is absent ({@code -}). */
   double numberOf(String text) {
     return new WireFields(text, lineNumber).number(0);
   }
@@ -84,6 +87,7 @@
     return Double.isNaN(ms) ? 0 : Math.round(ms * MICROS_PER_MILLI);
   }
 
+  /** Whether the field is neither {@code 0} nor absent. */
   boolean flag() {
     String field = optionalText();
     return field != null && !field.equals("0");
--- a/sidecar/src/main/java/dillcross/simulator/WireFormat.java
+++ b/sidecar/src/main/java/dillcross/simulator/WireFormat.java
@@ -1,8 +1,8 @@
 package dillcross.simulator;
 
 /**
- * The words of the simulator's wire, each with the term that the code uses. A message is one line:
- * its name, then its fields separated by spaces.
+ * The words of the simulator's protocol, each with the term that the code uses. A message is one
+ * line: its name, then its fields, separated by spaces.
  */
 final class WireFormat {
   /** A field that is absent. */
@@ -10,10 +10,10 @@
 
   // Messages from the simulator
 
-  /** A batch begins; its field is the time in milliseconds. */
+  /** A batch begins; the field is the time of its events, in milliseconds. */
   static final String BATCH_BEGIN = "tick";
 
-  /** A batch ends, and its decisions are requested. */
+  /** A batch ends, and the simulator waits for the decisions. */
   static final String BATCH_END = "commit";
 
   /** An endpoint list, whose rows follow. */
@@ -66,36 +66,36 @@
   /** The endpoint list holds changes only. */
   static final String LIST_OF_CHANGES = "Partial";
 
-  /** The flag, among those of a request, that its client has tried before. */
+  /** The bit in a request's flags that says that the client has tried before. */
   static final long CLIENT_RETRY_FLAG = 2;
 
-  /** The prefix, in a load report, of how many requests the endpoint has in flight. */
+  /** The prefix of the number of requests in flight in an endpoint's load report. */
   static final String REQUESTS_IN_FLIGHT = "active:";
 
   // Outcomes of an attempt
 
-  /** It succeeded. */
+  /** The attempt succeeded. */
   static final int SUCCEEDED = 0;
 
-  /** It was cancelled. */
+  /** The attempt was cancelled. */
   static final int CANCELLED = 1;
 
-  /** It timed out. */
+  /** The attempt timed out. */
   static final int TIMED_OUT = 4;
 
-  /** The endpoint was overloaded and did not start on it. */
+  /** The endpoint was overloaded and did not execute the request. */
   static final int OVERLOADED = 8;
 
-  /** It was never sent. */
+  /** The attempt was never sent. */
   static final int NOT_SENT = 9;
 
-  /** Its connection was reset. */
+  /** The attempt's connection was reset. */
   static final int RESET = 10;
 
   /** The endpoint answered with an error. */
   static final int ERROR = 13;
 
-  /** Its connection could not be opened. */
+  /** The attempt's connection could not be opened. */
   static final int CONNECT_FAILED = 14;
 
   // Messages to the simulator
@@ -121,7 +121,7 @@
   /** Set a timer. */
   static final String SCHEDULE_TIMER = "wake_at";
 
-  /** A load balancer has failed with an exception. */
+  /** A load balancer has thrown an exception. */
   static final String INSTANCE_FAILED = "bug";
 
   /** The answer to a batch is complete. */
--- a/sidecar/src/main/java/dillcross/simulator/package-info.java
+++ b/sidecar/src/main/java/dillcross/simulator/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Hosts load balancers on the simulator's wire, for {@code dillcross simhost}: standard input
- * brings batches of events, standard output takes decisions. Single-threaded. {@link
- * dillcross.simulator.WireFormat} has the words of the wire; nothing else in the program knows
- * them.
+ * Runs load balancers for a simulator, for {@code dillcross simhost}: reads batches of events from
+ * standard input and writes decisions to standard output. Single-threaded. {@link
+ * dillcross.simulator.WireFormat} defines the words of the simulator's protocol, which no other
+ * package uses.
  */
 package dillcross.simulator;
--- a/sidecar/src/test/java/dillcross/simulator/SimulatorSessionTest.java
+++ b/sidecar/src/test/java/dillcross/simulator/SimulatorSessionTest.java
@@ -40,7 +40,8 @@
   }
 
   /**
-   * A list that reuses a number replaces the former one for later events only, also within a batch.
+   * An endpoint list that reuses a number replaces the former list for later events only, also
+   * within a batch.
    */
   @Test
   void replacesAListWhoseNumberIsReused() throws IOException {
@@ -74,15 +75,15 @@
     "hello 1, unknown message",
     "knock 3 x - 5 - - 0 read, not a whole number",
     "fired 9 w, no such instance",
-    "knock 3 5 -, a part is missing",
+    "knock 3 5 -, a field is missing",
     "response 3 5 77 h:1 1 5.0 0 -, unknown outcome",
     "response 3 5 0 h:1 1 5.0 0 active:x, not a number: x"
   })
-  void namesMalformedInputByItsLine(String line, String what) {
+  void namesMalformedInputByItsLine(String line, String reason) {
     var e =
         assertThrows(
             MalformedInputException.class, () -> run(batch("5.0", OPEN + LIST + line + "\n")));
-    assertTrue(e.getMessage().startsWith("line 6: " + what), e.getMessage());
+    assertTrue(e.getMessage().startsWith("line 6: " + reason), e.getMessage());
   }
 
   @Test
