--- a/sidecar/src/test/java/dillcross/KnownRedTest.java
+++ b/sidecar/src/test/java/dillcross/KnownRedTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Covers {@code .ci/known-red}, which reads the file of tests that are known to fail and prints the
- * Maven options that exclude them.
+ * Tests the script {@code .ci/known-red}, which reads the list of tests that are known to fail and
+ * prints the Maven options that exclude them.
  */
 class KnownRedTest {
   private static final Path ROOT = Path.of("..");
@@ -26,7 +26,7 @@
 
   @TempDir private Path folder;
 
-  /** How the script ended, and what it wrote to each stream. */
+  /** The script's exit status, and what it wrote to standard output and standard error. */
   private record Result(int status, String output, String errors) {}
 
   private Result runWithFile(Path listFile) throws Exception {
--- a/sidecar/src/test/java/dillcross/PackagesTest.java
+++ b/sidecar/src/test/java/dillcross/PackagesTest.java
@@ -9,9 +9,9 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: the directions in which the parts depend on each other. */
+/** Checks which packages may depend on which, and that some use neither I/O nor a clock. */
 class PackagesTest {
-  /** The parts of the network code that stand on messages, buffers and the transport. */
+  /** The network packages above the layers of HTTP messages, buffers and transport. */
   private static final String[] NETWORK_PARTS = {
     "dillcross.net",
     "dillcross.net.admin",
@@ -36,7 +36,7 @@
   };
 
   @Test
-  void theBalancerSeesTheModelAlone() {
+  void balancerDependsOnModelOnly() {
     classes()
         .that()
         .resideInAPackage("dillcross.balancer")
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void balancerAndCoordinatorHaveNoInputOutputAndNoClock() {
+  void balancerCoordinatorAndMembershipUseNeitherIoNorClock() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -87,9 +87,9 @@
         .check(CLASSES);
   }
 
-  /** The endpoint list reaches the coordinator as typed entries; JSON is read outside of it. */
+  /** The coordinator receives the endpoint list as typed entries; other packages read the JSON. */
   @Test
-  void theCoordinatorSeesTypedValuesAlone() {
+  void coordinatorDependsOnBalancerAndModelOnly() {
     classes()
         .that()
         .resideInAPackage("dillcross.sidecar..")
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void membershipKnowsNothingOfTheRest() {
+  void membershipDependsOnNoOtherPackage() {
     classes()
         .that()
         .resideInAPackage("dillcross.membership..")
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void theNetworkReadsNoClockOfItsOwn() {
+  void networkReadsNoSystemClock() {
     noClasses()
         .that()
         .resideInAPackage("dillcross.net..")
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void configurationIsReadBelowTheNetwork() {
+  void networkAndConfigurationDoNotDependOnEachOther() {
     noClasses()
         .that()
         .resideInAnyPackage("dillcross.config..", "dillcross.sidecar..")
@@ -153,12 +153,12 @@
   }
 
   @Test
-  void noDependencyRunsBothWays() {
+  void packagesHaveNoCyclicDependencies() {
     slices().matching("dillcross.(**)").should().beFreeOfCycles().check(CLASSES);
   }
 
   @Test
-  void theNetworkHasLayers() {
+  void networkLayersDependOnLowerLayersOnly() {
     noClasses()
         .that()
         .resideInAPackage("dillcross.net.transport")
