--- a/sidecar/src/main/java/dillcross/membership/AntiEntropy.java
+++ b/sidecar/src/main/java/dillcross/membership/AntiEntropy.java
@@ -9,18 +9,19 @@
 import java.util.Random;
 
 /**
- * Anti-entropy (push-pull): compares member tables by digests and sends what differs. It repairs
- * what gossip has missed, for instance during a partition.
+ * Anti-entropy (push-pull): compares member tables by their digests, and sends the records and
+ * payloads of members that differ. This repairs updates that gossip has missed, for instance during
+ * a partition.
  */
 final class AntiEntropy {
-  private static final int MAX_DELTAS = 3; // packets in answer to one digest
+  private static final int MAX_DELTAS = 3; // DELTA packets in answer to one digest
 
   private final MembershipSettings settings;
   private final Random random;
   private final MemberTable table;
   private final LocalMember local;
   private final Outbox outbox;
-  private int rotation; // the differing member to start with, so that each is sent at some time
+  private int rotation; // rotates the differing members, so that each is sent eventually
 
   AntiEntropy(
       MembershipSettings settings,
@@ -35,7 +36,7 @@
     this.outbox = outbox;
   }
 
-  /** Sends the digest to a live member, chosen at random, if there is one. */
+  /** Sends this member's digest to a random live member; does nothing while there is none. */
   void sendDigestToAny() {
     List<MemberRecord> others = table.liveRecords();
     if (!others.isEmpty()) {
@@ -44,12 +45,15 @@
     }
   }
 
-  /** Sends the digest, which asks the receiver for what differs. */
+  /** Sends this member's digest, which asks the receiver for the members that differ. */
   void sendDigest(String receiver) {
     outbox.sendDigest(receiver, TableDigest.of(table, local));
   }
 
-  /** Answers a digest with the members that differ, as far as the budget and some packets allow. */
+  /**
+   * Answers a digest with the members that differ, in at most {@link #MAX_DELTAS} packets and while
+   * the byte budget lasts.
+   */
   void onDigest(Packet packet) {
     if (packet.digest().length != TableDigest.BUCKETS) {
       return;
@@ -68,7 +72,10 @@
     sendDeltas(packet.sender().address(), new ArrayDeque<>(differing), sentDigest);
   }
 
-  /** Only the first packet has the digest and this member's own payloads. */
+  /**
+   * Sends the remaining members. Only the first packet carries the digest and this member's own
+   * payloads.
+   */
   private void sendDeltas(String receiver, ArrayDeque<MemberEntry> remaining, int[] digest) {
     sendDelta(receiver, remaining, digest, local.payloads());
     for (int i = 1; i < MAX_DELTAS && outbox.hasBudget() && !remaining.isEmpty(); i++) {
@@ -100,7 +107,10 @@
     outbox.sendWithoutGossip(receiver, packet);
   }
 
-  /** Adds payloads while they fit; returns the remaining space, negative once one did not fit. */
+  /**
+   * Adds payloads while they fit into {@code space} bytes; returns the bytes left, which are
+   * negative if a payload did not fit.
+   */
   private static int addFitting(Collection<Payload> from, List<Payload> to, int space) {
     int remaining = space;
     for (Payload payload : from) {
--- a/sidecar/src/main/java/dillcross/membership/FailureDetector.java
+++ b/sidecar/src/main/java/dillcross/membership/FailureDetector.java
@@ -6,9 +6,9 @@
 import java.util.OptionalLong;
 
 /**
- * SWIM's failure detector: a direct ping, then an indirect probe by way of helpers, then a
- * suspicion. Probes of other members that ask for help run here too, under the same sequence
- * numbers.
+ * SWIM's failure detector: a direct ping, then an indirect probe through other members (helpers),
+ * then a suspicion. Probes that this member relays for others run here too; they share the series
+ * of sequence numbers.
  */
 final class FailureDetector {
   private static final int MAX_RELAYED_PROBES = 64;
@@ -41,7 +41,7 @@
     this.metrics = metrics;
   }
 
-  /** Probes the next member of the round. */
+  /** Probes the next member of the round; does nothing while no other member is live. */
   void probeNext(long nowUs) {
     targets.next().ifPresent(target -> probe(target, nowUs));
   }
@@ -61,7 +61,7 @@
     ping(probe.target(), lastSequence);
   }
 
-  /** Sends a suspicion along with the ping, so that the target can refute it in its answer. */
+  /** Pings the target. The record of a suspect goes with the ping, for the target to refute. */
   private void ping(MemberRecord target, long sequence) {
     boolean isAlive = target.state() == MemberState.ALIVE;
     List<MemberRecord> records = isAlive ? List.of() : List.of(target);
@@ -88,12 +88,12 @@
     for (MemberRecord helper : helpers) {
       outbox.sendPingRequest(helper.address(), sequence, probe.target());
     }
-    ping(probe.target(), sequence); // only the first ping may have been lost
+    ping(probe.target(), sequence); // again, as only the first ping may have been lost
   }
 
   private void onFailed(Probe probe, long nowUs) {
     if (!probe.isOwn()) {
-      outbox.replyNack(probe.requester(), probe.requesterSequence());
+      outbox.replyNack(probe.requesterAddress(), probe.requesterSequence());
       return;
     }
     metrics.onProbeFailed();
@@ -101,10 +101,13 @@
     merger.suspect(probe.target(), nowUs);
   }
 
-  /** Relays a probe on behalf of the sender, within the limits of relayed probes and bytes. */
+  /**
+   * Probes a target on behalf of the sender, unless {@link #MAX_RELAYED_PROBES} are in progress or
+   * the byte budget is overdrawn.
+   */
   void onPingRequest(Packet packet, long nowUs) {
     long relayed = probes.values().stream().filter(probe -> !probe.isOwn()).count();
-    if (packet.about() == null || relayed >= MAX_RELAYED_PROBES || !outbox.hasBudget()) {
+    if (packet.target() == null || relayed >= MAX_RELAYED_PROBES || !outbox.hasBudget()) {
       metrics.onReplySuppressed();
       return;
     }
@@ -128,11 +131,15 @@
     }
   }
 
-  /** The target's record goes along: its incarnation proves to the requester that it is alive. */
+  /**
+   * Tells the requester that the target answered, with the target's record: its incarnation proves
+   * to the requester that the target is alive.
+   */
   private void relayAck(Packet packet, Probe probe) {
     List<MemberRecord> records =
         table.find(probe.target().name()).map(MemberEntry::record).stream().toList();
-    outbox.replyRelayedAck(probe.requester(), probe.requesterSequence(), packet.sender(), records);
+    outbox.replyRelayedAck(
+        probe.requesterAddress(), probe.requesterSequence(), packet.sender(), records);
   }
 
   private static boolean isAnsweredBy(Packet packet, Probe probe) {
@@ -143,12 +150,12 @@
   }
 
   private static boolean isAnsweredByHelper(Packet packet, MemberRecord target) {
-    return packet.about() != null
-        && packet.about().name().equals(target.name())
-        && packet.about().boot() >= target.boot();
+    return packet.target() != null
+        && packet.target().name().equals(target.name())
+        && packet.target().boot() >= target.boot();
   }
 
-  /** A helper could not reach the target, but this member could reach the helper. */
+  /** Handles a helper's NACK: the helper did not reach the target, but answered this member. */
   void onNack(Packet packet) {
     Probe probe = probes.get(packet.sequence());
     if (probe != null && probe.isOwn()) {
@@ -156,12 +163,18 @@
     }
   }
 
-  /** Ends own probes without a verdict, as after a pause their answers may have been lost here. */
+  /**
+   * Ends this member's own probes without suspecting their targets: after a pause, the answers may
+   * have been lost in this process.
+   */
   void dropOwnProbes() {
     probes.values().removeIf(Probe::isOwn);
   }
 
-  /** When the next probe needs attention, in microseconds; empty while there is none. */
+  /**
+   * The time in microseconds at which {@link #expire} next has a probe to handle; empty while no
+   * probe is in progress.
+   */
   OptionalLong nextDueUs() {
     return probes.values().stream().mapToLong(Probe::nextDueUs).min();
   }
--- a/sidecar/src/main/java/dillcross/membership/GossipQueue.java
+++ b/sidecar/src/main/java/dillcross/membership/GossipQueue.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * Records and payloads still to be disseminated. Each is sent a number of times, those sent least
- * first and among them the newest. An item replaces the older one on the same subject, so there are
- * never more items than subjects.
+ * Records and payloads (items) still to be disseminated. Each item is sent several times. Items
+ * sent the fewest times go first, and among those the newest. An item replaces an older one on the
+ * same subject, so there are never more items than subjects.
  */
 final class GossipQueue {
-  private static final int MEMBER_RECORD = -1; // no payload type
+  private static final int MEMBER_RECORD = -1; // in place of a payload type
 
   private static final Comparator<Item> LEAST_SENT_FIRST =
       Comparator.<Item>comparingInt(item -> item.timesSent)
@@ -23,17 +23,18 @@
   private final TreeSet<Item> queue = new TreeSet<>(LEAST_SENT_FIRST);
   private long nextSequence;
 
-  /** What was taken from the queue for one packet. */
+  /** The records and payloads taken from the queue for one packet. */
   record Batch(List<MemberRecord> records, List<Payload> payloads) {}
 
   /**
-   * What an item is about.
+   * The subject of an item: the record of a member, or its payload of one type.
    *
-   * @param payloadType {@link #MEMBER_RECORD} for the member's record
+   * @param member name of the member
+   * @param payloadType type of the payload; {@link #MEMBER_RECORD} for the member's record
    */
   private record Subject(String member, int payloadType) {}
 
-  /** A record or a payload, and how often it was sent. */
+  /** A record or a payload, and the number of times that it was sent. */
   private static final class Item {
     private final Subject subject;
     private final MemberRecord record; // null for a payload
@@ -77,7 +78,7 @@
     queue.add(item);
   }
 
-  /** Drops all items about a member. */
+  /** Removes the record and all payloads of a member. */
   void forget(String name) {
     remove(new Subject(name, MEMBER_RECORD));
     for (int type = 0; type < Payload.TYPES; type++) {
@@ -93,9 +94,11 @@
   }
 
   /**
-   * Takes the items that fit into that many bytes, and drops those that were sent often enough.
+   * Takes items that fit into a packet, and drops those that were thereby sent {@code
+   * transmissions} times.
    *
-   * @param transmissions how often each item is sent in all
+   * @param bytes the space left in the packet
+   * @param transmissions how often each item is sent in total
    */
   Batch take(int bytes, int transmissions) {
     Batch batch = new Batch(new ArrayList<>(), new ArrayList<>());
--- a/sidecar/src/main/java/dillcross/membership/LocalHealth.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalHealth.java
@@ -2,20 +2,20 @@
 
 /**
  * Lifeguard's local health multiplier: evidence that this process is slow or that its own network
- * loses packets. 0 is healthy. It stretches probe intervals, probe timeouts and suspicion timeouts,
- * so that an unhealthy member suspects others later.
+ * loses packets; 0 means healthy. It stretches probe intervals, probe timeouts and suspicion
+ * timeouts, so that an unhealthy member suspects others later.
  */
 final class LocalHealth {
   private static final int MAX_MULTIPLIER = 8;
 
   private int multiplier;
 
-  /** 0 where this process is healthy, up to 8. */
+  /** The multiplier: 0 while this process is healthy, at most 8. */
   int multiplier() {
     return multiplier;
   }
 
-  /** The factor by which probe intervals and timeouts are stretched; 1 where it is healthy. */
+  /** The factor that stretches probe intervals and timeouts: 1 while this process is healthy. */
   int timeoutFactor() {
     return 1 + multiplier;
   }
--- a/sidecar/src/main/java/dillcross/membership/LocalMember.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalMember.java
@@ -7,16 +7,16 @@
 
 /** This process's own record and payloads, and the refutation of wrong records about it. */
 final class LocalMember {
-  /** What became of a received record with this member's name. */
+  /** How a received record with this member's name was handled. */
   enum Resolution {
-    /** It was refuted, or needs no refutation. */
+    /** The record was refuted, or needs no refutation. */
     HANDLED,
-    /** It is about another process, to which this member has left the name. */
+    /** The record is about another process, which keeps the name; this member took another. */
     NAME_YIELDED
   }
 
-  private static final String COLLISION_MARK = "~"; // between the name and its suffix
-  private static final long SUFFIX_MASK = 0xffffffL; // six hexadecimal digits of the boot
+  private static final String COLLISION_MARK = "~"; // between the old name and the added suffix
+  private static final long SUFFIX_MASK = 0xffffffL; // the last six hexadecimal digits of the boot
 
   private final GossipQueue gossip;
   private final LocalHealth health;
@@ -37,12 +37,12 @@
     return self;
   }
 
-  /** Its payloads, in the order of their types. */
+  /** This member's payloads, in the order of their types. */
   Collection<Payload> payloads() {
     return Collections.unmodifiableCollection(payloads.values());
   }
 
-  /** Publishes a payload, which replaces the last one of that type. */
+  /** Publishes a payload, which replaces this member's last payload of that type. */
   void publish(int type, byte[] bytes) {
     Payload last = payloads.get(type);
     long version = last == null ? 1 : last.version() + 1;
@@ -56,15 +56,15 @@
     self = self.withState(MemberState.LEFT, MemberRecord.NOT_SUSPECTED);
   }
 
-  /** Handles a record with this member's name. */
+  /** Handles a record with this member's name: refutes it, or gives up the name. */
   Resolution onRecord(MemberRecord record) {
     boolean isSameAddress = record.address().equals(self.address());
     if (record.boot() == self.boot() && isSameAddress) {
       onOwnRecord(record);
     } else if (isOlder(record, isSameAddress)) {
-      gossip.add(self); // about an earlier process of this name, which the own record supersedes
+      gossip.add(self); // supersedes the record, which is about an earlier process of this name
     } else if (isSameAddress || !record.state().isLive()) {
-      raise(record.boot() + 1, 0); // about this process's predecessor, before the clock went back
+      raise(record.boot() + 1, 0); // supersedes a record from before the clock went back
     } else {
       yieldName();
       return Resolution.NAME_YIELDED;
@@ -99,6 +99,7 @@
     payloads.values().forEach(gossip::add);
   }
 
+  /** Gives this member's record a greater boot or incarnation, so that it supersedes others. */
   private void raise(long boot, long incarnation) {
     replaceSelf(self.name(), boot, incarnation);
   }
--- a/sidecar/src/main/java/dillcross/membership/Member.java
+++ b/sidecar/src/main/java/dillcross/membership/Member.java
@@ -1,9 +1,9 @@
 package dillcross.membership;
 
 /**
- * Another member, as one {@link Membership} holds it.
+ * One other member in the table of a {@link Membership}.
  *
- * @param record its newest record
- * @param sinceUs when that record was stored, in microseconds of this instance's clock
+ * @param record newest record of the member
+ * @param sinceUs time at which that record was stored, in microseconds of the clock of the inputs
  */
 public record Member(MemberRecord record, long sinceUs) {}
--- a/sidecar/src/main/java/dillcross/membership/MemberEntry.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberEntry.java
@@ -10,7 +10,7 @@
 
 /** The state of one other member: its record, a running suspicion, and its payloads. */
 final class MemberEntry {
-  private final Set<String> suspectors = new HashSet<>(); // names of the members that suspect it
+  private final Set<String> suspectors = new HashSet<>(); // names of members that suspect it
   private final Map<Integer, Payload> payloads = new TreeMap<>(); // by type
   private MemberRecord record;
   private long sinceUs;
@@ -25,7 +25,7 @@
     return record;
   }
 
-  /** When the record was stored, in microseconds. */
+  /** The time at which the record was stored, in microseconds. */
   long sinceUs() {
     return sinceUs;
   }
@@ -43,25 +43,25 @@
   }
 
   /** Replaces the record and ends a running suspicion. */
-  void hold(MemberRecord newRecord, long nowUs) {
+  void replaceRecord(MemberRecord newRecord, long nowUs) {
     record = newRecord;
     sinceUs = nowUs;
     suspectors.clear();
   }
 
-  /** Starts the suspicion that the record names. */
+  /** Starts the suspicion that the stored record states, with a timeout in microseconds. */
   void startSuspicion(long nowUs, long timeoutUs) {
     suspectors.add(record.suspectedBy());
     suspectedAtUs = nowUs;
     suspicionDeadlineUs = nowUs + timeoutUs;
   }
 
-  /** Adds a member that suspects it too; returns whether that member is a new one. */
+  /** Adds the name of a member that suspects this one too; returns false if it is known. */
   boolean confirmSuspicion(String suspector) {
     return suspectors.add(suspector);
   }
 
-  /** How many members confirmed the suspicion, beside the one that started it. */
+  /** The number of members that confirmed the suspicion, without the one that started it. */
   int confirmations() {
     return suspectors.size() - 1;
   }
@@ -71,32 +71,32 @@
     suspicionDeadlineUs = suspectedAtUs + timeoutUs;
   }
 
-  /** Moves the end of the running suspicion, by microseconds. */
+  /** Postpones the end of the running suspicion by that many microseconds. */
   void postponeSuspicion(long byUs) {
     suspicionDeadlineUs += byUs;
   }
 
-  /** When a suspect is declared dead, in microseconds; meaningless unless it is suspect. */
+  /** The end of the suspicion, in microseconds; meaningless unless the member is suspect. */
   long suspicionDeadlineUs() {
     return suspicionDeadlineUs;
   }
 
-  /** Whether it is suspect and did not refute that in time. */
+  /** Whether the member is suspect and did not refute the suspicion in time. */
   boolean isSuspicionExpired(long nowUs) {
     return isSuspect() && nowUs >= suspicionDeadlineUs;
   }
 
-  /** Its payloads, in the order of their types. */
+  /** The payloads of the member, in the order of their types. */
   Collection<Payload> payloads() {
     return Collections.unmodifiableCollection(payloads.values());
   }
 
-  /** Its payload of that type; empty where there is none. */
+  /** The member's payload of that type; empty if none was received. */
   Optional<Payload> payload(int type) {
     return Optional.ofNullable(payloads.get(type));
   }
 
-  /** Replaces its payload of the same type. */
+  /** Stores a payload of the member in place of the last one of that type. */
   void putPayload(Payload payload) {
     payloads.put(payload.type(), payload);
   }
@@ -105,7 +105,7 @@
     payloads.clear();
   }
 
-  /** Bytes of the record and all payloads in a datagram, at most. */
+  /** An upper bound of the bytes that the record and all payloads take in a datagram. */
   int size() {
     return record.size() + payloads.values().stream().mapToInt(Payload::size).sum();
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberExpiry.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberExpiry.java
@@ -5,7 +5,8 @@
 
 /** Declares suspects dead when their suspicion times out, and forgets those long dead or left. */
 final class MemberExpiry {
-  private static final int RETENTION_INTERVALS = 600; // that a dead or left member is remembered
+  // Probe intervals for which a dead or left member is remembered.
+  private static final int RETENTION_INTERVALS = 600;
 
   private final MemberTable table;
   private final RecordMerger merger;
@@ -17,7 +18,7 @@
     retentionUs = RETENTION_INTERVALS * settings.intervalUs();
   }
 
-  /** Does what is due. */
+  /** Declares dead, or forgets, each member whose time for that has come. */
   void expire(long nowUs) {
     for (MemberEntry entry : List.copyOf(table.all())) {
       if (entry.isSuspicionExpired(nowUs)) {
@@ -28,12 +29,12 @@
     }
   }
 
-  /** Gives suspects more time, in microseconds. */
+  /** Postpones the end of all running suspicions by that many microseconds. */
   void postponeSuspicions(long byUs) {
     table.all().forEach(entry -> entry.postponeSuspicion(byUs));
   }
 
-  /** When the next suspicion times out, in microseconds; empty where no member is suspect. */
+  /** The time of the next suspicion timeout, in microseconds; empty if no member is suspect. */
   OptionalLong nextDueUs() {
     return table.all().stream()
         .filter(MemberEntry::isSuspect)
--- a/sidecar/src/main/java/dillcross/membership/MemberState.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberState.java
@@ -5,16 +5,16 @@
  * order supersedes the other.
  */
 public enum MemberState {
-  /** It answers probes, as far as is known. */
+  /** The member answers probes, or was not probed yet. */
   ALIVE,
-  /** A probe of it failed; it may refute the suspicion until that times out. */
+  /** A probe of the member failed; it can refute the suspicion until that times out. */
   SUSPECT,
-  /** It did not refute a suspicion in time. */
+  /** The member did not refute a suspicion in time. */
   DEAD,
-  /** It announced that it shuts down. */
+  /** The member announced that it shuts down. */
   LEFT;
 
-  /** Whether it is a member as far as is known: alive or suspect. */
+  /** Whether a member in this state still counts as live: alive or suspect. */
   public boolean isLive() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberTable.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberTable.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** All other members in the table, in the order in which they were added; bounded in size. */
+/** The other members that this one knows, in the order they were added; bounded in size. */
 final class MemberTable {
   private final int maxMembers;
   private final Map<String, MemberEntry> entries = new LinkedHashMap<>(); // by name
@@ -21,7 +21,7 @@
     this.maxMembers = maxMembers;
   }
 
-  /** The entry of that name; empty where there is none. */
+  /** The entry of the member with that name; empty if the member is unknown. */
   Optional<MemberEntry> find(String name) {
     return Optional.ofNullable(entries.get(name));
   }
@@ -46,19 +46,19 @@
     entries.remove(entry.record().name());
   }
 
-  /** Whether it holds as many members as it may. */
+  /** Whether the table has the maximum number of members. */
   boolean isFull() {
     return entries.size() >= maxMembers;
   }
 
-  /** The member that has been dead or left for the longest; empty where all are live. */
+  /** The member that has been dead or left for the longest; empty if all members are live. */
   Optional<MemberEntry> longestNotLive() {
     return entries.values().stream()
         .filter(entry -> !entry.isLive())
         .min(Comparator.comparingLong(MemberEntry::sinceUs));
   }
 
-  /** The records of live members. */
+  /** The records of all members that are alive or suspect. */
   List<MemberRecord> liveRecords() {
     return entries.values().stream().filter(MemberEntry::isLive).map(MemberEntry::record).toList();
   }
@@ -80,11 +80,12 @@
   }
 
   /**
-   * The stored record that supersedes a sender's own, for it to refute; empty where there is none.
+   * The stored record that supersedes the one a sender has of itself, for the sender to refute;
+   * empty if no stored record does.
    */
-  Optional<MemberRecord> newerThan(MemberRecord senderRecord) {
+  Optional<MemberRecord> recordSuperseding(MemberRecord senderRecord) {
     return find(senderRecord.name())
         .map(MemberEntry::record)
-        .filter(held -> held.supersedes(senderRecord));
+        .filter(stored -> stored.supersedes(senderRecord));
   }
 }
--- a/sidecar/src/main/java/dillcross/membership/Membership.java
+++ b/sidecar/src/main/java/dillcross/membership/Membership.java
@@ -8,9 +8,9 @@
 import java.util.Random;
 
 /**
- * The members of a fleet by SWIM with Lifeguard's local health: random probes, indirect probes,
- * suspicions that the accused can refute by a new incarnation, gossip and anti-entropy. There is no
- * leader and no consensus.
+ * Group membership of a fleet by SWIM with Lifeguard's local health: random probes, indirect
+ * probes, suspicions that the suspect can refute by a new incarnation, gossip and anti-entropy.
+ * There is no leader and no consensus.
  *
  * <p>Performs no I/O, reads no clock, starts no thread and is not thread-safe. Every input carries
  * the time in microseconds of one clock that never goes back. After an input, take packets by
@@ -38,12 +38,12 @@
   private boolean hasLeft;
 
   /**
-   * A member that knows no others yet.
+   * Creates a member that knows no other members yet.
    *
-   * @param seed of all random choices
+   * @param seed seed of all random choices
    * @param nowUs the present time, in microseconds
-   * @param self its own record, in incarnation 0
-   * @param settings timing and bounds
+   * @param self record of this member, in incarnation 0
+   * @param settings timing and bounds of the protocol
    */
   public Membership(long seed, long nowUs, MemberRecord self, MembershipSettings settings) {
     random = new Random(seed);
@@ -66,7 +66,7 @@
 
   // Inputs
 
-  /** A packet has arrived. */
+  /** Handles a packet that has arrived; after {@link #leave} it is only counted. */
   public void onPacket(long nowUs, Packet packet) {
     advanceTo(nowUs);
     metrics.onPacketReceived();
@@ -105,11 +105,11 @@
    * refute it.
    */
   private void onPing(Packet packet) {
-    List<MemberRecord> records = table.newerThan(packet.sender()).stream().toList();
+    List<MemberRecord> records = table.recordSuperseding(packet.sender()).stream().toList();
     outbox.replyAck(packet.sender().address(), packet.sequence(), records);
   }
 
-  /** Time has passed: does the periodic work that is due. */
+  /** Does the periodic work that is due; nothing after {@link #leave}. */
   public void onTime(long nowUs) {
     advanceTo(nowUs);
     if (hasLeft) {
@@ -133,7 +133,7 @@
     pauseDetector.expectCall(nextTimerUs());
   }
 
-  /** Announces to some live members that this one leaves; from then on it answers nothing. */
+  /** Announces to some live members that this one leaves; from then on it ignores packets. */
   public void leave(long nowUs) {
     advanceTo(nowUs);
     if (hasLeft) {
@@ -147,8 +147,8 @@
   }
 
   /**
-   * Disseminates a payload of another subsystem to all members; it replaces the last one of its
-   * type.
+   * Disseminates a payload of another subsystem to all members. It replaces this member's last
+   * payload of that type.
    *
    * @throws IllegalArgumentException if the type or the size is out of range, see {@link Payload}
    */
@@ -163,14 +163,14 @@
 
   // Outputs
 
-  /** Takes the next packet to send; null if there is none. */
+  /** Takes the next packet to send; null if no packet is queued. */
   public OutboundPacket next() {
     return outbox.poll();
   }
 
   /**
-   * When {@link #onTime} has to be called, in microseconds of the inputs' clock; {@link
-   * Long#MAX_VALUE} where it has left and needs no further call.
+   * The time at which {@link #onTime} has to be called, in microseconds of the inputs' clock;
+   * {@link Long#MAX_VALUE} if this member has left and needs no further call.
    */
   public long nextDueUs() {
     long expectedUs = pauseDetector.expectedCallUs();
@@ -178,7 +178,7 @@
     return outbox.isEmpty() && !isUnscheduled ? expectedUs : currentUs;
   }
 
-  /** This member's own record. */
+  /** This member's present record; its name, boot and incarnation may change while it runs. */
   public MemberRecord self() {
     return local.self();
   }
@@ -188,17 +188,17 @@
     return table.all().stream().map(entry -> new Member(entry.record(), entry.sinceUs())).toList();
   }
 
-  /** How many other members are alive or suspect. */
+  /** The number of other members that are alive or suspect. */
   public int liveCount() {
     return table.liveCount();
   }
 
-  /** Whether a live member has that numeric address and port. */
+  /** Whether another live member has that numeric address and port. */
   public boolean hasLiveAddress(String address) {
     return table.hasLiveAddress(address);
   }
 
-  /** The newest payload of that type from another member; empty where there is none. */
+  /** The newest payload of that type from another member; empty if none was received. */
   public Optional<Payload> payload(String origin, int type) {
     return table.find(origin).flatMap(entry -> entry.payload(type));
   }
@@ -208,7 +208,7 @@
     return health.multiplier();
   }
 
-  /** What was counted since the start. */
+  /** A snapshot of the counters since the start. */
   public MembershipCounters counters() {
     return metrics.snapshot();
   }
@@ -223,8 +223,8 @@
 
   /**
    * After a pause all timers expire at once, and answers may have been lost here. That says nothing
-   * about other members, so own probes end without a verdict, suspicions get more time, and the
-   * local health is worse for a while.
+   * about other members, so own probes end without a verdict, running suspicions are extended, and
+   * the local health gets worse for a while.
    */
   private void onPause(long pauseUs) {
     metrics.onPause();
--- a/sidecar/src/main/java/dillcross/membership/MembershipCounters.java
+++ b/sidecar/src/main/java/dillcross/membership/MembershipCounters.java
@@ -1,20 +1,21 @@
 package dillcross.membership;
 
 /**
- * An immutable snapshot of what one {@link Membership} has counted since its start.
+ * An immutable snapshot of the counters of one {@link Membership}, counted from its start.
  *
- * @param sent packets sent
- * @param bytes bytes of the packets sent
+ * @param sent packets queued for sending
+ * @param bytes upper bound of the bytes of those packets
  * @param received packets received
  * @param probes probes that this member started for itself
- * @param unanswered probes of its own that failed, directly and indirectly
- * @param suspicions members that this member came to suspect by its own probes
+ * @param unanswered own probes that no answer ended, direct or through a helper
+ * @param suspicions suspicions that this member raised after own probes failed
  * @param deaths suspects that this member declared dead
  * @param refutations times that this member refuted a record of itself as suspect, dead or left
  * @param pauses times that this process was found to have been paused or starved
  * @param collisions times that another process was found to have this member's name
- * @param refusedMembers new members refused because the table was full of live ones
- * @param suppressedReplies replies and relayed probes refused, mostly for want of byte budget
+ * @param refusedMembers new members refused because the table was full of live members
+ * @param suppressedReplies replies not sent and probes not relayed, mostly as the byte budget was
+ *     overdrawn
  */
 public record MembershipCounters(
     long sent,
--- a/sidecar/src/main/java/dillcross/membership/MembershipMetrics.java
+++ b/sidecar/src/main/java/dillcross/membership/MembershipMetrics.java
@@ -1,6 +1,6 @@
 package dillcross.membership;
 
-/** Counts the events of one membership; {@link #snapshot} is what readers get. */
+/** Counts the events of one membership; {@link #snapshot} copies the counters for readers. */
 final class MembershipMetrics {
   private long packetsSent;
   private long bytesSent;
@@ -60,7 +60,7 @@
     suppressedReplies++;
   }
 
-  /** The counters as they are now. */
+  /** A copy of the present counters. */
   MembershipCounters snapshot() {
     return new MembershipCounters(
         packetsSent,
--- a/sidecar/src/main/java/dillcross/membership/MembershipSettings.java
+++ b/sidecar/src/main/java/dillcross/membership/MembershipSettings.java
@@ -5,14 +5,14 @@
 /**
  * The timing and the bounds of a {@link Membership}.
  *
- * @param seeds numeric addresses and ports that are pinged in order to join; also later, while no
- *     live member is known at them
- * @param intervalUs between two probes of a healthy member, in microseconds
- * @param timeoutUs from a ping without answer to the indirect probe, in microseconds; less than
- *     half the interval
- * @param maxMembers other members in the table, dead ones included
- * @param datagramBytes of the largest packet, without the name of the fleet
- * @param bytesPerSecond the byte budget: replies are suppressed above it
+ * @param seeds numeric addresses and ports that are pinged in order to join, and later each while
+ *     no live member is known at it
+ * @param intervalUs time between two probes that a healthy member starts, in microseconds
+ * @param timeoutUs time without answer from a ping to the indirect probe, in microseconds; less
+ *     than half the interval
+ * @param maxMembers maximum number of other members in the table, dead ones included
+ * @param datagramBytes maximum bytes of a packet, without the name of the fleet
+ * @param bytesPerSecond byte budget of sent packets; replies are suppressed while it is overdrawn
  */
 public record MembershipSettings(
     List<String> seeds,
--- a/sidecar/src/main/java/dillcross/membership/Outbox.java
+++ b/sidecar/src/main/java/dillcross/membership/Outbox.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Builds packets and queues them for sending. Each carries as much gossip as the datagram size and
- * the byte budget allow. Replies are suppressed while the budget is overdrawn; other packets are
- * not.
+ * Builds packets and queues them for sending. Each packet carries as much gossip as the datagram
+ * size and the byte budget allow. Replies are suppressed while the budget is overdrawn; other
+ * packets are sent even then.
  */
 final class Outbox {
-  private static final int GOSSIP_FACTOR = 3; // transmissions of an item, per log2 of the members
-  private static final long NO_SEQUENCE = 0;
+  private static final int GOSSIP_FACTOR = 3; // transmissions per item and log2 of member count
+  private static final long NO_SEQUENCE = 0; // the packet belongs to no probe
 
   private final MembershipSettings settings;
   private final LocalMember local;
@@ -36,7 +36,7 @@
     budget = new SendBudget(settings.bytesPerSecond(), nowUs);
   }
 
-  /** Adds what has accrued to the byte budget. */
+  /** Adds the bytes that have accrued since the last call to the byte budget. */
   void refillBudget(long nowUs) {
     budget.refill(nowUs);
   }
@@ -45,7 +45,7 @@
     return budget.availableBytes() > 0;
   }
 
-  /** Takes the next packet to send; null if there is none. */
+  /** Takes the next packet to send; null if the queue is empty. */
   OutboundPacket poll() {
     return queue.poll();
   }
@@ -54,7 +54,7 @@
     return queue.isEmpty();
   }
 
-  /** Pings a member; {@code records} are those that it may want to refute. */
+  /** Pings a member; {@code records} are about that member, for it to refute. */
   void sendPing(String receiver, long sequence, List<MemberRecord> records) {
     send(receiver, packet(Packet.Kind.PING, sequence, null, records));
   }
@@ -64,7 +64,7 @@
     send(helper, packet(Packet.Kind.PING_REQUEST, sequence, target, List.of()));
   }
 
-  /** Announces by the sender's record that this member leaves. */
+  /** Announces that this member leaves, by its own record, which every packet carries. */
   void sendLeave(String receiver) {
     send(receiver, packet(Packet.Kind.ACK, NO_SEQUENCE, null, List.of()));
   }
@@ -77,7 +77,7 @@
         new Packet(Packet.Kind.DIGEST, NO_SEQUENCE, self, null, digest, List.of(), List.of()));
   }
 
-  /** Answers a ping; {@code records} are those that the receiver may want to refute. */
+  /** Answers a ping; {@code records} are about the receiver, for it to refute. */
   void replyAck(String receiver, long sequence, List<MemberRecord> records) {
     reply(receiver, packet(Packet.Kind.ACK, sequence, null, records));
   }
@@ -94,8 +94,8 @@
   }
 
   private Packet packet(
-      Packet.Kind kind, long sequence, MemberRecord about, List<MemberRecord> records) {
-    return new Packet(kind, sequence, local.self(), about, Packet.NO_DIGEST, records, List.of());
+      Packet.Kind kind, long sequence, MemberRecord target, List<MemberRecord> records) {
+    return new Packet(kind, sequence, local.self(), target, Packet.NO_DIGEST, records, List.of());
   }
 
   private void reply(String receiver, Packet packet) {
@@ -126,13 +126,13 @@
         packet.kind(),
         packet.sequence(),
         packet.sender(),
-        packet.about(),
+        packet.target(),
         packet.digest(),
         records,
         batch.payloads());
   }
 
-  /** Queues a packet as it is. */
+  /** Queues a packet without adding gossip to it. */
   void sendWithoutGossip(String receiver, Packet packet) {
     int size = packet.size();
     budget.spend(size);
--- a/sidecar/src/main/java/dillcross/membership/Packet.java
+++ b/sidecar/src/main/java/dillcross/membership/Packet.java
@@ -5,12 +5,14 @@
 /**
  * One datagram of the protocol.
  *
- * @param kind what it asks for or answers
- * @param sequence number of the probe that it belongs to, chosen by the requester; 0 for none
+ * @param kind what the packet asks for or answers
+ * @param sequence number of the probe that the packet belongs to, chosen by the requester; 0 for
+ *     none
  * @param sender the sender's own record
- * @param about the target of a {@code PING_REQUEST}, or the target that answered a relayed probe;
- *     null in all other packets
- * @param digest of the sender's member table, one sum a bucket; empty for none; not to be changed
+ * @param target the record of the target of a {@code PING_REQUEST}, or of the target that answered
+ *     a relayed probe; null in all other packets
+ * @param digest digest of the sender's member table, one sum a bucket; an empty array for none;
+ *     callers must not modify it
  * @param records gossiped records of members
  * @param payloads gossiped payloads of members
  */
@@ -18,7 +20,7 @@
     Kind kind,
     long sequence,
     MemberRecord sender,
-    MemberRecord about,
+    MemberRecord target,
     int[] digest,
     List<MemberRecord> records,
     List<Payload> payloads) {
@@ -26,29 +28,29 @@
   public enum Kind {
     /** Probes the receiver, which answers with ACK. */
     PING,
-    /** Asks a helper to probe {@code about}: it answers ACK or, without an answer, NACK. */
+    /** Asks a helper to probe {@code target}; it answers with ACK, or NACK if the probe fails. */
     PING_REQUEST,
     /** Answers a PING, or a PING_REQUEST whose target has answered. */
     ACK,
     /** Answers a PING_REQUEST whose target has not answered. */
     NACK,
-    /** Anti-entropy: carries the sender's digest and asks for what differs. */
+    /** Anti-entropy: carries the sender's digest and asks for the members that differ. */
     DIGEST,
-    /** Anti-entropy: records that differ; with a digest it asks for the same in return. */
+    /** Anti-entropy: carries differing members; with a digest, it asks for the same in return. */
     DELTA
   }
 
   /** The digest of a packet that carries none. */
   static final int[] NO_DIGEST = {};
 
-  private static final int FIXED_BYTES = 48; // an upper bound of numbers and framing
-  private static final int BYTES_PER_BUCKET = 6; // likewise, of one sum of the digest
+  private static final int FIXED_BYTES = 48; // an upper bound of the numbers and the framing
+  private static final int BYTES_PER_BUCKET = 6; // an upper bound of one sum of the digest
 
-  /** An upper bound of its bytes, without the name of the fleet that the codec adds. */
+  /** An upper bound of the encoded bytes, without the name of the fleet that the codec adds. */
   public int size() {
     return FIXED_BYTES
         + sender.size()
-        + (about == null ? 0 : about.size())
+        + (target == null ? 0 : target.size())
         + BYTES_PER_BUCKET * digest.length
         + records.stream().mapToInt(MemberRecord::size).sum()
         + payloads.stream().mapToInt(Payload::size).sum();
--- a/sidecar/src/main/java/dillcross/membership/PauseDetector.java
+++ b/sidecar/src/main/java/dillcross/membership/PauseDetector.java
@@ -3,32 +3,34 @@
 import java.util.OptionalLong;
 
 /**
- * Notices that this process was paused or starved, or that the caller's clock jumped ahead: it is
- * called much later than it asked to be.
+ * Detects that this process was paused or starved, or that the caller's clock jumped ahead: the
+ * membership is called much later than the time that it asked for.
  */
 final class PauseDetector {
-  /** No call was asked for. */
+  /** The expected time while no call is asked for. */
   static final long NO_CALL = Long.MAX_VALUE;
 
   private final long toleranceUs;
   private long expectedCallUs = NO_CALL;
 
-  /** A call more than {@code toleranceUs} microseconds late is a pause. */
+  /**
+   * Counts a call as late after a pause if it is more than {@code toleranceUs} microseconds late.
+   */
   PauseDetector(long toleranceUs) {
     this.toleranceUs = toleranceUs;
   }
 
-  /** A call is asked for at that time, in microseconds; {@link #NO_CALL} for none. */
+  /** Sets the time of the next call, in microseconds; {@link #NO_CALL} if none is asked for. */
   void expectCall(long atUs) {
     expectedCallUs = atUs;
   }
 
-  /** When a call was asked for, in microseconds; {@link #NO_CALL} for none. */
+  /** The time of the next call, in microseconds; {@link #NO_CALL} if none is asked for. */
   long expectedCallUs() {
     return expectedCallUs;
   }
 
-  /** How late the present call is, in microseconds; empty where there was no pause. */
+  /** The delay of the present call, in microseconds; empty if it is not late by a pause. */
   OptionalLong pauseUs(long nowUs) {
     long lateUs = expectedCallUs == NO_CALL ? 0 : nowUs - expectedCallUs;
     return lateUs > toleranceUs ? OptionalLong.of(lateUs) : OptionalLong.empty();
--- a/sidecar/src/main/java/dillcross/membership/Probe.java
+++ b/sidecar/src/main/java/dillcross/membership/Probe.java
@@ -1,45 +1,45 @@
 package dillcross.membership;
 
-/** One probe in progress: this member's own, or one relayed on behalf of another member. */
+/** A probe in progress: started by this member for itself, or relayed for another member. */
 final class Probe {
   private static final long NEVER = Long.MAX_VALUE;
 
   private final MemberRecord target;
-  private final String requester; // null for an own probe
+  private final String requesterAddress; // null for an own probe
   private final long requesterSequence;
   private final long deadlineUs;
-  private final long indirectAtUs;
+  private final long indirectAtUs; // NEVER for a relayed probe
   private boolean isIndirect;
   private int helperCount;
   private int nackCount;
 
   private Probe(
       MemberRecord target,
-      String requester,
+      String requesterAddress,
       long requesterSequence,
       long indirectAtUs,
       long deadlineUs) {
     this.target = target;
-    this.requester = requester;
+    this.requesterAddress = requesterAddress;
     this.requesterSequence = requesterSequence;
     this.indirectAtUs = indirectAtUs;
     this.deadlineUs = deadlineUs;
   }
 
   /**
-   * A probe of this member's own.
+   * A probe that this member starts for itself.
    *
-   * @param indirectAtUs when helpers are asked, in microseconds
-   * @param deadlineUs when it has failed, in microseconds
+   * @param indirectAtUs time at which helpers are asked, in microseconds
+   * @param deadlineUs time at which the probe fails without an answer, in microseconds
    */
   static Probe own(MemberRecord target, long indirectAtUs, long deadlineUs) {
     return new Probe(target, null, 0, indirectAtUs, deadlineUs);
   }
 
-  /** A probe that the sender of a {@code PING_REQUEST} asked for. */
+  /** A probe relayed for the sender of a {@code PING_REQUEST}; it fails at {@code deadlineUs}. */
   static Probe relayed(Packet request, long deadlineUs) {
     return new Probe(
-        request.about(), request.sender().address(), request.sequence(), NEVER, deadlineUs);
+        request.target(), request.sender().address(), request.sequence(), NEVER, deadlineUs);
   }
 
   MemberRecord target() {
@@ -47,53 +47,53 @@
   }
 
   boolean isOwn() {
-    return requester == null;
+    return requesterAddress == null;
   }
 
-  /** The address of the member that asked for it; null for an own probe. */
-  String requester() {
-    return requester;
+  /** The address of the member that asked for this probe; null for an own probe. */
+  String requesterAddress() {
+    return requesterAddress;
   }
 
-  /** Its sequence number at the requester. */
+  /** The sequence number that the requester gave this probe; 0 for an own probe. */
   long requesterSequence() {
     return requesterSequence;
   }
 
-  /** Whether helpers were asked. */
+  /** Whether helpers were asked to probe the target. */
   boolean isIndirect() {
     return isIndirect;
   }
 
-  /** Whether helpers are to be asked now. */
+  /** Whether helpers have to be asked now to probe the target. */
   boolean isIndirectDue(long nowUs) {
     return isOwn() && !isIndirect && nowUs >= indirectAtUs;
   }
 
-  /** Helpers were asked. */
+  /** Records that this number of helpers was asked; 0 if no other member can help. */
   void onIndirect(int helpers) {
     isIndirect = true;
     helperCount = helpers;
   }
 
-  /** A helper got no answer from the target. */
+  /** Records that a helper got no answer from the target. */
   void onNack() {
     nackCount++;
   }
 
-  /** Whether it has failed for lack of an answer. */
+  /** Whether this probe has failed, as no answer came before the deadline. */
   boolean isExpired(long nowUs) {
     return nowUs >= deadlineUs;
   }
 
-  /** When it next needs attention, in microseconds. */
+  /** The time at which helpers have to be asked or this probe fails, in microseconds. */
   long nextDueUs() {
     return isIndirect ? deadlineUs : Math.min(indirectAtUs, deadlineUs);
   }
 
   /**
-   * By how much its failure worsens the local health. A healthy helper answers with ACK or NACK, so
-   * each silent helper suggests that the fault lies with this process.
+   * The amount by which a failure of this probe worsens the local health. A healthy helper answers
+   * with ACK or NACK, so each silent helper suggests that the fault lies with this process.
    */
   int healthPenalty() {
     return helperCount == 0 ? 1 : Math.max(0, helperCount - nackCount);
--- a/sidecar/src/main/java/dillcross/membership/ProbeTargets.java
+++ b/sidecar/src/main/java/dillcross/membership/ProbeTargets.java
@@ -15,13 +15,12 @@
  * shuffled rounds, which bounds the time until a given member is probed.
  */
 final class ProbeTargets {
-  /** Helpers of one indirect probe, at most. */
-  private static final int MAX_HELPERS = 3;
+  private static final int MAX_HELPERS = 3; // of one indirect probe
 
   private final MemberTable table;
   private final LocalMember local;
   private final Random random;
-  private final ArrayDeque<String> round = new ArrayDeque<>(); // names still to be probed
+  private final ArrayDeque<String> round = new ArrayDeque<>(); // names of members to probe
 
   ProbeTargets(MemberTable table, LocalMember local, Random random) {
     this.table = table;
@@ -34,7 +33,7 @@
     round.add(name);
   }
 
-  /** The next live member of the round; empty where there is none. */
+  /** The next live member of the round; empty while no other member is live. */
   Optional<MemberRecord> next() {
     for (int i = 0; i <= table.size(); i++) {
       if (round.isEmpty()) {
@@ -55,8 +54,8 @@
   }
 
   /**
-   * The members that are asked to probe the target: random ones, spread over the zones and those of
-   * other zones first, as they use other network paths.
+   * The members that are asked to probe the target: random ones, spread over the zones. Members of
+   * other zones come first, as they use other network paths.
    */
   List<MemberRecord> helpersFor(MemberRecord target) {
     List<MemberRecord> candidates = new ArrayList<>();
@@ -71,7 +70,10 @@
     return candidates.subList(0, Math.min(MAX_HELPERS, candidates.size()));
   }
 
-  /** The first of each zone ranks before the second of any; at each step the own zone is last. */
+  /**
+   * Ranks the first candidate of each zone before the second of any zone, and so on; among equals,
+   * the candidate in this member's own zone is last.
+   */
   private Map<MemberRecord, Integer> ranksByZone(List<MemberRecord> candidates) {
     Map<String, Integer> countByZone = new HashMap<>();
     Map<MemberRecord, Integer> ranks = new HashMap<>();
--- a/sidecar/src/main/java/dillcross/membership/ProtocolSchedule.java
+++ b/sidecar/src/main/java/dillcross/membership/ProtocolSchedule.java
@@ -3,16 +3,16 @@
 import java.util.Random;
 
 /**
- * When the next probe, digest and reconnect are due. Each period is jittered, so that members which
- * start together do not stay in step.
+ * The times at which the next probe, digest and reconnect are due. Each period is jittered, so that
+ * members which start together do not stay in step.
  */
 final class ProtocolSchedule {
   private static final int DIGEST_INTERVALS = 10; // probe intervals between two digests, on average
-  private static final int RECONNECT_INTERVALS = 4; // likewise, between two reconnects
-  private static final double START_JITTER_FRACTION = 0.2; // of an interval before the first probe
+  private static final int RECONNECT_INTERVALS = 4; // probe intervals between two reconnects
+  private static final double START_JITTER_FRACTION = 0.2; // of the interval, at most
   private static final double MIN_PROBE_PERIOD_FACTOR = 0.9;
   private static final double PROBE_JITTER_FRACTION = 0.2;
-  private static final double MIN_OTHER_PERIOD_FACTOR = 0.5; // to 1.5
+  private static final double MIN_OTHER_PERIOD_FACTOR = 0.5; // the maximum is 1.5
 
   private final long intervalUs;
   private final Random random;
@@ -32,13 +32,13 @@
     return nowUs >= probeAtUs;
   }
 
-  /** Sets the next probe, the period stretched by that factor. */
+  /** Schedules the next probe; the period is stretched by the factor. */
   void scheduleProbe(long nowUs, int timeoutFactor) {
     double jitter = MIN_PROBE_PERIOD_FACTOR + PROBE_JITTER_FRACTION * random.nextDouble();
     probeAtUs = nowUs + (long) (intervalUs * timeoutFactor * jitter);
   }
 
-  /** Sets the next probe within one interval, at random. */
+  /** Schedules the next probe at a random time within one interval. */
   void scheduleProbeAfterPause(long nowUs) {
     probeAtUs = nowUs + (long) (intervalUs * random.nextDouble());
   }
@@ -47,7 +47,7 @@
     return nowUs >= reconnectAtUs;
   }
 
-  /** Sets the next reconnect, which is sooner while no other member is live. */
+  /** Schedules the next reconnect, which is sooner while no other member is live. */
   void scheduleReconnect(long nowUs, boolean isAlone) {
     int intervals = isAlone ? 1 : RECONNECT_INTERVALS;
     reconnectAtUs =
@@ -58,13 +58,13 @@
     return nowUs >= digestAtUs;
   }
 
-  /** Sets the next digest. */
+  /** Schedules the next digest. */
   void scheduleDigest(long nowUs) {
     double jitter = MIN_OTHER_PERIOD_FACTOR + random.nextDouble();
     digestAtUs = nowUs + (long) (DIGEST_INTERVALS * intervalUs * jitter);
   }
 
-  /** When the next of them is due, in microseconds. */
+  /** The time at which the next probe, digest or reconnect is due, in microseconds. */
   long nextDueUs() {
     return Math.min(probeAtUs, Math.min(digestAtUs, reconnectAtUs));
   }
--- a/sidecar/src/main/java/dillcross/membership/Reconnector.java
+++ b/sidecar/src/main/java/dillcross/membership/Reconnector.java
@@ -6,13 +6,13 @@
 import java.util.Random;
 
 /**
- * Pings members declared dead and seeds without a live member. This joins a fleet at the start, and
- * heals a partition that lasted until both sides had declared each other dead.
+ * Pings members that were declared dead, and seeds at which no live member is known. This joins a
+ * fleet at the start, and heals a partition after which both sides have declared each other dead.
  */
 final class Reconnector {
   private static final int MAX_PINGS = 1;
   private static final int MAX_PINGS_WHILE_ALONE = 6;
-  private static final long NO_SEQUENCE = 0; // the answers end no probe
+  private static final long NO_SEQUENCE = 0; // the ping belongs to no probe
 
   private final MembershipSettings settings;
   private final Random random;
@@ -33,7 +33,7 @@
     this.outbox = outbox;
   }
 
-  /** Pings some of them, chosen at random; more while no live member is known. */
+  /** Pings one dead member or seed, chosen at random, or several while no other member is live. */
   void pingLost() {
     List<String> lost = new ArrayList<>();
     for (MemberEntry entry : table.all()) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** The record of the dead member at that address, for it to refute; else empty. */
+  /** The record of the dead member at that address, for it to refute; empty if there is none. */
   private List<MemberRecord> deadRecordAt(String address) {
     return table.all().stream()
         .filter(MemberEntry::isDead)
--- a/sidecar/src/main/java/dillcross/membership/RecordMerger.java
+++ b/sidecar/src/main/java/dillcross/membership/RecordMerger.java
@@ -5,10 +5,11 @@
 
 /**
  * Merges received records and payloads into the table by SWIM's rules of incarnations and
- * suspicion, and queues for gossip what was new.
+ * suspicion, and queues those that were new for gossip.
  */
 final class RecordMerger {
-  // Records beyond it are ignored, as a member that exceeds them to refute them would overflow.
+  // Records with greater numbers are ignored: a member that exceeds them by one in order to refute
+  // the record could overflow.
   private static final long MAX_BOOT_OR_INCARNATION = 1L << 60;
 
   private final MemberTable table;
@@ -18,7 +19,7 @@
   private final MembershipMetrics metrics;
   private final Consumer<String> onJoined;
 
-  /** {@code onJoined} is called with the name of each new member. */
+  /** Calls {@code onJoined} with the name of each member that is added to the table. */
   RecordMerger(
       MemberTable table,
       LocalMember local,
@@ -34,7 +35,7 @@
     this.onJoined = onJoined;
   }
 
-  /** Merges a record of any member, this one included. */
+  /** Merges a record of any member; a record with this member's own name may be refuted. */
   void merge(MemberRecord record, long nowUs) {
     if (record.boot() > MAX_BOOT_OR_INCARNATION || record.incarnation() > MAX_BOOT_OR_INCARNATION) {
       return;
@@ -64,7 +65,7 @@
     }
   }
 
-  /** Adds only live members, so that a dead one is remembered only by members that knew it. */
+  /** Adds an unknown member if it is live: only members that knew a dead one remember it. */
   private void addNew(MemberRecord record, long nowUs) {
     if (record.state().isLive() && makeSpace()) {
       MemberEntry entry = new MemberEntry(record);
@@ -75,6 +76,7 @@
     }
   }
 
+  /** Evicts a member that is not live if the table is full; returns false if all are live. */
   private boolean makeSpace() {
     if (!table.isFull()) {
       return true;
@@ -88,7 +90,7 @@
     return true;
   }
 
-  /** Whether another member suspects a suspect in the same incarnation. */
+  /** Whether the record may add another member's suspicion to that of a suspect. */
   private static boolean isConfirmation(MemberEntry entry, MemberRecord record) {
     return record.state() == MemberState.SUSPECT
         && entry.isSuspect()
@@ -97,8 +99,8 @@
   }
 
   /**
-   * Suspects a member whose probe has failed, unless a newer record of it arrived meanwhile. Where
-   * another member suspected it before, this confirms that suspicion.
+   * Suspects a member whose probe has failed, unless a newer record of it has arrived since then.
+   * If another member suspected it before, this confirms that suspicion.
    */
   void suspect(MemberRecord target, long nowUs) {
     Optional<MemberEntry> known = table.find(target.name());
@@ -114,7 +116,7 @@
     }
   }
 
-  /** Declares a member dead whose suspicion timed out. */
+  /** Declares a member dead whose suspicion has timed out. */
   void declareDead(MemberEntry entry, long nowUs) {
     metrics.onDeath();
     update(entry, entry.record().withState(MemberState.DEAD, MemberRecord.NOT_SUSPECTED), nowUs);
@@ -122,7 +124,7 @@
 
   private void update(MemberEntry entry, MemberRecord record, long nowUs) {
     MemberRecord before = entry.record();
-    entry.hold(record, nowUs);
+    entry.replaceRecord(record, nowUs);
     if (record.state() == MemberState.SUSPECT) {
       entry.startSuspicion(nowUs, suspicionTimeout.timeoutUs(0));
     } else if (!record.state().isLive()) {
@@ -135,7 +137,7 @@
     }
   }
 
-  /** Merges a payload of another member; one of an unknown member or another boot is ignored. */
+  /** Merges a payload; one of an unknown member, or of another boot of a known one, is ignored. */
   void merge(Payload payload) {
     if (!payload.isValid()) {
       return;
@@ -151,7 +153,7 @@
             });
   }
 
-  /** Removes a member with all that is to be gossiped of it. */
+  /** Removes a member from the table, and its record and payloads from the gossip queue. */
   void forget(MemberEntry entry) {
     table.remove(entry);
     gossip.forget(entry.record().name());
--- a/sidecar/src/main/java/dillcross/membership/SendBudget.java
+++ b/sidecar/src/main/java/dillcross/membership/SendBudget.java
@@ -1,8 +1,8 @@
 package dillcross.membership;
 
 /**
- * A token bucket of bytes to send. It may be overdrawn, as own probes are sent without regard to
- * it.
+ * A token bucket that limits the bytes sent. It can be overdrawn, as packets other than replies are
+ * sent even while it is empty.
  */
 final class SendBudget {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -11,21 +11,21 @@
   private double availableBytes;
   private long refilledAtUs;
 
-  /** Starts with one second's worth. */
+  /** Starts with the bytes of one second. */
   SendBudget(long bytesPerSecond, long nowUs) {
     bytesPerUs = bytesPerSecond / MICROS_PER_SECOND;
     availableBytes = bytesPerSecond;
     refilledAtUs = nowUs;
   }
 
-  /** Adds what has accrued since the last time, up to one second's worth. */
+  /** Adds the bytes that have accrued since the last refill, up to those of one second. */
   void refill(long nowUs) {
     double accrued = (nowUs - refilledAtUs) * bytesPerUs;
     availableBytes = Math.min(MICROS_PER_SECOND * bytesPerUs, availableBytes + accrued);
     refilledAtUs = nowUs;
   }
 
-  /** Bytes that may be sent now; below 0 while it is overdrawn. */
+  /** The bytes that may be sent now; negative while the budget is overdrawn. */
   double availableBytes() {
     return availableBytes;
   }
--- a/sidecar/src/main/java/dillcross/membership/SuspicionTimeout.java
+++ b/sidecar/src/main/java/dillcross/membership/SuspicionTimeout.java
@@ -1,17 +1,17 @@
 package dillcross.membership;
 
 /**
- * Lifeguard's suspicion timeout: how long a member is suspect before it is declared dead. It is
- * long enough for a refutation to spread, shrinks as other members confirm the suspicion, and is
- * longer while this process is unhealthy itself.
+ * Lifeguard's suspicion timeout: the time for which a member is suspect before it is declared dead.
+ * The timeout is long enough for a refutation to spread, shrinks as other members confirm the
+ * suspicion, and is doubled while this process is unhealthy itself.
  */
 final class SuspicionTimeout {
-  /** Confirmations at which the timeout is at its minimum. */
+  /** The number of confirmations from which on the timeout is at its minimum. */
   static final int MAX_CONFIRMATIONS = 3;
 
   // The minimum is this many probe intervals times the decimal logarithm of the number of members.
   private static final double MIN_TIMEOUT_INTERVALS = 4;
-  private static final double UNCONFIRMED_FACTOR = 4; // of the minimum, without confirmation
+  private static final double UNCONFIRMED_FACTOR = 4; // of the minimum, if nobody confirms
 
   private final long intervalUs;
   private final MemberTable table;
--- a/sidecar/src/main/java/dillcross/membership/TableDigest.java
+++ b/sidecar/src/main/java/dillcross/membership/TableDigest.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * The digest of a member table: per bucket of names, a sum over the hashes of all live members'
- * records and payloads. Two tables with equal sums hold the same. It is part of the wire: all
- * versions have to compute the same sums. Dead members do not count, as each member forgets them at
- * another time.
+ * The digest of a member table: for each bucket of member names, the sum of the hashes of the
+ * records and payloads of live members. Tables with equal sums are taken to be equal. The digest is
+ * part of the wire protocol: all versions have to compute the same sums. Dead members are left out,
+ * as each member forgets them at another time.
  */
 final class TableDigest {
-  /** Sums in a digest. */
+  /** The number of buckets, and of sums in a digest. */
   static final int BUCKETS = 32;
 
-  private static final int BUCKET_SHIFT = 27; // leaves the 5 highest of 32 bits
+  private static final int BUCKET_SHIFT = 27; // keeps the highest 5 of 32 bits
   private static final int NAME_FACTOR = 31;
   private static final int GOLDEN_RATIO_32 = 0x9E3779B9;
   private static final long GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15L;
--- a/sidecar/src/main/java/dillcross/net/membership/DatagramLimiter.java
+++ b/sidecar/src/main/java/dillcross/net/membership/DatagramLimiter.java
@@ -1,8 +1,9 @@
 package dillcross.net.membership;
 
 /**
- * Limits how many datagrams are read, so that a flood does not take the thread from the requests:
- * at most some hundredths of a core. Members' own addresses have a limit of their own.
+ * Limits the rate at which datagrams are read, so that a flood of them does not keep the selector
+ * thread from requests: reading takes a few hundredths of a core at most. Datagrams from addresses
+ * of live members have a limit of their own.
  */
 final class DatagramLimiter {
   private static final double FROM_MEMBERS_PER_SECOND = 2000;
@@ -11,10 +12,12 @@
   private static final double OTHERS_BURST = FROM_OTHERS_PER_SECOND / 2;
   private static final double MICROS_PER_SECOND = 1e6;
 
+  // Datagrams that may still be read, from each kind of sender.
   private double fromMembers = MEMBERS_BURST;
   private double fromOthers = OTHERS_BURST;
   private long refilledUs;
 
+  /** Adds the datagrams that may be read since the last call, up to the size of a burst. */
   void refill(long nowUs) {
     long elapsedUs = nowUs - refilledUs;
     refilledUs = nowUs;
@@ -24,8 +27,8 @@
     fromOthers = Math.min(OTHERS_BURST, fromOthers + others);
   }
 
-  /** Whether one more may be read, which is then taken off. */
-  boolean tryTake(boolean isFromMember) {
+  /** Takes one datagram off the limit for its sender; returns false if none is left. */
+  boolean tryAcquire(boolean isFromMember) {
     if (isFromMember) {
       boolean allowed = fromMembers >= 1;
       fromMembers -= allowed ? 1 : 0;
--- a/sidecar/src/main/java/dillcross/net/membership/MembershipService.java
+++ b/sidecar/src/main/java/dillcross/net/membership/MembershipService.java
@@ -24,14 +24,14 @@
 import java.util.logging.Logger;
 
 /**
- * Sends and receives the datagrams of a membership, and shows it to operators. On the selector
- * thread.
+ * Sends and receives the datagrams of a {@link Membership}, logs its changes, and renders it as
+ * JSON for operators. Belongs to the selector thread.
  */
 public final class MembershipService implements Network.DatagramHandler {
   private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
   private static final int MIN_BUFFER_BYTES = 1500;
-  private static final int FRAME_BYTES = 128; // of a datagram, with the name of the fleet
-  private static final long LOG_INTERVAL_US = 500_000; // changes are logged together
+  private static final int FRAME_BYTES = 128; // the name of the fleet and framing, at most
+  private static final long LOG_INTERVAL_US = 500_000; // changes within it are one log line
   private static final int MAX_LOGGED_CHANGES = 8;
   private static final int MICROS_PER_MILLI = 1000;
 
@@ -42,16 +42,16 @@
   private final DatagramLimiter limiter = new DatagramLimiter();
   private final Map<String, MemberState> loggedStates = new HashMap<>();
   private Network.DatagramTransport transport;
-  private long now;
+  private long nowUs; // the time of the present iteration
   private long loggedUs;
-  private long malformed;
-  private long flooded;
-  private boolean hasChanged;
+  private long malformed; // datagrams that could not be decoded
+  private long flooded; // datagrams that were dropped unread by the limiter
+  private boolean hasChanged; // since the last check for changes to log
 
   /**
-   * A service that has not been opened.
+   * Creates a service whose socket is not open yet.
    *
-   * @param datagramBytes of the largest packet
+   * @param datagramBytes maximum bytes of a packet, without the name of the fleet
    */
   public MembershipService(
       Membership membership, PacketCodec codec, InetSocketAddress bindAddress, int datagramBytes) {
@@ -82,7 +82,7 @@
   @Override
   public void onDatagram(InetSocketAddress sender, ByteBuffer bytes) {
     String address = NumericAddress.format(sender);
-    if (!limiter.tryTake(membership.hasLiveAddress(address))) {
+    if (!limiter.tryAcquire(membership.hasLiveAddress(address))) {
       flooded++;
       return;
     }
@@ -92,20 +92,20 @@
     if (packet.isEmpty()) {
       malformed++;
     } else {
-      membership.onPacket(now, packet.get());
+      membership.onPacket(nowUs, packet.get());
       hasChanged = true;
     }
   }
 
-  /** Datagrams are about to be handled. */
+  /** Sets the time for the datagrams of this iteration, which are handled next. */
   public void beforeEvents(long nowUs) {
-    now = nowUs;
+    this.nowUs = nowUs;
     limiter.refill(nowUs);
   }
 
-  /** Sends what is due. */
+  /** Does the periodic work that is due, sends the queued packets, and logs changes. */
   public void afterEvents(long nowUs) {
-    now = nowUs;
+    this.nowUs = nowUs;
     if (nowUs >= membership.nextDueUs()) {
       membership.onTime(nowUs);
       hasChanged = true;
@@ -135,7 +135,7 @@
       MemberState state = member.record().state();
       states.put(name, state);
       if (loggedStates.get(name) != state && changes.size() < MAX_LOGGED_CHANGES) {
-        changes.add(name + " " + word(state));
+        changes.add(name + " " + stateName(state));
       }
     }
     loggedStates.clear();
@@ -146,22 +146,25 @@
     }
   }
 
-  /** Tells others that this member leaves. */
+  /** Announces to other members that this one leaves. */
   public void leave(long nowUs) {
     membership.leave(nowUs);
     sendPackets();
   }
 
-  /** When membership next has something to do, in microseconds. */
+  /** The time at which {@link #afterEvents} has to be called, in microseconds. */
   public long nextDueUs() {
     return membership.nextDueUs();
   }
 
-  private static String word(MemberState state) {
+  private static String stateName(MemberState state) {
     return state.name().toLowerCase(Locale.ROOT);
   }
 
-  /** As JSON, for operators: who we are, whom we hold for what since when, and what was counted. */
+  /**
+   * The membership as JSON, for operators: this member, each other member with its state and the
+   * time spent in it, and the counters.
+   */
   public byte[] view() {
     Map<String, Object> view = new LinkedHashMap<>();
     Map<String, Object> self = row(membership.self());
@@ -170,7 +173,7 @@
     List<Object> members = new ArrayList<>();
     for (Member member : membership.members()) {
       Map<String, Object> row = row(member.record());
-      row.put("for_ms", Math.max(0, now - member.sinceUs()) / MICROS_PER_MILLI);
+      row.put("for_ms", Math.max(0, nowUs - member.sinceUs()) / MICROS_PER_MILLI);
       members.add(row);
     }
     view.put("members", members);
@@ -178,7 +181,7 @@
     try {
       return JSON.std.asString(view).getBytes(StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new IllegalStateException(e); // into memory nothing fails
+      throw new IllegalStateException(e); // not expected, as the JSON is written to memory
     }
   }
 
@@ -205,7 +208,7 @@
   private static Map<String, Object> row(MemberRecord record) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("name", record.name());
-    row.put("state", word(record.state()));
+    row.put("state", stateName(record.state()));
     row.put("zone", record.zone());
     row.put("address", record.address());
     row.put("boot", record.boot());
--- a/sidecar/src/main/java/dillcross/net/membership/PacketCodec.java
+++ b/sidecar/src/main/java/dillcross/net/membership/PacketCodec.java
@@ -12,57 +12,58 @@
 import java.util.Optional;
 
 /**
- * Packets among sidecars as CBOR: a map of short names, lists below it. A name, or an item at the
- * end of a list, that is not known is skipped, so a later version may add both. What is malformed
- * in any other way is no packet.
+ * Encodes the packets of the membership protocol as CBOR: a map with the keys of {@link
+ * PacketKeys}, in which records and payloads are arrays of fixed order. The decoder skips unknown
+ * keys and unknown items at the end of an array, so that a later version can add both. Input that
+ * is malformed in any other way is rejected.
  */
 public final class PacketCodec {
-  /** Raised only where older readers would misread. */
+  /** The version of the format, raised only for a change that older decoders would misread. */
   static final int VERSION = 1;
 
   private static final int RECORD_FIELDS = 7;
   private static final int PAYLOAD_FIELDS = 5;
-  private static final int FRAME_BYTES = 64;
+  private static final int FRAME_BYTES = 64; // the name of the fleet and framing
 
   private final CBORFactory cbor =
       CBORFactory.builder().enable(CBORGenerator.Feature.WRITE_MINIMAL_INTS).build();
   private final String fleet;
 
-  /** {@code fleet} names who belongs together; packets of another are malformed here. */
+  /** Creates a codec for one fleet; packets that name another fleet are rejected. */
   public PacketCodec(String fleet) {
     this.fleet = fleet;
   }
 
-  /** The bytes of a packet. */
+  /** Encodes a packet, together with the name of the fleet. */
   public byte[] encode(Packet packet) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(packet.size() + FRAME_BYTES);
     try (JsonGenerator out = cbor.createGenerator(bytes)) {
       write(out, packet);
     } catch (IOException e) {
-      throw new IllegalStateException(e); // into memory nothing fails
+      throw new IllegalStateException(e); // not expected, as the packet is written to memory
     }
     return bytes.toByteArray();
   }
 
-  @SuppressWarnings("EnumOrdinal") // the order of the kinds is that of the wire
+  @SuppressWarnings("EnumOrdinal") // the wire carries ordinals of kinds
   private void write(JsonGenerator out, Packet packet) throws IOException {
     out.writeStartObject();
-    out.writeNumberField("v", VERSION);
-    out.writeStringField("n", fleet);
-    out.writeNumberField("k", packet.kind().ordinal());
-    out.writeNumberField("s", packet.sequence());
-    out.writeFieldName("f");
+    out.writeNumberField(PacketKeys.VERSION, VERSION);
+    out.writeStringField(PacketKeys.FLEET, fleet);
+    out.writeNumberField(PacketKeys.KIND, packet.kind().ordinal());
+    out.writeNumberField(PacketKeys.SEQUENCE, packet.sequence());
+    out.writeFieldName(PacketKeys.SENDER);
     write(out, packet.sender());
-    if (packet.about() != null) {
-      out.writeFieldName("a");
-      write(out, packet.about());
+    if (packet.target() != null) {
+      out.writeFieldName(PacketKeys.TARGET);
+      write(out, packet.target());
     }
     if (packet.digest().length > 0) {
-      out.writeFieldName("d");
+      out.writeFieldName(PacketKeys.DIGEST);
       out.writeArray(packet.digest(), 0, packet.digest().length);
     }
     if (!packet.records().isEmpty()) {
-      out.writeFieldName("c");
+      out.writeFieldName(PacketKeys.RECORDS);
       out.writeStartArray(packet.records(), packet.records().size());
       for (MemberRecord record : packet.records()) {
         write(out, record);
@@ -70,7 +71,7 @@
       out.writeEndArray();
     }
     if (!packet.payloads().isEmpty()) {
-      out.writeFieldName("p");
+      out.writeFieldName(PacketKeys.PAYLOADS);
       out.writeStartArray(packet.payloads(), packet.payloads().size());
       for (Payload payload : packet.payloads()) {
         write(out, payload);
@@ -80,7 +81,7 @@
     out.writeEndObject();
   }
 
-  @SuppressWarnings("EnumOrdinal") // the order of the states is that of the wire
+  @SuppressWarnings("EnumOrdinal") // the wire carries ordinals of states
   private static void write(JsonGenerator out, MemberRecord record) throws IOException {
     out.writeStartArray(record, RECORD_FIELDS);
     out.writeString(record.name());
@@ -103,11 +104,11 @@
     out.writeEndArray();
   }
 
-  /** The packet in these bytes; empty where there is none of this fleet. */
+  /** Decodes a packet; empty if the bytes are malformed or the packet is of another fleet. */
   public Optional<Packet> decode(byte[] bytes, int offset, int length) {
     try (JsonParser in = cbor.createParser(bytes, offset, length)) {
       return Optional.of(new PacketReader(in, fleet).read());
-    } catch (IOException | RuntimeException malformed) { // the parser throws either at noise
+    } catch (IOException | RuntimeException malformed) { // the parser throws either for garbage
       return Optional.empty();
     }
   }
--- a/sidecar/src/main/java/dillcross/net/membership/PacketReader.java
+++ b/sidecar/src/main/java/dillcross/net/membership/PacketReader.java
@@ -12,15 +12,16 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads one packet; throws {@link IOException} where it is malformed. */
+/** Reads one packet from CBOR; throws {@link IOException} if it is malformed. */
 final class PacketReader {
   private static final char DELETE = 0x7f; // the first ASCII character that is not printable
-  private static final int MAX_ITEMS = 256;
+  private static final int MAX_ITEMS = 256; // records, and likewise payloads, of one packet
   private static final int MAX_DIGEST_BUCKETS = 64;
-  private static final int MAX_DEPTH = 8;
+  private static final int MAX_DEPTH = 8; // nesting within a skipped value
   private static final int MAX_NAME_LENGTH = 64;
   private static final int MAX_ADDRESS_LENGTH = 56;
-  private static final int MAX_SMALL_NUMBER = 1 << 20;
+  private static final int MAX_SMALL_NUMBER =
+      1 << 20; // for versions of the format and payload types
   private static final Packet.Kind[] KINDS = Packet.Kind.values();
   private static final MemberState[] STATES = MemberState.values();
 
@@ -30,11 +31,11 @@
   private final List<Payload> payloads = new ArrayList<>();
   private long version;
   private String senderFleet;
-  private int kind = -1;
+  private int kind = -1; // until the packet names its kind
   private long sequence;
   private MemberRecord sender;
-  private MemberRecord about;
-  private int[] digest = new int[0];
+  private MemberRecord target; // null if the packet has none
+  private int[] digest = new int[0]; // empty if the packet has none
 
   PacketReader(JsonParser in, String fleet) {
     this.in = in;
@@ -51,20 +52,20 @@
     check(in.currentToken() == JsonToken.END_OBJECT);
     check(version == PacketCodec.VERSION && fleet.equals(senderFleet));
     check(kind >= 0 && sender != null);
-    return new Packet(KINDS[kind], sequence, sender, about, digest, records, payloads);
+    return new Packet(KINDS[kind], sequence, sender, target, digest, records, payloads);
   }
 
   private void readField(String name) throws IOException {
     switch (name) {
-      case "v" -> version = number(1, MAX_SMALL_NUMBER);
-      case "n" -> senderFleet = text(MAX_NAME_LENGTH);
-      case "k" -> kind = (int) number(0, KINDS.length - 1);
-      case "s" -> sequence = number(0, Long.MAX_VALUE);
-      case "f" -> sender = record();
-      case "a" -> about = record();
-      case "d" -> digest = digest();
-      case "c" -> readRecords();
-      case "p" -> readPayloads();
+      case PacketKeys.VERSION -> version = number(1, MAX_SMALL_NUMBER);
+      case PacketKeys.FLEET -> senderFleet = text(MAX_NAME_LENGTH);
+      case PacketKeys.KIND -> kind = (int) number(0, KINDS.length - 1);
+      case PacketKeys.SEQUENCE -> sequence = number(0, Long.MAX_VALUE);
+      case PacketKeys.SENDER -> sender = record();
+      case PacketKeys.TARGET -> target = record();
+      case PacketKeys.DIGEST -> digest = digest();
+      case PacketKeys.RECORDS -> readRecords();
+      case PacketKeys.PAYLOADS -> readPayloads();
       default -> skip();
     }
   }
@@ -124,7 +125,7 @@
     return Arrays.copyOf(sums, count);
   }
 
-  /** Skips what a later version added to a list. */
+  /** Skips the items that a later version has added at the end of the current array. */
   private void skipToEnd() throws IOException {
     while (in.nextToken() != JsonToken.END_ARRAY) {
       check(in.currentToken() != null);
@@ -132,6 +133,7 @@
     }
   }
 
+  /** Skips the current value, with all that is nested in it. */
   private void skip() throws IOException {
     int depth = in.currentToken() != null && in.currentToken().isStructStart() ? 1 : 0;
     while (depth > 0) {
--- a/sidecar/src/main/java/dillcross/net/membership/package-info.java
+++ b/sidecar/src/main/java/dillcross/net/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sends and receives the datagrams of membership, and encodes its packets. Belongs to the selector
- * thread. The protocol itself is in {@link dillcross.membership}, which has no I/O.
+ * Sends and receives the datagrams of the membership protocol, and encodes its packets. Belongs to
+ * the selector thread. The protocol itself is in {@link dillcross.membership}, which has no I/O.
  */
 package dillcross.net.membership;
--- a/sidecar/src/test/java/dillcross/membership/MembershipTest.java
+++ b/sidecar/src/test/java/dillcross/membership/MembershipTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** One membership, "a", that the test feeds packets of other members. */
+/** Tests one membership, named "a", which receives packets of other members from the test. */
 class MembershipTest {
   private static final long SECOND_US = 1_000_000;
   private static final long TICK_US = 10_000;
@@ -132,7 +132,7 @@
     assertState(MemberState.ALIVE, "b");
   }
 
-  /** A member that requests all that is known a hundred times a second. */
+  /** Another member sends a digest of zeros, which requests the whole table, every 10 ms. */
   @Test
   void keepsPacketSizeAndBytesPerSecondWithinTheirLimits() {
     receive(LIVE_B, Packet.Kind.ACK, liveRecords("member-with-a-long-name-", 90));
--- a/sidecar/src/test/java/dillcross/net/membership/PacketCodecTest.java
+++ b/sidecar/src/test/java/dillcross/net/membership/PacketCodecTest.java
@@ -19,66 +19,67 @@
 import org.junit.jupiter.api.Test;
 
 class PacketCodecTest {
-  private static final MemberRecord ONE =
+  private static final MemberRecord MEMBER =
       new MemberRecord(
           "s1", "127.0.0.1:7001", "east", 1L << 60, Long.MAX_VALUE, MemberState.SUSPECT, "s2");
-  private static final Packet FULL =
+  private static final Packet PACKET =
       new Packet(
           Packet.Kind.DELTA,
           Long.MAX_VALUE,
-          ONE,
-          ONE,
+          MEMBER,
+          MEMBER,
           new int[] {1, -1, Integer.MIN_VALUE},
-          List.of(ONE, ONE),
+          List.of(MEMBER, MEMBER),
           List.of(new Payload("s3", 1L << 60, 7, Long.MAX_VALUE, new byte[Payload.MAX_BYTES])));
   private final PacketCodec codec = new PacketCodec("east-fleet");
 
-  private Packet read(byte[] bytes) {
+  private Packet decode(byte[] bytes) {
     return codec.decode(bytes, 0, bytes.length).orElse(null);
   }
 
   @Test
-  void whatIsWrittenIsReadAndTakesNoMoreThanItSays() {
-    byte[] bytes = codec.encode(FULL);
-    Packet read = read(bytes);
-    assertEquals(FULL.records(), read.records());
-    assertEquals(FULL.about(), read.about());
-    assertEquals(FULL.sequence(), read.sequence());
-    assertArrayEquals(FULL.digest(), read.digest());
-    assertArrayEquals(FULL.payloads().get(0).bytes(), read.payloads().get(0).bytes());
+  void decodesEncodedPacketOfAtMostItsStatedSize() {
+    byte[] bytes = codec.encode(PACKET);
+    Packet decoded = decode(bytes);
+    assertEquals(PACKET.records(), decoded.records());
+    assertEquals(PACKET.target(), decoded.target());
+    assertEquals(PACKET.sequence(), decoded.sequence());
+    assertArrayEquals(PACKET.digest(), decoded.digest());
+    assertArrayEquals(PACKET.payloads().get(0).bytes(), decoded.payloads().get(0).bytes());
     assertTrue(
-        bytes.length <= FULL.size() + "east-fleet".length(), bytes.length + " of " + FULL.size());
+        bytes.length <= PACKET.size() + "east-fleet".length(),
+        bytes.length + " of " + PACKET.size());
   }
 
   @Test
-  void cutOffOrChangedBytesAreNoPacketOrAnotherOneAndNeverAFault() {
-    byte[] bytes = codec.encode(FULL);
+  void rejectsTruncatedPacketAndNeverThrowsForCorruptedOne() {
+    byte[] bytes = codec.encode(PACKET);
     for (int i = 0; i < bytes.length; i++) {
-      assertNull(read(Arrays.copyOf(bytes, i)), "cut after " + i);
+      assertNull(decode(Arrays.copyOf(bytes, i)), "truncated to " + i + " bytes");
     }
     Random random = new Random(5);
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i < 20_000; i++) {
       byte[] changed = bytes.clone();
       for (int k = 0; k < 1 + i % 4; k++) {
         changed[random.nextInt(changed.length)] = (byte) random.nextInt();
       }
-      taken += read(changed) != null ? 1 : 0;
+      accepted += decode(changed) != null ? 1 : 0;
       byte[] noise = new byte[i % 300];
       random.nextBytes(noise);
-      assertNull(read(noise));
+      assertNull(decode(noise));
     }
-    assertTrue(taken < 16_000, "most changes are seen: " + taken);
+    assertTrue(accepted < 16_000, "corrupted packets that were accepted, of 20,000: " + accepted);
   }
 
   @Test
-  void anotherFleetsPacketIsNone() {
-    byte[] bytes = new PacketCodec("other").encode(FULL);
-    assertNull(read(bytes));
+  void rejectsPacketOfAnotherFleet() {
+    byte[] bytes = new PacketCodec("other").encode(PACKET);
+    assertNull(decode(bytes));
   }
 
   @Test
-  void whatALaterVersionAddsIsPassedOver() throws Exception {
+  void skipsKeysAndItemsOfLaterVersion() throws Exception {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
       out.writeStartObject();
@@ -107,9 +108,9 @@
       out.writeEndArray();
       out.writeEndObject();
     }
-    Packet read = read(bytes.toByteArray());
-    assertNotNull(read);
-    assertEquals("s1", read.sender().name());
-    assertEquals(4, read.sequence());
+    Packet decoded = decode(bytes.toByteArray());
+    assertNotNull(decoded);
+    assertEquals("s1", decoded.sender().name());
+    assertEquals(4, decoded.sequence());
   }
 }
