--- a/sidecar/src/main/java/dillcross/cli/DescriptorLimit.java
+++ b/sidecar/src/main/java/dillcross/cli/DescriptorLimit.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.logging.Logger;
 
-/** The soft limit of open file descriptors of this process. */
+/** Reads the soft limit on the number of file descriptors that this process may open. */
 final class DescriptorLimit {
   private static final Path LIMITS = Path.of("/proc/self/limits");
   private static final String OPEN_FILES = "Max open files";
@@ -13,7 +13,7 @@
 
   private DescriptorLimit() {}
 
-  /** The limit; {@link Integer#MAX_VALUE} where it is unlimited or unknown. */
+  /** The limit; {@link Integer#MAX_VALUE} if there is none or it cannot be read. */
   static int read() {
     try {
       for (String line : Files.readAllLines(LIMITS)) {
@@ -23,7 +23,7 @@
         }
       }
     } catch (IOException | NumberFormatException e) {
-      LOG.fine("descriptor limit unknown: " + e);
+      LOG.fine("limit on open file descriptors could not be read, none is assumed: " + e);
     }
     return Integer.MAX_VALUE;
   }
--- a/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
@@ -38,7 +38,7 @@
       mixinStandardHelpOptions = true,
       versionProvider = Version.class,
       description =
-          "Host many instances of the decision module on the simulator's wire (stdin, stdout).")
+          "Host many instances of the decision module for the simulator, on stdin and stdout.")
   int simhost() throws IOException {
     OutputStream stdout = new FileOutputStream(FileDescriptor.out);
     try (OutputStream out = new BufferedOutputStream(stdout, OUTPUT_BUFFER_BYTES)) {
@@ -54,7 +54,7 @@
       name = "serve",
       mixinStandardHelpOptions = true,
       versionProvider = Version.class,
-      description = "Run one sidecar: listen for clients, send to endpoints, follow the list.")
+      description = "Run one sidecar, which forwards clients' requests to endpoints.")
   int serve(
       @Option(
               names = "--config",
@@ -67,7 +67,7 @@
               names = "--operator",
               paramLabel = "FILE",
               description =
-                  "What operators switch on, as TOML (default: $NODE_OPERATOR; without it all of it is off).")
+                  "Operator settings as TOML (default: $NODE_OPERATOR; if that is not set, all are off).")
           String operator,
       @Option(names = "--clock-shift-ms", paramLabel = "MS", hidden = true, defaultValue = "0")
           long shiftMs)
@@ -79,22 +79,30 @@
       name = "members",
       mixinStandardHelpOptions = true,
       versionProvider = Version.class,
-      description = "Show the other members that a running sidecar knows of.",
+      description = "Show the members that a running sidecar knows.",
       exitCodeListHeading = "%nExit status:%n",
-      exitCodeList = {"0:shown", "1:no answer, or it knows of no others", "2:faulty input"})
+      exitCodeList = {
+        "0:members shown",
+        "1:no answer, or membership is off there",
+        "2:invalid address or option"
+      })
   int members(
-      @Parameters(paramLabel = "ADDR", description = "Its admin endpoint (admin_addr).")
+      @Parameters(paramLabel = "ADDR", description = "Address and port of its admin endpoint.")
           String admin,
-      @Option(names = "--json", description = "As the admin endpoint gives it.") boolean json) {
+      @Option(names = "--json", description = "Print the JSON of the admin endpoint.")
+          boolean json) {
     return MembersCommand.show(admin, json, System.out, System.err);
   }
 
-  /** Created on first use: its initialisation costs CPU time that a simulator run is billed for. */
+  /**
+   * The logger, created on first use: a run under the simulator is billed for the CPU time of its
+   * initialisation.
+   */
   private static Logger log() {
     return Logger.getLogger(DillcrossCommand.class.getName());
   }
 
-  /** The version, from a resource that the build writes. */
+  /** Reads the version of the program from a resource that the build writes. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() throws IOException {
--- a/sidecar/src/main/java/dillcross/cli/MembersCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/MembersCommand.java
@@ -30,11 +30,12 @@
   private MembersCommand() {}
 
   /**
-   * Prints the members.
+   * Prints the members, or an error message.
    *
-   * @param adminAddress of the sidecar's admin endpoint
-   * @param json whether to print the response as it is and not as a table
-   * @return the exit status: 0 shown, 1 no response or no membership there, 2 an invalid address
+   * @param adminAddress numeric address and port of the sidecar's admin endpoint
+   * @param json whether to print the JSON of the response and not a table
+   * @return the exit status: 0 if members were shown, 1 if the endpoint did not respond or has no
+   *     membership, 2 for an invalid address
    */
   static int show(String adminAddress, boolean json, PrintStream out, PrintStream err) {
     if (NumericAddress.parse(adminAddress).isEmpty()) {
@@ -49,7 +50,7 @@
                 + adminAddress
                 + " shows no members ("
                 + response.statusCode()
-                + "): membership is off there, or it is no admin endpoint");
+                + "): membership is off there, or this is not an admin endpoint");
         return EXIT_NO_MEMBERS;
       }
       print(response.body(), json, out);
@@ -90,7 +91,7 @@
     }
     int[] widths = columnWidths(rows);
     rows.forEach(row -> out.println(line(row, widths)));
-    out.println("health " + self.get("health") + " (0 is well); " + view.get("counts"));
+    out.println("health " + self.get("health") + " (0 is healthy); " + view.get("counts"));
   }
 
   private static List<String> row(Map<?, ?> member, String state, String timeInState) {
--- a/sidecar/src/main/java/dillcross/cli/ReloadSignal.java
+++ b/sidecar/src/main/java/dillcross/cli/ReloadSignal.java
@@ -7,8 +7,8 @@
 import java.util.logging.Logger;
 
 /**
- * SIGHUP, which asks for a reload of the configuration. Java has no public API for this signal, and
- * the compiler warns of the internal one, so that is reached by reflection.
+ * Handles SIGHUP, which asks for a reload of the configuration. Java has no public API for signals,
+ * and the compiler warns about the internal API, so that is called by reflection.
  */
 final class ReloadSignal {
   private static final String SIGNAL_NAME = "HUP";
@@ -17,8 +17,8 @@
   private ReloadSignal() {}
 
   /**
-   * Runs the action at each SIGHUP, on a thread of the JVM. Without a handler the signal ends the
-   * process; where none can be installed, a warning is logged.
+   * Installs a handler that runs the action at each SIGHUP, on a thread of the JVM. If the handler
+   * cannot be installed, a warning is logged, and a SIGHUP ends the process.
    */
   static void onSignal(Runnable action) {
     try {
@@ -28,11 +28,11 @@
       Object handler = handler(action, signalClass, handlerClass);
       signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, signal, handler);
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
-      LOG.warning("SIGHUP handler not installed, SIGHUP would end the process: " + e);
+      LOG.warning("SIGHUP handler could not be installed, a SIGHUP will end the process: " + e);
     }
   }
 
-  /** An instance of the handler interface that runs the action and ignores the signal's number. */
+  /** Implements the handler interface by the action, which ignores the signal that is passed. */
   private static Object handler(Runnable action, Class<?> signalClass, Class<?> handlerClass)
       throws ReflectiveOperationException {
     MethodHandle run =
--- a/sidecar/src/main/java/dillcross/cli/ServeCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/ServeCommand.java
@@ -31,7 +31,7 @@
 final class ServeCommand {
   private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
   private static final int WARM_UP_REQUESTS = 120;
-  private static final int HEAP_TO_BUFFERS_RATIO = 4; // at least
+  private static final int HEAP_TO_BUFFERS_RATIO = 4; // buffers take a quarter of the heap at most
   private static final int MICROS_PER_MILLI = 1000;
   private static final int NANOS_PER_MICRO = 1000;
   private static final int EXIT_CANNOT_START = 1;
@@ -49,7 +49,7 @@
     clock = clock(clockShiftUs);
   }
 
-  /** The file of the command line, else that of the environment; empty where it is not named. */
+  /** The operator file: the option's, else the environment's; empty if neither names one. */
   private static Optional<String> operatorFile(String fileOption) {
     if (fileOption == null) {
       return EnvironmentVariables.operatorFile(System.getenv());
@@ -65,10 +65,11 @@
   /**
    * Runs a sidecar.
    *
-   * @param file the configuration file; null where the environment names it
-   * @param operatorFile the operators' file; null where the environment may name it
+   * @param file path of the configuration file; null if the environment names it
+   * @param operatorFile path of the operator file; empty for none, null if the environment may name
+   *     it
    * @param checkOnly whether to return once the sidecar is ready
-   * @param clockShiftMs added to the wall clock, in milliseconds, for tests of clock skew
+   * @param clockShiftMs offset added to the wall clock, in milliseconds, for tests of clock skew
    * @return the exit status: 0 after a check, 1 if it can't start, 2 for an invalid configuration
    */
   static int run(String file, String operatorFile, boolean checkOnly, long clockShiftMs)
@@ -126,13 +127,14 @@
             settings,
             config.discoveryAddress(),
             limits);
-    membership.ifPresent(member -> server.join(service(member, clock.getAsLong())));
+    membership.ifPresent(member -> server.join(membershipService(member, clock.getAsLong())));
     if (!config.pollsDiscovery()) {
       server.requireFirstList();
     }
     return server;
   }
 
+  /** Runs the code that serves a request before clients connect, as code is slow at first. */
   private void warmUpCode() {
     LoadBalancer balancer = new LoadBalancer(0, config.settings().balancer());
     WarmUp.run(balancer, config.settings().balancer().requestClasses());
@@ -146,7 +148,7 @@
     }
   }
 
-  private MembershipService service(MembershipConfig member, long bootUs) {
+  private MembershipService membershipService(MembershipConfig member, long bootUs) {
     long seed = config.seed() ^ bootUs ^ member.name().hashCode();
     MemberRecord self =
         new MemberRecord(
@@ -199,12 +201,12 @@
             + "; discovery "
             + (hasMoved ? "moved to " : "still at ")
             + next.discoveryAddress()
-            + (restartOnly.isEmpty() ? "" : "; taken on by a restart only: " + restartOnly));
+            + (restartOnly.isEmpty() ? "" : "; not applied until a restart: " + restartOnly));
   }
 
   /**
-   * Microseconds since 1970, the unit and epoch of start times in the endpoint list. The wall clock
-   * is read once, so that the result never goes back.
+   * A clock in microseconds since 1970, the epoch of the start times in the endpoint list. The wall
+   * clock is read only once, so that the time never goes back.
    */
   private static LongSupplier clock(long shiftUs) {
     long startUs = System.currentTimeMillis() * MICROS_PER_MILLI + shiftUs;
--- a/sidecar/src/test/java/dillcross/cli/ReloadIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ReloadIT.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Covers the configuration at the start and after SIGHUP; see {@link ServeCommand}. */
+/** Covers how the configuration is read at the start and after SIGHUP; see {@link ServeCommand}. */
 class ReloadIT extends SidecarFixture {
-  /** Open connections are kept; the new discovery service is asked for a complete list. */
+  /** A reload keeps open connections, and asks the new discovery service for a complete list. */
   @Test
   void reloadMovesDiscoveryAndIgnoresInvalidFiles() throws Exception {
     TestDiscovery newDiscovery = open(new TestDiscovery());
@@ -38,8 +38,8 @@
 
     assertTrue(
         newDiscovery.requests.get(0).contains("since=0"),
-        "its versions may differ: " + newDiscovery.requests);
-    assertEquals("200", statusOf(readResponse(socket)), "the request that was open is answered");
+        "versions of the new service may differ: " + newDiscovery.requests);
+    assertEquals("200", statusOf(readResponse(socket)), "the open request is answered");
     for (int i = 0; i < 10; i++) {
       assertEquals("200", statusOf(exchange(socket, request("/read/after"))));
     }
@@ -64,7 +64,7 @@
             .replace(discovery.address(), newDiscoveryAddress));
   }
 
-  /** With requests in flight: each gets one answer, and none runs twice. */
+  /** Requests that are in flight during a reload get one response each, and none runs twice. */
   @Test
   void reloadChangesSettingsBackAndForth() throws Exception {
     String pay =
@@ -84,7 +84,7 @@
     assertEquals("404", statusOfNewClient(request("/read/ok")), "the class was removed");
     assertEquals("200", statusOfNewClient(request("/pay/ok")));
     reloadWithRequestsInFlight(newConfig, oldConfig, "/view/slow");
-    assertEquals("200", statusOfNewClient(request("/read/ok")), "the class is there again");
+    assertEquals("200", statusOfNewClient(request("/read/ok")), "the class was added again");
     assertEquals("200", statusOfNewClient(request("/pay/ok")));
 
     reload("\"idempotent\"", "\"sometimes\"");
@@ -95,7 +95,7 @@
     sidecar.awaitLogLine(
         "settings unchanged; discovery still at "
             + discovery.address()
-            + "; taken on by a restart only: limits");
+            + "; not applied until a restart: limits");
   }
 
   private void reloadWithRequestsInFlight(String config, String nextConfig, String idempotentPath)
@@ -114,8 +114,9 @@
 
     for (Socket client : clients) {
       assertTrue(
-          List.of("200", "502", "503").contains(statusOf(readResponse(client))), "one answer each");
-      assertEquals(0, client.getInputStream().available(), "and no second one");
+          List.of("200", "502", "503").contains(statusOf(readResponse(client))),
+          "one response each");
+      assertEquals(0, client.getInputStream().available(), "no second response");
     }
     countReceivedOnce("/pay/slow", endpointA, endpointB);
   }
