--- a/sidecar/src/test/java/dillcross/cli/AdminEndpointIT.java
+++ b/sidecar/src/test/java/dillcross/cli/AdminEndpointIT.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Covers the calls of operators; see {@link dillcross.net.admin.AdminEndpoint}. */
+/** Covers calls to the admin endpoint; see {@link dillcross.net.admin.AdminEndpoint}. */
 class AdminEndpointIT extends SidecarFixture {
   private static final String ANY_PORT = "127.0.0.1:0";
 
@@ -29,11 +29,14 @@
     Socket socket = connect(sidecar.adminPort);
     String request = call.contains(" ") ? call + " HTTP/1.1\r\nHost: a\r\n\r\n" : call;
     String response = exchange(socket, request);
-    assertEquals(-1, socket.getInputStream().read(), "one call for each connection");
+    assertEquals(-1, socket.getInputStream().read(), "the connection serves one call only");
     return response;
   }
 
-  /** Incomplete calls make room for new ones, and clients reach none of the admin paths. */
+  /**
+   * The oldest incomplete calls are closed to make room for new ones, and the admin paths are not
+   * served to clients.
+   */
   @Test
   void servesOnlyOperatorsCalls() throws Exception {
     startWithAdminEndpoint();
@@ -62,20 +65,23 @@
       assertEquals(status.equals("405"), response.contains("allow: "), response);
     }
 
-    assertEquals(-1, incompleteCalls.get(0).getInputStream().read(), "the oldest has been closed");
+    assertEquals(
+        -1,
+        incompleteCalls.get(0).getInputStream().read(),
+        "the oldest incomplete call was closed");
     assertEquals("404", statusOfNewClient("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"));
     assertEquals(
         "404", statusOfNewClient("POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"));
     String response = exchange(connect(), request("/read/ok"));
     assertTrue(
         statusOf(response).equals("200") && !response.contains("connection: close"),
-        "no call started a drain: " + response);
+        "none of the calls started a drain: " + response);
     assertEquals(1, endpointA.requests.size());
   }
 
   /**
-   * While it drains, health checks fail, requests are still served, and connections close once they
-   * are idle.
+   * While the sidecar drains, health checks fail, requests are still served, and connections are
+   * closed once they are idle. Resuming ends that.
    */
   @Test
   void drainsAndResumes() throws Exception {
@@ -92,14 +98,14 @@
       assertEquals("200", statusOf(callAdmin("POST /-/drain")), "a second call changes nothing");
 
       assertEquals("503", statusOfNewClient(HEALTH_CHECK));
-      assertEquals("200", statusOf(callAdmin("GET /-/ready")), "it can still serve");
+      assertEquals("200", statusOf(callAdmin("GET /-/ready")), "readiness does not change");
       for (Socket client : List.of(connect(), reused)) {
         String response = exchange(client, request("/read/ok"));
         assertTrue(
             statusOf(response).equals("200") && response.contains("connection: close"), response);
         assertEquals(-1, client.getInputStream().read());
       }
-      assertEquals("200", statusOf(readResponse(busy)), "the request that was open is answered");
+      assertEquals("200", statusOf(readResponse(busy)), "the open request is answered");
       assertEquals(-1, idle.getInputStream().read(), "idle connections are closed");
 
       assertEquals("200", statusOf(callAdmin("POST /-/resume")));
--- a/sidecar/src/test/java/dillcross/cli/BodyRelayIT.java
+++ b/sidecar/src/test/java/dillcross/cli/BodyRelayIT.java
@@ -51,7 +51,10 @@
     assertEquals(20, endpointA.requestCounts.get("/read/large"));
   }
 
-  /** All together are larger than the heap; half are sent in chunks, and one client reads late. */
+  /**
+   * All bodies together are larger than the heap; half of them are sent in chunks, and one client
+   * reads its response late.
+   */
   @Test
   void relaysLargeBodiesInBothDirections() throws Exception {
     EchoEndpoint echo = open(new EchoEndpoint());
@@ -77,7 +80,7 @@
     try {
       byte[] body = new byte[LARGE_BODY_BYTES];
       new Random(client).nextBytes(body);
-      Socket socket = connect(); // only now: the sidecar closes a connection that is silent for 2 s
+      Socket socket = connect(); // only now, as the sidecar closes connections silent for 2 s
       sendLargeBody(socket, client, body);
       String head = readHead(socket.getInputStream());
       if (client == CLIENTS - 1) {
@@ -145,7 +148,7 @@
     assertTrue(
         rest.chars().filter(character -> character == 'x').count() == TestEndpoint.BROKEN_BODY_BYTES
             && !rest.endsWith("0\r\n\r\n"),
-        "all that the endpoint sent, without a regular end");
+        "the client gets all that the endpoint sent, without a regular end");
     assertEquals(behaviour.equals("brokenlength"), head.contains("content-length: 900000"), head);
 
     Socket http10 = connect();
--- a/sidecar/src/test/java/dillcross/cli/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ClientConnectionsIT.java
@@ -26,7 +26,7 @@
  * dillcross.net.client.ClientListener}.
  */
 class ClientConnectionsIT extends SidecarFixture {
-  /** More than a connection's buffer holds. Each is answered in its order. */
+  /** The pipelined requests are larger than the buffer of a connection. */
   @Test
   void answersPipelinedRequestsInOrder() throws Exception {
     startWithEndpointA();
@@ -36,7 +36,7 @@
       int length = kilobytes * 1000;
       requests.append(withBody(request("/buy/" + kilobytes, 5000), length, "b".repeat(length)));
     }
-    int lastBytes = 5000; // from within the fourth, most of which is buffered by then
+    int lastBytes = 5000; // the fourth request is split, and most of it buffered by then
     int split = requests.length() - lastBytes;
 
     send(socket, requests.substring(0, split));
@@ -91,10 +91,10 @@
     assertTrue(status.startsWith("4") && !status.equals("429"), response);
     assertEquals(-1, socket.getInputStream().read(), "the connection is closed");
     assertTrue(endpointA.requests.isEmpty());
-    assertEquals("200", statusOfNewClient(request("/read/ok")), "others are still served");
+    assertEquals("200", statusOfNewClient(request("/read/ok")), "other clients are still served");
   }
 
-  /** The response belongs to the client that sent the id first. */
+  /** An id is refused while a request with it is open, whose client gets the only response. */
   @Test
   void refusesRequestIdThatIsInUse() throws Exception {
     startWithEndpointA();
@@ -106,7 +106,10 @@
     assertEquals("400", statusOfNewClient(request));
 
     assertEquals("200", statusOf(readResponse(first)));
-    assertEquals("200", statusOf(exchange(first, request)), "free again once it is answered");
+    assertEquals(
+        "200",
+        statusOf(exchange(first, request)),
+        "the id is free again once the request is answered");
     assertEquals(2, endpointA.requestCounts.get("/read/slow"));
   }
 
@@ -126,7 +129,7 @@
     }
 
     Socket late = connect();
-    late.setSoTimeout(8000); // before the others are closed for their silence
+    late.setSoTimeout(8000); // before silent connections are closed
     assertEquals("200", statusOf(exchange(late, request("/read/ok"))));
     assertEquals(
         "200",
@@ -176,10 +179,11 @@
 
     String response = exchange(incomplete, "GET /read/ok HTTP/1.1\r\nHost");
     assertEquals("408", statusOf(response), response);
-    assertEquals(-1, incomplete.getInputStream().read(), "and it is closed");
+    assertEquals(
+        -1, incomplete.getInputStream().read(), "the incomplete request's connection is closed");
     assertEquals(-1, silent.getInputStream().read());
 
-    // What the client still sends must not reset the connection before it has read the error.
+    // Bytes that the client still sends must not reset the connection before it reads the error.
     String tooLarge = "POST /buy/x HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n";
     response = exchange(connect(), tooLarge + "x".repeat(400_000));
     assertEquals("413", statusOf(response), response);
@@ -187,7 +191,10 @@
     assertEquals(2, endpointA.requests.size());
   }
 
-  /** They need more memory than there is: each is served or rejected, and the sidecar survives. */
+  /**
+   * The requests need more memory than the sidecar may use: each is served or rejected, and the
+   * sidecar keeps running.
+   */
   @Test
   void boundsMemoryUnderManyLargeRequests() throws Exception {
     startAndAwaitReady(new TestConfig(entryOfA()).maxSockets(1024));
@@ -216,12 +223,12 @@
     try {
       String status = statusOf(exchange(client, "x"));
       long elapsedNs = System.nanoTime() - startNs;
-      boolean wasSlow = elapsedNs > TimeUnit.SECONDS.toNanos(2); // a busy machine; 408 is right
+      boolean wasSlow = elapsedNs > TimeUnit.SECONDS.toNanos(2); // on a busy machine 408 is right
       assertTrue(
           List.of("200", "503", "closed").contains(status) || (wasSlow && status.equals("408")),
           status);
     } catch (SocketException rejected) {
-      client.close(); // before its last byte
+      client.close(); // the sidecar rejected the request before its last byte
     }
   }
 
--- a/sidecar/src/test/java/dillcross/cli/CrossingFixture.java
+++ b/sidecar/src/test/java/dillcross/cli/CrossingFixture.java
@@ -9,19 +9,20 @@
 import java.nio.file.Path;
 
 /**
- * Forces two events to cross on real sockets: by a process that is suspended while both occur, or
- * by a {@link LateEndpoint}. The pairs of events are listed in {@code docs/crossings.md}.
+ * Forces two events to cross on real sockets: the sidecar is suspended while both occur, or a
+ * {@link LateEndpoint} keeps an attempt waiting for its connection. The pairs of events are listed
+ * in {@code docs/crossings.md}.
  */
 abstract class CrossingFixture extends SidecarFixture {
   /** Longer than any test, so that an attempt waits for its connection. */
   static final int LONG_TIMEOUT_MS = 100_000;
 
-  /** The timeout of requests that are to wait. */
+  /** The timeout of requests that wait for most of a test. */
   static final int REQUEST_TIMEOUT_MS = 90_000;
 
   private static final int LONG_OBJECTIVE_MS = 20_000;
 
-  /** State of a TCP connection as {@code /proc/net/tcp} shows it. */
+  /** A state of a TCP connection, with its code in {@code /proc/net/tcp}. */
   enum TcpState {
     ESTABLISHED("01"),
     SYN_SENT("02"),
@@ -34,7 +35,7 @@
     }
   }
 
-  /** Suspends the program, and resumes it after {@code task}, whose events it finds all at once. */
+  /** Runs {@code task} while the sidecar is suspended, so that it finds all events at once. */
   void whileSuspended(BackgroundTask task) throws Exception {
     sidecar.signal("STOP");
     while (!isSuspended()) {
@@ -49,22 +50,22 @@
     return status.replaceAll("(?s).*\\) ", "").startsWith("T");
   }
 
-  /** Waits until the shutdown has begun. */
+  /** Waits until the sidecar has begun to shut down, which fails its health checks. */
   void awaitShutdown() throws Exception {
     await(() -> statusOfNewClient(HEALTH_CHECK).equals("503"));
   }
 
-  /** How many connections the sidecar has accepted that are in that state. */
+  /** The number of connections in that state that the sidecar has accepted from clients. */
   long countClientConnections(TcpState state) throws IOException {
     return countConnections(1, sidecar.port, state);
   }
 
-  /** How many connections the sidecar has opened to that port that are in that state. */
+  /** The number of connections in that state that the sidecar has opened to that port. */
   static long countConnectionsTo(int port, TcpState state) throws IOException {
     return countConnections(2, port, state);
   }
 
-  /** Counts IPv4 sockets, as the program has them and this test does not. */
+  /** Counts IPv4 sockets only: those of the sidecar are, those of this test are not. */
   private static long countConnections(int addressField, int port, TcpState state)
       throws IOException {
     String portSuffix = String.format(":%04X", port);
@@ -86,14 +87,14 @@
                 == 0);
   }
 
-  /** A late endpoint, to be closed after the test. */
+  /** Opens a late endpoint, which is closed after the test. */
   LateEndpoint openLateEndpoint() throws IOException {
     LateEndpoint endpoint = new LateEndpoint();
     toClose.add(endpoint);
     return endpoint;
   }
 
-  /** Waits until the sidecar connects to the endpoint. */
+  /** Waits until a connect of the sidecar to the endpoint is in progress. */
   static void awaitConnect(LateEndpoint endpoint) throws Exception {
     await(() -> countConnectionsTo(endpoint.port(), TcpState.SYN_SENT) > 0);
   }
@@ -106,7 +107,7 @@
         .latencyObjectiveMs(LONG_OBJECTIVE_MS);
   }
 
-  /** Ends a client's connection: "closes", "resets" or "half-closes". */
+  /** Disconnects a client in one of three ways: "closes", "resets" or "half-closes". */
   static void disconnect(Socket socket, String how) throws IOException {
     switch (how) {
       case "half-closes" -> socket.shutdownOutput();
@@ -118,7 +119,7 @@
     }
   }
 
-  /** Sends all of a request but its last byte; returns that byte. */
+  /** Sends a request without its last byte; returns that byte. */
   static String sendAllButLastByte(Socket socket, String request) throws IOException {
     int last = request.length() - 1;
     send(socket, request.substring(0, last));
--- a/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Covers clients that disconnect while their request is on its way: it must not reach an endpoint;
- * see {@link dillcross.sidecar.RequestCoordinator}.
+ * Covers clients that disconnect before their request was sent to an endpoint: it must not be sent
+ * after that; see {@link dillcross.sidecar.RequestCoordinator}.
  */
 class DisconnectCrossingIT extends CrossingFixture {
-  /** The request and its disconnect become readable together. */
+  /** The sidecar reads the request and the client's disconnect at the same time. */
   @ParameterizedTest
   @ValueSource(strings = {"closes", "resets", "half-closes"})
   void doesNotSendRequestWhoseClientHasDisconnected(String how) throws Exception {
@@ -36,7 +36,7 @@
           }
         });
 
-    assertEquals("200", statusOfNewClient(request("/read/ok"))); // accepted after all of those
+    assertEquals("200", statusOfNewClient(request("/read/ok"))); // its connection is the last one
     awaitConnectionReuse();
     assertEquals(List.of("/read/ok"), endpointA.requestPaths());
   }
@@ -44,8 +44,8 @@
   /**
    * The connection that the request waits for is established after the client has disconnected.
    *
-   * @param extraBytes how much the client has sent behind its request; below 0, the length of the
-   *     request's own body, which is streamed
+   * @param extraBytes bytes that the client has sent behind its request; if negative, the request
+   *     has a body of that length, which is streamed
    */
   @ParameterizedTest
   @CsvSource({
@@ -99,7 +99,7 @@
     return request("/read/gone", REQUEST_TIMEOUT_MS) + "x".repeat(extraBytes);
   }
 
-  /** The concurrency limit is reached, and one request waits until another has ended. */
+  /** One request waits at the concurrency limit when its client disconnects. */
   @ParameterizedTest
   @CsvSource({"closes,true", "closes,false", "resets,true", "half-closes,true"})
   void doesNotSendAfterDisconnectInQueue(String how, boolean cancellable) throws Exception {
@@ -137,7 +137,7 @@
     return "/read/" + client + "then";
   }
 
-  /** The clients that have an answer, filled as answers arrive. */
+  /** Reads responses on other threads; the returned set fills with the clients that have one. */
   private static Set<Integer> collectAnswered(List<Socket> clients) {
     Set<Integer> answered = ConcurrentHashMap.newKeySet();
     for (int i = 0; i < clients.size(); i++) {
@@ -151,7 +151,7 @@
     return answered;
   }
 
-  /** The first endpoint is overloaded, and the retry waits for its connection. */
+  /** Endpoint A rejects the request; its retry at endpoint B waits for a connection. */
   @ParameterizedTest
   @CsvSource({"closes,true", "closes,false", "resets,false", "half-closes,true"})
   void doesNotRetryAfterDisconnect(String how, boolean cancellable) throws Exception {
--- a/sidecar/src/test/java/dillcross/cli/DiscoveryCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/DiscoveryCrossingIT.java
@@ -19,14 +19,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Covers calls to discovery that cross with failures, moves and the start; see {@link
- * dillcross.net.discovery.DiscoveryClient}.
+ * Covers calls to discovery that cross with failures, with a change of its address, and with the
+ * start of the sidecar; see {@link dillcross.net.discovery.DiscoveryClient}.
  */
 class DiscoveryCrossingIT extends CrossingFixture {
-  /** Below the 2 s without a request after which an idle connection may be closed. */
+  /** Less than the 2 s after which a connection without a request may be closed. */
   private static final int KEEP_IN_USE_INTERVAL_MS = 400;
 
-  /** A second reply to one call must not be read as the reply to the next, which has a drain. */
+  /**
+   * A second reply to one call must not be read as the reply to the next call, which tells of a
+   * drain.
+   */
   @Test
   void ignoresSecondReplyToOneCall() throws Exception {
     String unchanged = response(200, "", "{\"version\":1,\"full\":false,\"servers\":[]}");
@@ -41,7 +44,7 @@
     assertEquals(2, discovery.acceptedConnections.get(), "the next call has a new connection");
   }
 
-  /** The list in the configuration may be old. */
+  /** The first list from discovery is awaited, as that in the configuration may be outdated. */
   @Test
   void awaitsFirstPushedListBeforeItIsReady() throws Exception {
     String list =
@@ -80,12 +83,12 @@
     start(new TestConfig(entryOfA()), List.of("prlimit", "--nofile=256:256"), Map.of());
     sidecar.awaitReady();
     Socket regular = connect();
-    for (int i = 0; i < 3; i++) { // a client with one request only may have to make room
+    for (int i = 0; i < 3; i++) { // a client with a single request may be disconnected
       assertEquals("200", statusOf(exchange(regular, request("/read/before"))));
     }
     for (int i = 0; i < 400; i++) {
       connect();
-      if (i % 8 == 0) { // a connection that is idle for 2 s may have to make room
+      if (i % 8 == 0) { // a connection without a request for 2 s may be closed
         assertEquals("200", statusOf(exchange(regular, request("/read/meanwhile"))));
       }
     }
@@ -100,7 +103,7 @@
     assertEquals(1, endpointB.requestCounts.get("/read/after"));
   }
 
-  /** A thousand endpoints in an indented list, shared by a thousand sidecars. */
+  /** An indented list of 1024 endpoints, which are shared by 1024 sidecars. */
   @Test
   void acceptsLongListAndKeepsItWhenNextIsTooLong() throws Exception {
     String longest = response(200, "", indentedList(7, 1024, endpointB.address()));
@@ -143,8 +146,8 @@
   }
 
   /**
-   * After a failed call, or at a new address, a call must not be held open for long: changes that
-   * were missed are soon assumed to be known.
+   * After a failed call, or at a new address, discovery must not hold the next call open for long:
+   * the sidecar may have missed changes that it is soon assumed to know.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
--- a/sidecar/src/test/java/dillcross/cli/EchoEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/EchoEndpoint.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** An endpoint that returns each body, in chunks where the path starts with {@code /buy/echo1}. */
+/** An endpoint that returns the body of each request, in chunks for paths with {@code /echo1}. */
 final class EchoEndpoint extends LoopbackServer {
   @Override
   void serve(Socket socket) throws Exception {
--- a/sidecar/src/test/java/dillcross/cli/EndpointConnectionsIT.java
+++ b/sidecar/src/test/java/dillcross/cli/EndpointConnectionsIT.java
@@ -43,7 +43,10 @@
     assertTrue(eighth.startsWith("GET /read/7?q=1 HTTP/1.1\r\n"), eighth);
   }
 
-  /** After a network partition, connections older than an abandoned attempt may be dead. */
+  /**
+   * When an attempt is abandoned, idle connections on which nothing has arrived since it was sent
+   * are closed: after a network partition they may be dead too.
+   */
   @Test
   void closesConnectionsOlderThanAnAbandonedAttempt() throws Exception {
     startWithEndpointA();
@@ -61,7 +64,10 @@
     assertEquals(3, endpointA.acceptedConnections.get());
   }
 
-  /** A request written while the endpoint closes the connection might have run. */
+  /**
+   * The sidecar closes idle connections first: if the endpoint closed one while a request is
+   * written to it, the request might have run.
+   */
   @Test
   void closesIdleConnectionBeforeEndpointDoes() throws Exception {
     startAndAwaitReady(new TestConfig(entryOfA()).keepAliveMs(300));
@@ -89,7 +95,7 @@
       assertEquals(i + 1, endpointA.acceptedConnections.get());
     }
 
-    await(() -> countDescriptors() <= descriptorsBefore + 1); // one may close at the next select
+    await(() -> countDescriptors() <= descriptorsBefore + 1); // one may be closed later
   }
 
   private long countDescriptors() throws IOException {
--- a/sidecar/src/test/java/dillcross/cli/EndpointListCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/EndpointListCrossingIT.java
@@ -21,10 +21,10 @@
  * {@link dillcross.net.endpoint.AttemptExecutor}.
  */
 class EndpointListCrossingIT extends CrossingFixture {
-  /** Until what was written has arrived over loopback. */
+  /** The time within which data that was written has arrived over loopback. */
   private static final int LOOPBACK_DELAY_MS = 20;
 
-  /** The request goes to an endpoint that is in service by then, or is rejected. */
+  /** The request goes to another endpoint that is in service, or is rejected. */
   @ParameterizedTest
   @ValueSource(strings = {"terminating", "terminated", "moved", "restarted"})
   void doesNotSendToEndpointThatChangedDuringConnect(String change) throws Exception {
@@ -38,8 +38,10 @@
     Socket connection = endpoint.acceptWaiting();
 
     assertEquals(
-        "", readMessage(connection.getInputStream()), "its endpoint is no longer the same");
-    boolean hasOther = change.startsWith("term"); // an endpoint is tried once for each request
+        "",
+        readMessage(connection.getInputStream()),
+        "nothing is sent to the endpoint that has changed");
+    boolean hasOther = change.startsWith("term"); // no second attempt goes to endpoint a
     assertEquals(hasOther ? "200" : "503", statusOf(readResponse(client)));
     assertEquals(hasOther ? 1 : 0, endpointB.requests.size());
   }
--- a/sidecar/src/test/java/dillcross/cli/EndpointListIT.java
+++ b/sidecar/src/test/java/dillcross/cli/EndpointListIT.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Covers how the endpoint list is followed, and calls to discovery that fail; see {@link
+ * Covers how the sidecar follows the endpoint list, and calls to discovery that fail; see {@link
  * dillcross.net.discovery.DiscoveryClient}.
  */
 class EndpointListIT extends SidecarFixture {
--- a/sidecar/src/test/java/dillcross/cli/ForwardingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ForwardingIT.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Covers what becomes of a request for each way in which an endpoint may respond; see {@link
- * dillcross.net.endpoint.AttemptExecutor}.
+ * Covers the response that a client gets for each way in which an endpoint may respond or fail; see
+ * {@link dillcross.net.endpoint.AttemptExecutor}.
  */
 class ForwardingIT extends SidecarFixture {
-  /** For a request class that is deduplicated within the endpoint's own cell only. */
+  /** The request is of a class that is deduplicated within the cell of the endpoint only. */
   @ParameterizedTest
   @CsvSource({
     "ok,200",
@@ -54,13 +54,16 @@
       assertTrue(response.endsWith("\r\n\r\n" + TestEndpoint.BODY), response);
     }
     String nextStatus;
-    do { // rejected for a moment while the load balancer avoids the endpoint
+    do { // requests are rejected for a moment, while the load balancer avoids the endpoint
       nextStatus = statusOf(exchange(socket, request("/read/ok")));
     } while (nextStatus.equals("503"));
-    assertEquals("200", nextStatus, "the connection and the sidecar still serve");
+    assertEquals("200", nextStatus, "the client's connection is still served");
   }
 
-  /** The request may have run, so it fails; its connection is closed and nothing is forwarded. */
+  /**
+   * A malformed response fails the request, which may have run. The connection to the endpoint is
+   * closed, and nothing of the response is forwarded.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"noise", "endless", "huge"})
   void failsAtOnceOnMalformedResponse(String behaviour) throws Exception {
@@ -75,7 +78,10 @@
     assertEquals(2, endpointA.acceptedConnections.get());
   }
 
-  /** Bytes behind a complete response, with it or later, must not answer the next request. */
+  /**
+   * Bytes that follow a complete response, at once or later, must not be taken for the response to
+   * the next request.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"twice", "late"})
   void ignoresBytesBehindAResponse(String behaviour) throws Exception {
--- a/sidecar/src/test/java/dillcross/cli/HttpMessages.java
+++ b/sidecar/src/test/java/dillcross/cli/HttpMessages.java
@@ -19,7 +19,7 @@
 
   private HttpMessages() {}
 
-  /** A response with that body and these further header fields, each with its line end. */
+  /** A response with a body; {@code fields} are further header lines, each with its line end. */
   static String response(int status, String fields, String body) {
     return "HTTP/1.1 "
         + status
@@ -36,18 +36,18 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Sends a request and reads its response; "" where the connection was closed first. */
+  /** Sends a request and reads its response; "" if the connection was closed before it. */
   static String exchange(Socket socket, String request) throws IOException {
     send(socket, request);
     return readMessage(socket.getInputStream());
   }
 
-  /** Reads the response on a connection; "" where the connection was closed first. */
+  /** Reads the response on a connection; "" if the connection was closed before it. */
   static String readResponse(Socket socket) throws IOException {
     return readMessage(socket.getInputStream());
   }
 
-  /** Reads a head and the body of its Content-Length; "" where the connection was closed first. */
+  /** Reads a head, and a body by its Content-Length; "" if the connection was closed before it. */
   static String readMessage(InputStream in) throws IOException {
     String head = readHead(in);
     Matcher length = CONTENT_LENGTH.matcher(head);
@@ -58,7 +58,7 @@
     return head + new String(body, StandardCharsets.ISO_8859_1);
   }
 
-  /** Reads a head with the empty line after it, or what there is of it before the end. */
+  /** Reads a head with the empty line after it; incomplete if the connection was closed early. */
   static String readHead(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf(END_OF_HEAD) < 0) {
@@ -71,7 +71,7 @@
     return head.toString();
   }
 
-  /** Reads the body that follows a head, by its length or in chunks. */
+  /** Reads the body that follows a head, by its Content-Length or else in chunks. */
   static byte[] readBody(InputStream in, String head) throws IOException {
     Matcher length = CONTENT_LENGTH.matcher(head);
     if (length.find()) {
@@ -97,7 +97,7 @@
     return line.toString();
   }
 
-  /** The status code of a response; "closed" for none. */
+  /** The status code of a response; "closed" for an empty one. */
   static String statusOf(String response) {
     return response.isEmpty() ? "closed" : response.split(" ")[1];
   }
--- a/sidecar/src/test/java/dillcross/cli/LateEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/LateEndpoint.java
@@ -16,20 +16,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An endpoint whose queue of connections is full until a test drains it, so that an attempt to it
- * waits for its connection.
+ * An endpoint whose accept queue is full until a test drains it, so that an attempt waits for its
+ * connection to be established.
  */
 final class LateEndpoint implements AutoCloseable {
-  private static final int FILLING_CONNECTIONS = 2;
+  private static final int FILLING_CONNECTIONS = 2; // a queue of length 1 holds two
   private static final int READ_TIMEOUT_MS = 20_000;
 
-  /** The path of each request, oldest first. */
+  /** The paths of the requests received, oldest first. */
   final List<String> requestPaths = Collections.synchronizedList(new ArrayList<>());
 
   private final ServerSocket server;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-  /** Binds a free port and fills its queue. */
+  /** Binds a free port and fills the accept queue. */
   LateEndpoint() throws IOException {
     server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     for (int i = 0; i < FILLING_CONNECTIONS; i++) {
@@ -37,24 +37,24 @@
     }
   }
 
-  /** Its numeric address with the port. */
+  /** The numeric address and port of this endpoint. */
   String address() {
     return "127.0.0.1:" + port();
   }
 
-  /** The port it listens on. */
+  /** The port on which this endpoint listens. */
   int port() {
     return server.getLocalPort();
   }
 
-  /** Takes the connections that fill the queue, so that the sidecar's can come up. */
+  /** Accepts the connections that fill the queue, so that the sidecar's can be established. */
   void drainQueue() throws IOException {
     for (int i = 0; i < FILLING_CONNECTIONS; i++) {
       server.accept().close();
     }
   }
 
-  /** Drains the queue, and accepts the connection that waited. */
+  /** Drains the queue, and accepts the connection that waited for it. */
   Socket acceptWaiting() throws IOException {
     drainQueue();
     return accept();
--- a/sidecar/src/test/java/dillcross/cli/LoopbackServer.java
+++ b/sidecar/src/test/java/dillcross/cli/LoopbackServer.java
@@ -14,15 +14,15 @@
 abstract class LoopbackServer implements AutoCloseable {
   private static final int BACKLOG = 200;
 
-  /** Every message it received, oldest first. */
+  /** The messages that this server received, oldest first. */
   final List<String> requests = Collections.synchronizedList(new ArrayList<>());
 
-  /** How many connections it has accepted. */
+  /** The number of connections that this server has accepted. */
   final AtomicInteger acceptedConnections = new AtomicInteger();
 
   private final ServerSocket server;
 
-  /** Binds a free port; accepts nothing before {@link #start}. */
+  /** Binds a free port; connections are accepted only after {@link #start}. */
   LoopbackServer() {
     try {
       server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -49,15 +49,15 @@
     }
   }
 
-  /** Answers the messages of one connection until one side is to close it. */
+  /** Answers the messages of one connection, which is closed once this method returns. */
   abstract void serve(Socket socket) throws Exception;
 
-  /** Its numeric address with the port. */
+  /** The numeric address and port of this server. */
   String address() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** The path of each request, oldest first. */
+  /** The paths of the requests received, oldest first. */
   List<String> requestPaths() {
     return requests.stream().map(HttpMessages::pathOf).toList();
   }
--- a/sidecar/src/test/java/dillcross/cli/ShutdownCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ShutdownCrossingIT.java
@@ -21,7 +21,7 @@
  * dillcross.net.admin.Lifecycle}.
  */
 class ShutdownCrossingIT extends CrossingFixture {
-  /** The listening socket closes while they wait in its queue. */
+  /** The listening socket is closed while the connections wait in its accept queue. */
   @Test
   void answersRequestsOnConnectionsThatWaitToBeAccepted() throws Exception {
     startWithEndpointA();
@@ -31,7 +31,7 @@
 
     whileSuspended(
         () -> {
-          Thread.sleep(700); // past the time at which it closes the listening socket
+          Thread.sleep(700); // until after the listening socket is due to be closed
           for (int i = 0; i < 30; i++) {
             Socket client = connect();
             send(client, request("/read/ok"));
@@ -48,7 +48,7 @@
     assertTrue(sidecar.exitsInTime());
   }
 
-  /** Before the process is killed, although its endpoint never responds. */
+  /** The response comes before the process would be killed, although no endpoint responds. */
   @Test
   void answersRequestThatIsCompletedLateInShutdown() throws Exception {
     startWithEndpointA();
@@ -68,7 +68,7 @@
     assertTrue(System.nanoTime() - startNs > TimeUnit.MILLISECONDS.toNanos(1200));
   }
 
-  /** Also after a call to discovery has failed. */
+  /** Endpoint lists are followed during a shutdown, also after a call to discovery has failed. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void followsEndpointListUntilLastAttempt(boolean discoveryFails) throws Exception {
@@ -103,13 +103,16 @@
 
     sidecar.signal("TERM");
 
-    assertEquals(-1, silent.getInputStream().read(), "closed once no new request is accepted");
+    assertEquals(
+        -1,
+        silent.getInputStream().read(),
+        "a silent connection is closed once no new request is accepted");
     send(incomplete, request.substring(20));
     assertEquals("200", statusOf(readResponse(incomplete)));
     assertTrue(sidecar.exitsInTime());
   }
 
-  /** It exits without an error and is never ready. */
+  /** Two SIGTERMs during the start: the process exits without an error. */
   @Test
   void stopsWhenSignalledBeforeItIsReady() throws Exception {
     start(new TestConfig(entryOfA()).adminAddress("127.0.0.1:0"));
--- a/sidecar/src/test/java/dillcross/cli/ShutdownIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ShutdownIT.java
@@ -31,8 +31,8 @@
  */
 class ShutdownIT extends SidecarFixture {
   /**
-   * Opens the listening socket and starts the program on it, and starts it a second time once the
-   * file exists that its first argument names.
+   * A Perl script that opens a listening socket and starts the program with it as descriptor 0.
+   * Once the file exists that the first argument names, the script starts a second such process.
    */
   private static final String PARENT_PROCESS =
       """
@@ -55,7 +55,10 @@
   private final AtomicInteger closedUnanswered = new AtomicInteger();
   private final AtomicBoolean isTestOver = new AtomicBoolean();
 
-  /** Under a steady stream of requests each is answered once, and none runs twice. */
+  /**
+   * Clients send requests throughout the takeover: each gets one response, but at most two
+   * connections are closed without one, and none runs twice.
+   */
   @Test
   void secondProcessTakesOverInheritedSocket() throws Exception {
     Path startSecond = folder.resolve("go");
@@ -78,7 +81,7 @@
     int firstAdminPort = sidecar.adminPort;
     Files.createFile(startSecond);
     sidecar.awaitReady();
-    assertTrue(sidecar.adminPort != firstAdminPort, "each has its own admin endpoint");
+    assertTrue(sidecar.adminPort != firstAdminPort, "each process has its own admin endpoint");
     ProcessHandle first = ProcessHandle.of(firstPid).orElseThrow();
     assertTrue(first.isAlive() && first.destroy()); // SIGTERM
     first.onExit().get();
@@ -94,7 +97,7 @@
     assertEquals("200", statusOf(exchange(connect(clientPort), HEALTH_CHECK)));
     Socket admin = connect(sidecar.adminPort);
     String ready = exchange(admin, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    assertEquals(-1, admin.getInputStream().read(), "one call for each connection");
+    assertEquals(-1, admin.getInputStream().read(), "the connection serves one call only");
     assertEquals("200", statusOf(ready));
   }
 
@@ -127,7 +130,10 @@
     assertTrue(log.contains("can't start: NODE_FD names no listening socket"), log);
   }
 
-  /** It accepts on, answers all that it has accepted, and closes each connection after that. */
+  /**
+   * After SIGTERM the sidecar still accepts requests for a while, answers all of them, and closes
+   * each connection.
+   */
   @Test
   void shutdownAnswersAllRequests() throws Exception {
     startWithEndpointA();
--- a/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
@@ -34,7 +34,7 @@
   private static final int READ_TIMEOUT_MS = 20_000;
   private static final int POLL_INTERVAL_MS = 2;
 
-  /** After which a connection that has just carried a response may be reused. */
+  /** The time after a response until its connection to the endpoint may be reused. */
   private static final int REUSE_DELAY_MS = 20;
 
   @TempDir Path folder;
@@ -43,27 +43,28 @@
   final TestEndpoint endpointA = open(new TestEndpoint());
   final TestEndpoint endpointB = open(new TestEndpoint());
   final TestDiscovery discovery = open(new TestDiscovery());
-  final AtomicInteger requestCount = new AtomicInteger();
+  final AtomicInteger requestCount =
+      new AtomicInteger(); // requests built so far; numbers their ids
   SidecarProcess sidecar;
 
-  /** Starts a server, to be closed after the test. */
+  /** Starts a server, which is closed after the test. */
   final <T extends LoopbackServer> T open(T server) {
     server.start();
     toClose.add(server);
     return server;
   }
 
-  /** Endpoint A in service, as an entry of the endpoint list. */
+  /** The list entry of endpoint A, in service. */
   String entryOfA() {
     return inService("a", endpointA.address());
   }
 
-  /** Endpoint B in service, as an entry of the endpoint list. */
+  /** The list entry of endpoint B, in service. */
   String entryOfB() {
     return inService("b", endpointB.address());
   }
 
-  /** Drains endpoint A and adds endpoint B, and waits until the sidecar has received that. */
+  /** Publishes that A drains and B is in service, and waits until the sidecar knows it. */
   void replaceAByB(TestDiscovery from) throws InterruptedException {
     from.publishAndAwait(entryOfB(), terminating("a", endpointA.address()));
   }
@@ -73,7 +74,7 @@
     return folder.resolve("config.json");
   }
 
-  /** Starts the sidecar without waiting for it. */
+  /** Starts the sidecar without waiting until it is ready. */
   void start(TestConfig config) throws IOException {
     start(config, List.of(), Map.of());
   }
@@ -107,12 +108,12 @@
     }
   }
 
-  /** A new connection of a client. */
+  /** Opens a connection to the sidecar's port for clients, which is closed after the test. */
   Socket connect() throws IOException {
     return connect(sidecar.port);
   }
 
-  /** A new connection to a port on loopback. */
+  /** Opens a connection to a port on loopback, which is closed after the test. */
   Socket connect(int port) throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setSoTimeout(READ_TIMEOUT_MS);
@@ -120,12 +121,12 @@
     return socket;
   }
 
-  /** A request of the class that the path names, with an id of its own and 2 s of time. */
+  /** A request of the class that the path names, with a new id and a timeout of 2 s. */
   String request(String path) {
     return request(path, DEFAULT_TIMEOUT_MS);
   }
 
-  /** A request of the class that the path names, with an id of its own. */
+  /** A request of the class that the path names, with a new id. */
   String request(String path, int timeoutMs) {
     String head =
         " HTTP/1.1\r\nHost: app\r\nRequest-Id: r"
@@ -138,13 +139,13 @@
         : "POST " + path + head + "Idempotency-Key: k9\r\nContent-Length: 3\r\n\r\nabc";
   }
 
-  /** A request with a body of the given length in place of the usual one. */
+  /** Replaces the body of a request; {@code length} is the Content-Length that it states. */
   static String withBody(String request, int length, String body) {
     return request.replace(
         "Content-Length: 3\r\n\r\nabc", "Content-Length: " + length + "\r\n\r\n" + body);
   }
 
-  /** The status of a request on a connection of its own. */
+  /** Sends a request on a new connection; returns the status of the response. */
   String statusOfNewClient(String request) throws IOException {
     return statusOf(exchange(connect(), request));
   }
@@ -160,26 +161,26 @@
     await(() -> endpointA.requestCounts.containsKey(path));
   }
 
-  /** Waits for a condition, without a limit of its own. */
+  /** Waits for a condition; only the timeout of the test limits the time. */
   static void await(Callable<Boolean> condition) throws Exception {
     while (!condition.call()) {
       Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
-  /** Waits until the connections to endpoints that carried a response may be reused. */
+  /** Waits until the sidecar may reuse the connections on which it got responses. */
   static void awaitConnectionReuse() throws InterruptedException {
     Thread.sleep(REUSE_DELAY_MS);
   }
 
-  /** Changes a part of the configuration file and has the sidecar reload it. */
+  /** Replaces a part of the configuration file, and has the sidecar reload it. */
   void reload(String target, String replacement) throws Exception {
     String config = Files.readString(configFile());
     Files.writeString(configFile(), config.replace(target, replacement));
     sidecar.signal("HUP");
   }
 
-  /** How many requests with that path the endpoints received; fails where one came twice. */
+  /** The number of requests with that path that the endpoints got; fails if an id came twice. */
   static long countReceivedOnce(String path, LoopbackServer... endpoints) {
     List<String> ids = new ArrayList<>();
     for (LoopbackServer endpoint : endpoints) {
--- a/sidecar/src/test/java/dillcross/cli/SidecarProcess.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarProcess.java
@@ -17,7 +17,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The built program as a process, with its log and the ports that it announces there. */
+/** A process of the built program, with its log and the ports that it announces there. */
 final class SidecarProcess {
   private static final Path DEPLOY_FILE = Path.of("../deploy/balancer.toml");
   private static final File WORKING_DIRECTORY = new File("..");
@@ -28,10 +28,10 @@
 
   final Process process;
 
-  /** Where it accepts clients, once it is ready. */
+  /** The port for clients; 0 until {@link #awaitReady} has returned. */
   int port;
 
-  /** Where its admin endpoint is, if the configuration opens one. */
+  /** The port of the admin endpoint; 0 until it is announced or if none is configured. */
   int adminPort;
 
   private final BufferedReader log;
@@ -43,10 +43,12 @@
   }
 
   /**
-   * Starts it by the command of the deploy file.
+   * Starts the program by the command of the deploy file.
    *
-   * @param launcher a command that starts the program, such as a limit on resources; may be empty
-   * @param environment variables beside the one that names the configuration file
+   * @param config the configuration file
+   * @param launcher a command in front of that of the program, such as {@code prlimit}; may be
+   *     empty
+   * @param environment variables in addition to the one that names the configuration file
    */
   static SidecarProcess start(Path config, List<String> launcher, Map<String, String> environment)
       throws IOException {
@@ -62,7 +64,7 @@
     return new SidecarProcess(builder.start());
   }
 
-  /** Reads the log until it says that the sidecar is ready. */
+  /** Reads the log, and the ports in it, until the sidecar is ready. */
   void awaitReady() throws IOException {
     String line = log.readLine();
     while (line != null) {
@@ -80,7 +82,7 @@
     throw new AssertionError("the sidecar ended before it was ready");
   }
 
-  /** Reads the log up to a line that contains this text. */
+  /** Reads the log up to a line that contains this text; fails if there is none. */
   void awaitLogLine(String text) throws IOException {
     String line;
     do {
@@ -89,28 +91,28 @@
     } while (!line.contains(text));
   }
 
-  /** Reads the rest of the log, until the program ends. */
+  /** Reads the lines that remain in the log until the program ends. */
   List<String> remainingLog() {
     return log.lines().toList();
   }
 
-  /** Sends it a signal, by its name without SIG. */
+  /** Sends the process a signal, named without SIG, such as {@code TERM}. */
   void signal(String name) throws Exception {
     String pid = String.valueOf(process.pid());
     assertEquals(0, new ProcessBuilder("kill", "-" + name, pid).start().waitFor());
   }
 
-  /** Whether it ends within 20 s. */
+  /** Waits up to 20 s for the process to end; returns whether it has ended. */
   boolean exitsInTime() throws InterruptedException {
     return process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  /** Its state as the kernel shows it, below {@code /proc}. */
+  /** A file of the process below {@code /proc}. */
   Path procFile(String name) {
     return Path.of("/proc", String.valueOf(process.pid()), name);
   }
 
-  /** Ends it at once, with all processes that it has started. */
+  /** Kills the process and all processes that it has started. */
   void kill() throws InterruptedException {
     process.descendants().forEach(ProcessHandle::destroyForcibly);
     process.destroyForcibly().waitFor();
--- a/sidecar/src/test/java/dillcross/cli/TestConfig.java
+++ b/sidecar/src/test/java/dillcross/cli/TestConfig.java
@@ -4,20 +4,21 @@
 import java.util.List;
 
 /**
- * The configuration file of a sidecar under test, as JSON. Unless a test says otherwise it has the
- * classes "read" (idempotent) and "buy" (deduplicated within a cell), both with deadlines of 2 s.
+ * The configuration file of a sidecar under test, as JSON. Unless a test changes it, it has the
+ * request classes "read" (idempotent) and "buy" (deduplicated within a cell), both with deadlines
+ * of 2 s.
  */
 final class TestConfig {
   private final List<String> endpoints;
   private final List<String> replacements = new ArrayList<>();
   private int maxSockets = 256;
 
-  /** A configuration that knows these endpoints; see {@link TestDiscovery}. */
+  /** Creates a configuration with these list entries of endpoints; see {@link TestDiscovery}. */
   TestConfig(String... endpoints) {
     this.endpoints = List.of(endpoints);
   }
 
-  /** Limits how many sockets the sidecar may open. */
+  /** Sets the maximum number of sockets that the sidecar may open. */
   TestConfig maxSockets(int maxSockets) {
     this.maxSockets = maxSockets;
     return this;
@@ -33,32 +34,32 @@
     return replace("\"target_latency_ms\":400", "\"target_latency_ms\":" + objectiveMs);
   }
 
-  /** Sets how long a connect may take. */
+  /** Sets the timeout of connects to endpoints. */
   TestConfig connectTimeoutMs(int timeoutMs) {
     return replace("\"connect_timeout_ms\":250", "\"connect_timeout_ms\":" + timeoutMs);
   }
 
-  /** Sets after how long endpoints close idle connections. */
+  /** Sets the time after which endpoints close idle connections. */
   TestConfig keepAliveMs(int keepAliveMs) {
     return replace("\"keepalive_ms\":9000", "\"keepalive_ms\":" + keepAliveMs);
   }
 
-  /** Says whether attempts may be cancelled. */
+  /** Sets whether attempts may be cancelled. */
   TestConfig cancellable(boolean cancellable) {
     return replace("\"cancel\":true", "\"cancel\":" + cancellable);
   }
 
-  /** Sets how many sidecars share the endpoints. */
+  /** Sets the number of sidecars that share the endpoints. */
   TestConfig instanceCount(int instanceCount) {
     return replace("\"balancers\":1", "\"balancers\":" + instanceCount);
   }
 
-  /** Has the endpoint list pushed in place of polled. */
+  /** Makes discovery push the endpoint list; without this, the sidecar polls it. */
   TestConfig pushedEndpointList() {
     return replace("\"locality\"", "\"discovery\":\"automatic\",\"locality\"");
   }
 
-  /** Opens the admin endpoint, at port 0 on a free port. */
+  /** Opens the admin endpoint at this address; port 0 stands for any free port. */
   TestConfig adminAddress(String address) {
     return replace("\"seed\"", "\"admin_addr\":\"" + address + "\",\"seed\"");
   }
@@ -75,7 +76,7 @@
     return this;
   }
 
-  /** The file, for a sidecar that uses this discovery service. */
+  /** The content of the file, for a sidecar that uses the discovery service at this address. */
   String toJson(String discoveryAddress) {
     String json =
         "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
--- a/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
+++ b/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
@@ -15,40 +15,40 @@
 
 /** A discovery service that holds watches open until a test publishes endpoints. */
 final class TestDiscovery extends LoopbackServer {
-  /** A scripted reply that keeps the call open for good. */
+  /** A scripted reply that never answers the call. */
   static final String SILENCE = "silent";
 
   private static final String DELAY_PREFIX = "later";
   private static final long REPLY_DELAY_MS = 400;
 
-  /** Replies to the next calls, in place of the endpoint list. */
+  /** HTTP responses to the next calls, one each, in place of the endpoint list. */
   final List<String> scriptedReplies = Collections.synchronizedList(new ArrayList<>());
 
-  private String entries = ""; // what changed in the version below
+  private String entries = ""; // JSON of the endpoints that changed in that version
   private int version = 1;
-  private int requestedVersion; // which the last watch had
+  private int requestedVersion; // the version that the last watch had already
 
-  /** A scripted reply with a delay of 0.4 s. */
+  /** A scripted reply that is sent after 0.4 s. */
   static String delayed(String reply) {
     return DELAY_PREFIX + reply;
   }
 
-  /** One endpoint that takes requests. */
+  /** The list entry of an endpoint that accepts requests. */
   static String inService(String id, String address) {
     return entry(id, "in_service", address);
   }
 
-  /** One endpoint that shuts down gracefully. */
+  /** The list entry of an endpoint that drains. */
   static String terminating(String id, String address) {
     return entry(id, "terminating", address);
   }
 
-  /** One endpoint that is removed. */
+  /** The list entry that removes an endpoint. */
   static String terminated(String id, String address) {
     return entry(id, "terminated", address);
   }
 
-  /** One endpoint as JSON, in a state of the discovery protocol. */
+  /** The list entry of an endpoint as JSON, in a state of the discovery protocol. */
   static String entry(String id, String state, String address) {
     return "{\"id\":\""
         + id
@@ -59,14 +59,14 @@
         + "\",\"weight\":1.0,\"started_ms\":0}";
   }
 
-  /** Publishes a new version of the endpoint list with these changes. */
+  /** Publishes a new version of the endpoint list, in which these entries have changed. */
   synchronized void publish(String... changedEntries) {
     entries = String.join(",", changedEntries);
     version++;
     notifyAll();
   }
 
-  /** As {@link #publish}, and waits until the sidecar has asked for the version after it. */
+  /** Publishes these changes, and waits until the sidecar asks for the version after them. */
   synchronized void publishAndAwait(String... changedEntries) throws InterruptedException {
     publish(changedEntries);
     while (requestedVersion < version) {
--- a/sidecar/src/test/java/dillcross/cli/TestEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/TestEndpoint.java
@@ -23,20 +23,20 @@
   /** The length of the body of {@code /large}. */
   static final int LARGE_BODY_BYTES = 400_000;
 
-  /** What a response that breaks off brings of its body. */
+  /** The length of the part of its body that a truncated response has. */
   static final int BROKEN_BODY_BYTES = 80_000;
 
   private static final long SLOW_RESPONSE_MS = 700;
   private static final long SECOND_RESPONSE_DELAY_MS = 300;
 
-  /** Responses that break off, or after which the connection is closed. */
+  /** Path segments for which the connection is closed after the response, if there is one. */
   private static final Set<String> CLOSE_AFTER =
       Set.of("cut", "reset", "garbled", "brokenlength", "brokenchunks");
 
-  /** How often each path was requested. */
+  /** The number of requests by path. */
   final Map<String, Integer> requestCounts = new ConcurrentHashMap<>();
 
-  /** Opens the way for responses to paths that end in {@code then}. */
+  /** Holds back the responses to paths that end in {@code then} until it is counted down. */
   final CountDownLatch released = new CountDownLatch(1);
 
   /** Reaches zero once {@code /late} has sent its second response. */
