--- a/sidecar/src/test/java/dillcross/cli/CrossingFixture.java
+++ b/sidecar/src/test/java/dillcross/cli/CrossingFixture.java
@@ -14,7 +14,7 @@
  * in {@code docs/crossings.md}.
  */
 abstract class CrossingFixture extends SidecarFixture {
-  /** Longer than any test, so that an attempt waits for its connection. */
+  /** A timeout longer than any test, so that an attempt waits for its connection. */
   static final int LONG_TIMEOUT_MS = 100_000;
 
   /** The timeout of requests that wait for most of a test. */
--- a/sidecar/src/test/java/dillcross/cli/TestEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/TestEndpoint.java
@@ -17,7 +17,7 @@
  * instance {@code /read/500}; any other segment gets a plain success.
  */
 final class TestEndpoint extends LoopbackServer {
-  /** The body of its successful responses. */
+  /** The body of a plain success. */
   static final String BODY = "caf\u00e9 \u0001 body";
 
   /** The length of the body of {@code /large}. */
@@ -39,7 +39,7 @@
   /** Holds back the responses to paths that end in {@code then} until it is counted down. */
   final CountDownLatch released = new CountDownLatch(1);
 
-  /** Reaches zero once {@code /late} has sent its second response. */
+  /** Counted down once the second response to {@code /late} was sent. */
   final CountDownLatch secondResponseSent = new CountDownLatch(1);
 
   @Override
