--- a/sidecar/src/main/java/dillcross/model/Decision.java
+++ b/sidecar/src/main/java/dillcross/model/Decision.java
@@ -1,8 +1,8 @@
 package dillcross.model;
 
 /**
- * A command of the load balancer to its host, to be executed in the order in which decisions are
- * taken. Immutable; {@link #accept} dispatches by its kind.
+ * A command of the load balancer to its host. The host executes commands in the order in which it
+ * receives them. Immutable; {@link #accept} dispatches by kind.
  */
 public sealed interface Decision {
   /** Calls the method of {@code handler} for this kind of decision. */
@@ -13,10 +13,12 @@
     /** Send the request to an endpoint. */
     void onSendAttempt(SendAttempt decision);
 
-    /** Give the client its final answer: rejected, a retry by the client is safe. */
+    /**
+     * Give the client its final answer: the request was rejected, a retry by the client is safe.
+     */
     void onReject(Reject decision);
 
-    /** Give the client its final answer: failed, the request may have been executed. */
+    /** Give the client its final answer: the request failed and may have been executed. */
     void onFail(Fail decision);
 
     /** Cancel an attempt in flight. */
@@ -28,17 +30,17 @@
     /** Subscribe to changes of the endpoint list. */
     void onWatchEndpoints(WatchEndpoints decision);
 
-    /** Call the load balancer's timer later. */
+    /** Call the load balancer's timer input after a delay. */
     void onScheduleTimer(ScheduleTimer decision);
   }
 
   /**
-   * Send the request to an endpoint.
+   * Sends the request to an endpoint.
    *
    * @param requestId the load balancer's number of the request
    * @param endpoint the endpoint's id
-   * @param deadlineUs when the attempt times out, in microseconds of the caller's clock; 0 for the
-   *     request's own deadline
+   * @param deadlineUs when the attempt times out, in microseconds of the caller's clock; 0 if only
+   *     the request's deadline applies
    */
   record SendAttempt(long requestId, String endpoint, long deadlineUs) implements Decision {
     @Override
@@ -48,11 +50,11 @@
   }
 
   /**
-   * Final answer: rejected, a retry by the client is safe.
+   * Gives the client its final answer: the request was rejected, a retry by the client is safe.
    *
    * @param requestId the load balancer's number of the request
-   * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 for no
-   *     advice
+   * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 to give
+   *     no advice
    */
   record Reject(long requestId, long retryAfterUs) implements Decision {
     @Override
@@ -62,7 +64,7 @@
   }
 
   /**
-   * Final answer: failed, the request may have been executed.
+   * Gives the client its final answer: the request failed and may have been executed.
    *
    * @param requestId the load balancer's number of the request
    */
@@ -74,10 +76,10 @@
   }
 
   /**
-   * Cancel an attempt in flight.
+   * Cancels an attempt in flight.
    *
    * @param requestId the load balancer's number of the request
-   * @param attempt its number within the request, from 0
+   * @param attempt the attempt's number within the request, from 0
    */
   record CancelAttempt(long requestId, int attempt) implements Decision {
     @Override
@@ -87,7 +89,7 @@
   }
 
   /**
-   * Close the idle connections to an endpoint that is no longer in use.
+   * Closes the idle connections to an endpoint that is no longer in use.
    *
    * @param endpoint the endpoint's id
    */
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Subscribe to changes of the endpoint list. */
+  /** Subscribes to changes of the endpoint list. */
   record WatchEndpoints() implements Decision {
     @Override
     public void accept(Handler handler) {
@@ -107,9 +109,9 @@
   }
 
   /**
-   * Call the load balancer's timer later.
+   * Calls the load balancer's timer input after a delay.
    *
-   * @param delayUs from now, in microseconds
+   * @param delayUs the delay from now, in microseconds
    */
   record ScheduleTimer(long delayUs) implements Decision {
     @Override
--- a/sidecar/src/main/java/dillcross/model/DeduplicationScope.java
+++ b/sidecar/src/main/java/dillcross/model/DeduplicationScope.java
@@ -4,8 +4,8 @@
 public enum DeduplicationScope {
   /** All endpoints. */
   ALL,
-  /** The endpoints in the zone of the one that saw it first. */
+  /** The endpoints in the zone of the endpoint that saw the key first. */
   ZONE,
-  /** The endpoints in the cell of the one that saw it first, see {@link Endpoint}. */
+  /** The endpoints in the cell of the endpoint that saw the key first; see {@link Endpoint}. */
   CELL
 }
--- a/sidecar/src/main/java/dillcross/model/Endpoint.java
+++ b/sidecar/src/main/java/dillcross/model/Endpoint.java
@@ -3,24 +3,24 @@
 /**
  * An endpoint as discovery describes it. Immutable.
  *
- * @param id identifies it, independent of its address
- * @param health its state as discovery reports it
- * @param startedUs when its process started, in microseconds of the caller's clock; 0 where that is
- *     unknown or long ago
- * @param cell its failure domain within the fleet
- * @param zone where it runs
- * @param weight its capacity relative to other endpoints; it may follow the load, see {@link
- *     DiscoveryPolicy}
+ * @param id identifies the endpoint, independent of its address
+ * @param health the endpoint's state as discovery reports it
+ * @param startedUs when the endpoint's process started, in microseconds of the caller's clock; 0 if
+ *     the start is unknown or long ago
+ * @param cell the endpoint's failure domain within the fleet
+ * @param zone the zone in which the endpoint runs
+ * @param weight the endpoint's capacity relative to other endpoints; the weight may follow the
+ *     load, see {@link DiscoveryPolicy}
  */
 public record Endpoint(
     String id, Health health, long startedUs, int cell, String zone, double weight) {
   /** The state of an endpoint as discovery reports it. */
   public enum Health {
-    /** It accepts requests. */
+    /** The endpoint accepts requests. */
     UP,
-    /** It shuts down gracefully: nothing new may be sent to it. */
+    /** The endpoint shuts down gracefully: no new request may be sent to it. */
     DRAINING,
-    /** It is no longer listed. */
+    /** The endpoint list no longer names the endpoint. */
     REMOVED
   }
 }
--- a/sidecar/src/main/java/dillcross/model/Idempotency.java
+++ b/sidecar/src/main/java/dillcross/model/Idempotency.java
@@ -2,10 +2,13 @@
 
 /** Whether a request may be executed more than once. */
 public enum Idempotency {
-  /** Executing it again does no harm. */
+  /** Executing the request again does no harm. */
   IDEMPOTENT,
-  /** Endpoints within a scope recognise its idempotency key for a while and execute it once. */
+  /**
+   * Endpoints within a {@link DeduplicationScope} recognise the request's idempotency key during
+   * the deduplication window, and execute the request once.
+   */
   IDEMPOTENT_WITH_KEY,
-  /** It must not be executed a second time. */
+  /** The request must not be executed a second time. */
   NON_IDEMPOTENT
 }
--- a/sidecar/src/main/java/dillcross/model/Tenant.java
+++ b/sidecar/src/main/java/dillcross/model/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant and its quota.
  *
- * @param name unique; requests carry it
- * @param quotaPerSecond requests per second over all sidecars; 0 for no quota
+ * @param name the unique name that requests carry
+ * @param quotaPerSecond the quota in requests per second over all sidecars; 0 for no quota
  */
 public record Tenant(String name, double quotaPerSecond) {}
--- a/sidecar/src/test/java/dillcross/model/TestSettings.java
+++ b/sidecar/src/test/java/dillcross/model/TestSettings.java
@@ -4,7 +4,7 @@
 
 /** Load balancer settings for tests, with fixed values for what most tests do not vary. */
 public final class TestSettings {
-  /** A class of idempotent requests. */
+  /** A class of idempotent requests with a latency objective of 400 ms. */
   public static final RequestClass READ =
       new RequestClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 400_000, 1, 1);
 
