--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -3,8 +3,8 @@
 import dillcross.model.BalancerSettings;
 
 /**
- * Decides whether one more attempt may be in flight: the concurrency limit of this sidecar, and the
- * part of it that a request may use.
+ * Decides whether one more attempt may be in flight, by the concurrency limit of this sidecar and
+ * the part of it that a request may use.
  *
  * <p>By Little's law, the rate of successful answers times their baseline latency is the
  * concurrency without queueing. The limit, in attempts, is a multiple of it:
@@ -13,20 +13,29 @@
  *
  * The multiple allows short queues at the endpoints; it falls as answers slow down, so that
  * overloaded endpoints recover. The smallest limit is this sidecar's part of a constant per
- * endpoint and may be below one attempt, because whole attempts would add up over many sidecars.
+ * endpoint and may be below one attempt, because a minimum of one attempt per sidecar would add up
+ * over many sidecars.
  */
 final class AdmissionControl {
-  /** Limit per endpoint, of all sidecars together, until traffic has been measured. */
+  /** Attempts in flight per endpoint that all sidecars together allow until traffic is measured. */
   static final double INITIAL_LIMIT_PER_ENDPOINT = 3;
 
   private static final double QUEUE_FACTOR = 3.6; // higher: longer queues at the endpoints
   private static final double SMALL_LIMIT = 3; // bursts may exceed a larger limit at any time
-  private static final double KNOWN_COVERAGE = 0.6; // of the span over which traffic is measured
-  private static final double MIN_COVERAGE = 0.2; // extrapolates from no less of the span
+
+  // Fraction of the traffic meter's time span from which traffic counts as measured.
+  private static final double KNOWN_COVERAGE = 0.6;
+
+  // Smallest fraction of that span from which traffic is extrapolated to the whole span.
+  private static final double MIN_COVERAGE = 0.2;
+
   private static final double SLOWDOWN_EXPONENT = 3; // higher: load falls faster in overload
-  private static final double BURST_FRACTION = 0.5; // of the limit, beyond the small one
-  private static final double UNUSED_FACTOR = 2; // of what the mean left unused
-  private static final double IDLE_PER_ENDPOINT = 0.5; // in flight by all sidecars together
+  private static final double BURST_FRACTION = 0.5; // of the limit's excess over SMALL_LIMIT
+  private static final double UNUSED_FACTOR = 2; // of the limit less the mean in flight
+
+  // Attempts in flight per endpoint, by all sidecars together, up to which the load is negligible.
+  private static final double IDLE_PER_ENDPOINT = 0.5;
+
   private static final double MIN_LIMIT_FACTOR = 0.25; // for the least valuable requests
   private static final double MAX_LIMIT_FACTOR = 2; // for the most valuable requests
 
@@ -51,7 +60,7 @@
     instances = settings.instanceCount();
   }
 
-  /** How many attempts may be in flight in the mean over time. */
+  /** The concurrency limit: how many attempts may be in flight on average over time. */
   double concurrencyLimit(long nowUs) {
     double coverage = traffic.coverage(nowUs);
     double baseline = traffic.baselineConcurrency(nowUs) / Math.max(MIN_COVERAGE, coverage);
@@ -77,14 +86,17 @@
   }
 
   /**
-   * The part of the limit that the request may use, by its value. A sidecar with little traffic
-   * hardly ever has two requests waiting, so their ranks alone would not prefer valuable ones.
+   * The multiple of the limit that the request may use, by its relative value. A sidecar with
+   * little traffic hardly ever has two requests waiting, so their ranks alone would not prefer
+   * valuable ones.
    */
   private static double limitFactor(Request request) {
     return Clamp.between(MIN_LIMIT_FACTOR, request.relativeValue(), MAX_LIMIT_FACTOR);
   }
 
-  /** Whether so little is in flight that latency can't come from queueing this sidecar's load. */
+  /**
+   * Whether so few attempts are in flight that this sidecar's load can't cause queueing latency.
+   */
   boolean isNearlyIdle() {
     return inFlight.total()
         <= Math.max(1, IDLE_PER_ENDPOINT * endpoints.available().size() / instances);
--- a/sidecar/src/main/java/dillcross/balancer/Attempt.java
+++ b/sidecar/src/main/java/dillcross/balancer/Attempt.java
@@ -3,8 +3,9 @@
 import dillcross.model.AttemptOutcome;
 
 /**
- * Keeps one attempt of a request at one endpoint. {@link InFlightTracker} changes what it counts
- * as, and its request ends it.
+ * Keeps the state of one attempt of a request at one endpoint. {@link InFlightTracker} changes
+ * whether the attempt counts as load, as silent, or as on a suspect connection; {@link
+ * Request#endAttempt} ends it.
  */
 final class Attempt {
   final Request request;
@@ -21,12 +22,15 @@
     this.sentUs = sentUs;
   }
 
-  /** When it was sent; where the request's body was complete later, when that was. */
+  /**
+   * When the attempt was sent, in microseconds; if the request's body was complete only later, when
+   * it was complete.
+   */
   long sentUs() {
     return sentUs;
   }
 
-  /** How it ended; null while in flight. */
+  /** How the attempt ended; null while it is in flight. */
   AttemptOutcome outcome() {
     return outcome;
   }
@@ -35,36 +39,38 @@
     return outcome == null;
   }
 
-  /** Whether the request may have run at the endpoint, or still may. */
+  /** Whether the endpoint may have executed the request, or may still do so. */
   boolean mayHaveRun() {
     return outcome == null || outcome.mayHaveRun;
   }
 
   /**
-   * Whether it counts as in flight at its endpoint: not while the request's body arrives, nor once
-   * its response streams or it has ended.
+   * Whether the attempt counts as load on its endpoint: not while the request's body arrives, nor
+   * once the response streams or the attempt has ended.
    */
   boolean countsAsLoad() {
     return countsAsLoad;
   }
 
-  /** Whether its silence was counted as a failure of the endpoint. */
+  /** Whether the lack of a response was already counted as a failure of the endpoint. */
   boolean isSilent() {
     return isSilent;
   }
 
-  /** Whether its connection seems dead, so that it is no load on its endpoint. */
+  /**
+   * Whether the attempt's connection seems dead, so that the attempt is no load on its endpoint.
+   */
   boolean isConnectionSuspect() {
     return isConnectionSuspect;
   }
 
-  /** The endpoint has the complete request from now on. */
+  /** Counts the attempt as load from now on, when the endpoint has the complete request. */
   void startLoad(long nowUs) {
     countsAsLoad = true;
     sentUs = nowUs;
   }
 
-  /** The endpoint no longer works for it. */
+  /** Stops counting the attempt as load, because the endpoint no longer works on it. */
   void endLoad() {
     countsAsLoad = false;
   }
--- a/sidecar/src/main/java/dillcross/balancer/AttemptCanceller.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptCanceller.java
@@ -5,7 +5,7 @@
 
 /**
  * Decides which attempts in flight are cancelled: those whose request has its answer from another
- * attempt, or needs none, where the retry policy lets attempts be cancelled.
+ * attempt, or needs none, if its retry policy allows cancellation.
  */
 final class AttemptCanceller {
   private final RequestTable requests;
@@ -16,7 +16,7 @@
     this.decisions = decisions;
   }
 
-  /** Cancels what has become unneeded since the last call. */
+  /** Cancels the attempts that have become unneeded since the last call. */
   void cancelUnneeded() {
     Request request = requests.nextToCancel();
     while (request != null) {
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
@@ -1,12 +1,12 @@
 package dillcross.balancer;
 
 /**
- * Decides until when one attempt may run, where it has to end before its request's deadline.
+ * Decides until when one attempt may run, if it has to end before its request's deadline.
  *
  * <p>Inputs are the attempt's request and earlier attempts, and times in microseconds.
  */
 final class AttemptDeadline {
-  /** The attempt may run until its request's deadline. */
+  /** No deadline of its own: the attempt may run until its request's deadline. */
   static final long NONE = Long.MAX_VALUE;
 
   private final DuplicateGuard duplicates;
@@ -17,7 +17,10 @@
     this.silence = silence;
   }
 
-  /** When the attempt, sent now, has to end; {@link #NONE} for no limit of its own. */
+  /**
+   * When the attempt, sent now, has to end, in microseconds; {@link #NONE} if only its request's
+   * deadline applies.
+   */
   long deadlineUs(Attempt attempt, boolean isFirst, long nowUs) {
     Request request = attempt.request;
     if (!isFirst && request.hasIdempotencyKey()) {
@@ -31,7 +34,9 @@
   }
 
   /**
-   * Where no hedge may go beside it, a silent endpoint would hold the request until its deadline.
+   * Whether an attempt of the request has to end once it is overdue, so that a retry can replace
+   * it: if hedging is not allowed, a silent endpoint would otherwise hold the request until its
+   * deadline.
    */
   private static boolean mustEndWhenOverdue(Request request) {
     return !request.retryPolicy.hedgingAllowed()
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -5,7 +5,7 @@
 
 /**
  * Decides whether an attempt may go to an endpoint, and sends it. Every attempt, whether first,
- * retry, hedge or probation, passes {@link #send}, which applies every rule.
+ * retry, hedge or on probation, goes through {@link #send}, which applies every rule.
  */
 final class AttemptDispatcher {
   private final SlowStart slowStart;
@@ -33,7 +33,10 @@
     this.decisions = decisions;
   }
 
-  /** Whether the request may go to the endpoint now, by every rule. May draw for slow start. */
+  /**
+   * Whether every rule permits the request to go to the endpoint now. May draw a random number for
+   * slow start.
+   */
   boolean permits(Request request, EndpointState endpoint, long nowUs) {
     return endpoint.isListed() // neither draining nor removed, unless RemovalGrace retains it
         && attemptPolicy.permits(request, endpoint, nowUs)
@@ -41,9 +44,10 @@
   }
 
   /**
-   * Sends the request to the endpoint if every rule permits it; whether it did.
+   * Sends the request to the endpoint if every rule permits it. Returns whether it was sent.
    *
-   * @param endpoint null where none was found
+   * @param endpoint the endpoint that was chosen; null if none was found, so that nothing is sent
+   * @param onProbation whether the attempt is the ejected endpoint's one on probation
    */
   boolean send(Request request, EndpointState endpoint, boolean onProbation, long nowUs) {
     if (endpoint == null || !permits(request, endpoint, nowUs)) {
@@ -70,7 +74,10 @@
     return true;
   }
 
-  /** The endpoint has the complete request from now on: the attempt counts and is watched. */
+  /**
+   * Counts the attempt as load and watches it for silence from now on, when the endpoint has the
+   * complete request.
+   */
   void countAsLoad(Attempt attempt, long nowUs) {
     inFlight.start(attempt, nowUs);
     silence.watch(attempt, nowUs);
--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -4,15 +4,18 @@
 
 /**
  * Decides whether a request may get another attempt, as a retry or as a hedge, when a hedge is due,
- * and what either costs.
+ * and what retries and hedges cost.
  *
  * <p>Inputs are the request's retry policy, its earlier attempts and whether its body can be sent
- * again; {@link DuplicateGuard} says where a repeat has no effect twice and {@link RetryBudget}
- * whether it is affordable. Prices are in attempts of that budget.
+ * again; {@link DuplicateGuard} decides where a repeat can't take effect twice and {@link
+ * RetryBudget} whether it is affordable. Prices are in attempts of that budget.
  */
 final class AttemptPolicy {
   private static final double RETRY_PRICE = 1;
-  private static final double NEVER_RAN_PRICE = 0.25; // it cost its endpoint little
+
+  // Price of a retry after an attempt that never ran, which cost its endpoint little.
+  private static final double NEVER_RAN_PRICE = 0.25;
+
   private static final double HEDGE_PRICE = 1;
 
   private final DuplicateGuard duplicates;
@@ -39,14 +42,14 @@
         && duplicates.isHarmless(request, endpoint, nowUs);
   }
 
-  /** The client gets one final answer, within the deadline. */
+  /** Whether the client has no final answer yet and the deadline has not passed. */
   private static boolean isUnanswered(Request request, long nowUs) {
     return !request.isOver()
         && request.streaming() == null
         && (request.isBodyIncomplete() || nowUs < request.deadlineUs());
   }
 
-  /** Attempts that the request may have in all; a partly released body can't be sent again. */
+  /** The most attempts that the request may have; a partly released body can't be sent again. */
   private static int maxAttempts(Request request) {
     return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts();
   }
@@ -57,7 +60,9 @@
     return budget.allows(price(request)) && (isFirst || !request.isBodyReleased());
   }
 
-  /** What the next attempt of a request with nothing in flight costs; the first is free. */
+  /**
+   * The price of the next attempt of a request with nothing in flight; the first attempt is free.
+   */
   double price(Request request) {
     if (request.attempts().isEmpty()) {
       return 0;
@@ -66,7 +71,7 @@
     return last.outcome().mayHaveRun ? RETRY_PRICE : NEVER_RAN_PRICE;
   }
 
-  /** Pays for an attempt that was sent. */
+  /** Deducts the price of an attempt that was sent from the retry budget. */
   void charge(double price) {
     budget.spend(price);
   }
@@ -76,19 +81,23 @@
     return !request.isOver() && request.attemptsInFlight() == 1 && budget.allows(HEDGE_PRICE);
   }
 
-  /** Pays for a hedge that was sent. */
+  /** Deducts the price of a hedge that was sent from the retry budget. */
   void chargeHedge() {
     budget.spend(HEDGE_PRICE);
   }
 
-  /** A request got its first attempt, which pays for later ones. */
+  /**
+   * Adds to the retry budget for a first attempt that was sent; {@code recentRequests}, a decaying
+   * count of requests, bounds the budget.
+   */
   void recordFirstAttempt(double recentRequests) {
     budget.earn(recentRequests);
   }
 
   /**
    * How long after the attempt in flight was sent a hedge is due, in microseconds: as late as
-   * leaves the hedge time to be answered within the latency objective.
+   * leaves the hedge time to be answered within the latency objective, or practically never if
+   * there is no objective for tail latency.
    */
   long hedgeAfterUs(Request request) {
     if (objective.tailWeight() == 0) {
--- a/sidecar/src/main/java/dillcross/balancer/AttemptRouter.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptRouter.java
@@ -2,7 +2,7 @@
 
 /**
  * Decides where a request's next attempt goes: to an ejected endpoint that is due for probation, or
- * to the one that {@link EndpointPicker} picks. Sends it if every rule permits.
+ * to the one that {@link EndpointPicker} picks. Sends the attempt if every rule permits it.
  */
 final class AttemptRouter {
   private final EndpointSets endpoints;
@@ -21,7 +21,10 @@
     this.dispatcher = dispatcher;
   }
 
-  /** Sends the request to an ejected endpoint whose penalty is over; whether there was one. */
+  /**
+   * Sends the request to an ejected endpoint that is due for probation, if there is one. Returns
+   * whether it was sent.
+   */
   boolean sendOnProbation(Request request, long nowUs) {
     for (EndpointState endpoint : endpoints.ejected()) {
       boolean isDue = ejection.isProbationDue(endpoint, request, nowUs);
@@ -32,7 +35,10 @@
     return false;
   }
 
-  /** Sends the request to the endpoint that is picked for it; whether there was one. */
+  /**
+   * Sends the request to the endpoint that is picked for it, if there is one. Returns whether it
+   * was sent.
+   */
   boolean sendToPicked(Request request, long nowUs) {
     return dispatcher.send(request, picker.pick(request, nowUs), false, nowUs);
   }
--- a/sidecar/src/main/java/dillcross/balancer/CheckQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/CheckQueue.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Keeps checks to run later: by due time, then in the order in which they were scheduled. */
+/** Keeps checks to run later, ordered by due time and then by when they were scheduled. */
 final class CheckQueue {
   private static final Comparator<ScheduledCheck> BY_TIME =
       Comparator.comparingLong(ScheduledCheck::dueUs).thenComparingLong(ScheduledCheck::sequence);
@@ -14,12 +14,12 @@
 
   private record ScheduledCheck(long dueUs, long sequence, LongConsumer check) {}
 
-  /** Has {@code check} called with the current time once {@code dueUs} is reached. */
+  /** Schedules {@code check} to be called with the current time once {@code dueUs} is reached. */
   void schedule(long dueUs, LongConsumer check) {
     checks.add(new ScheduledCheck(dueUs, nextSequence++, check));
   }
 
-  /** Runs what is due, including what that schedules for now. */
+  /** Runs the checks that are due, including checks that they schedule and that are due now. */
   void runDue(long nowUs) {
     while (!checks.isEmpty() && checks.peek().dueUs <= nowUs) {
       checks.poll().check.accept(nowUs);
--- a/sidecar/src/main/java/dillcross/balancer/Clamp.java
+++ b/sidecar/src/main/java/dillcross/balancer/Clamp.java
@@ -4,7 +4,7 @@
 final class Clamp {
   private Clamp() {}
 
-  /** The nearest to {@code value} of what lies between {@code min} and {@code max}. */
+  /** Returns {@code value} limited to the range from {@code min} to {@code max}. */
   static double between(double min, double value, double max) {
     return Math.max(min, Math.min(max, value));
   }
--- a/sidecar/src/main/java/dillcross/balancer/ClassState.java
+++ b/sidecar/src/main/java/dillcross/balancer/ClassState.java
@@ -2,7 +2,7 @@
 
 import dillcross.model.RequestClass;
 
-/** Keeps a request class and what has been measured of it: demand, latency and lateness. */
+/** Keeps a request class and its measurements: demand, latency and lateness. */
 final class ClassState {
   private static final double LATE_SAMPLE_WEIGHT = 0.2;
 
@@ -21,17 +21,20 @@
     return requestClass;
   }
 
-  /** Takes new settings; what was measured stays. */
+  /** Replaces the settings of the class and keeps its measurements. */
   void configure(RequestClass newRequestClass) {
     requestClass = newRequestClass;
   }
 
-  /** Smoothed fraction of late attempts, of those whose endpoint answered others meanwhile. */
+  /**
+   * Smoothed fraction of attempts that missed the latency objective, 0 to 1; see {@link
+   * OutcomeRecorder} for which attempts count.
+   */
   double lateFraction() {
     return lateFraction;
   }
 
-  /** Counts an attempt as late or in time. */
+  /** Counts an attempt as late or in time for the latency objective. */
   void recordLateness(boolean late) {
     lateFraction += LATE_SAMPLE_WEIGHT * ((late ? 1 : 0) - lateFraction);
   }
--- a/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
@@ -1,6 +1,9 @@
 package dillcross.balancer;
 
-/** Counts recent requests of one tenant or request class, and how many were sent; both decay. */
+/**
+ * Counts recent requests of one tenant or request class, and how many of them were sent. Both
+ * counts decay.
+ */
 final class DemandCounter {
   private static final double MIN_REQUESTS = 0.2; // keeps the ratio of small counts moderate
 
@@ -8,7 +11,10 @@
   private double arrived;
   private double sent;
 
-  /** A counter for what has a quota of {@code quotaFraction} of all requests, 0 to 1. */
+  /**
+   * Creates a counter for a tenant or class whose quota is the fraction {@code quotaFraction}, 0 to
+   * 1, of all requests.
+   */
   DemandCounter(double quotaFraction) {
     this.quotaFraction = quotaFraction;
   }
@@ -25,17 +31,20 @@
     sent++;
   }
 
-  /** Recent requests that are within the quota, of {@code total} by all. */
+  /** How many of the recent requests are within the quota, a fraction of {@code total} requests. */
   double entitled(double total) {
     return Math.min(arrived, quotaFraction * total);
   }
 
-  /** Requests within the quota over requests sent: above 1 where it got less than its quota. */
+  /**
+   * Ratio of the requests within the quota, a fraction of {@code total} requests, to the requests
+   * sent: above 1 if the tenant or class got less than its quota.
+   */
   double need(double total) {
     return Math.max(MIN_REQUESTS, entitled(total)) / Math.max(MIN_REQUESTS, sent);
   }
 
-  /** Keeps that part of both counts, 0 to 1. */
+  /** Multiplies both counts by {@code remaining}, 0 to 1. */
   void decay(double remaining) {
     arrived *= remaining;
     sent *= remaining;
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -12,19 +12,19 @@
  */
 final class DemandTracker {
   private static final double DECAY_US = 4_000_000;
-  private static final double MIN_REQUESTS = 0.1; // bounds the time where nothing arrived
+  private static final double MIN_REQUESTS = 0.1; // bounds the time for requests if none arrive
 
   private final Collection<ClassState> classes;
   private Map<String, DemandCounter> tenants = new HashMap<>();
   private double arrived;
-  private double entitled; // part of them within the quotas of their tenants
+  private double entitled; // part of arrived that is within the quotas of tenants
   private long decayedUs;
 
   DemandTracker(Collection<ClassState> classes) {
     this.classes = classes;
   }
 
-  /** Replaces the tenants; tenants that remain keep their counts. */
+  /** Replaces the tenants. Tenants that remain keep their counts. */
   void configure(List<Tenant> configured) {
     double quotas = configured.stream().mapToDouble(Tenant::quotaPerSecond).sum();
     Map<String, DemandCounter> before = tenants;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Decays all counts, at most once in {@code intervalUs}; whether it did. */
+  /** Decays all counts, at most once in {@code intervalUs}. Returns whether it did. */
   boolean decayIfDue(long nowUs, long intervalUs) {
     if (nowUs - decayedUs <= intervalUs) {
       return false;
@@ -74,7 +74,8 @@
   /**
    * Counts the request and assigns its tenant.
    *
-   * @return the need of its class and tenant: above 1 where they got less than their quota
+   * @return the product of the needs of the request's class and tenant: above 1 if they got less
+   *     than their quotas
    */
   double recordArrival(Request request, String tenant) {
     arrived++;
@@ -83,7 +84,8 @@
     double need = request.classState.demand.need(arrived);
     if (request.tenant() != null) {
       request.tenant().recordArrival();
-      need *= request.tenant().need(entitled); // a burst must not raise its own quota
+      // A burst must not raise its own quota, so entitled changes only when counts decay.
+      need *= request.tenant().need(entitled);
     }
     return need;
   }
--- a/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
+++ b/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
@@ -11,8 +11,8 @@
   private static final double START_SPREAD_PER_SIDECAR_US = 10_000;
   private static final long FIRST_BACKOFF_US = 500_000;
   private static final int MAX_DOUBLINGS = 3;
-  private static final int POLL_DIVISOR = 3; // leaves time for two more calls
-  private static final double MIN_JITTER_FACTOR = 0.5; // the largest is 1 more
+  private static final int POLL_DIVISOR = 3; // of pollWithinUs; leaves time for two more calls
+  private static final double MIN_JITTER_FACTOR = 0.5; // the largest factor is 1 more
 
   private final Random random;
   private DiscoveryPolicy policy;
@@ -30,7 +30,7 @@
               (double) newPolicy.pollWithinUs() / POLL_DIVISOR,
               START_SPREAD_PER_SIDECAR_US * instances);
       long delayUs = (long) (spread * random.nextDouble());
-      // A negative time counts from the first endpoint list.
+      // A negative value is a delay that starts with the first endpoint list.
       dueUs = hasEndpoints ? nowUs + delayUs : -1 - delayUs;
     }
     if (!newPolicy.pollRequired()) {
@@ -39,7 +39,10 @@
     policy = newPolicy;
   }
 
-  /** An endpoint list has arrived. */
+  /**
+   * Resets the backoff when an endpoint list has arrived. The first list also starts the random
+   * initial delay.
+   */
   void onList(long nowUs) {
     failures = 0;
     if (dueUs < 0) {
@@ -48,7 +51,8 @@
   }
 
   /**
-   * Backs off with jitter, but calls again within the time in which changes must be learned.
+   * Schedules the next call after a failure: with backoff and jitter, but within the time in which
+   * changes must be learned.
    *
    * @param maxDelayUs the longest backoff before jitter, in microseconds
    */
@@ -63,7 +67,7 @@
             + (long) (Math.min(backoffUs, maxDelayUs) * (MIN_JITTER_FACTOR + random.nextDouble()));
   }
 
-  /** Whether to call discovery now; true once for each time that a call is due. */
+  /** Whether to call discovery now. Returns true once for each call that is due. */
   boolean takeDue(long nowUs) {
     boolean isDue = nowUs >= dueUs;
     if (isDue) {
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -4,15 +4,15 @@
 import dillcross.model.RequestClass;
 
 /**
- * Decides where and until when another attempt can't make a request take effect twice.
+ * Decides at which endpoints and until when another attempt can't make a request take effect twice.
  *
  * <p>An idempotent request may run anywhere again. One with an idempotency key may run again where
  * endpoints recognise the key: within its deduplication scope, and until its deduplication window
- * ends. A non-idempotent one may not, once an attempt may have run.
+ * ends. A non-idempotent request may not run again once an attempt may have run.
  */
 final class DuplicateGuard {
   private static final double WINDOW_FRACTION = 0.9; // of the deduplication window
-  private static final double PATH_DELAY_FACTOR = 4; // times how long a zone has not answered
+  private static final double PATH_DELAY_FACTOR = 4; // of the time a zone has not answered
 
   private final EndpointDirectory directory;
 
@@ -20,7 +20,7 @@
     this.directory = directory;
   }
 
-  /** Whether an attempt at that endpoint, sent now, can't take effect a second time. */
+  /** Whether an attempt at the endpoint, sent now, can't make the request take effect twice. */
   boolean isHarmless(Request request, EndpointState endpoint, long nowUs) {
     if (request.isIdempotent()) {
       return true;
@@ -33,7 +33,10 @@
     return true;
   }
 
-  /** Whether the endpoint would recognise the key of the earlier attempt when this one arrives. */
+  /**
+   * Whether the endpoint would recognise the idempotency key of the earlier attempt when a repeat,
+   * sent now, arrives.
+   */
   private boolean isRecognised(
       Request request, Attempt earlier, EndpointState endpoint, long nowUs) {
     RequestClass requestClass = request.requestClass;
@@ -57,8 +60,8 @@
   }
 
   /**
-   * The deadline of {@code repeat}: 0.9 of the deduplication window after the first earlier attempt
-   * that may have run; counted from the request's deadline if none may have.
+   * The deadline of {@code repeat}, in microseconds: 0.9 of the deduplication window after the
+   * first earlier attempt that may have run, or after the request's deadline if none may have run.
    */
   long repeatDeadlineUs(Request request, Attempt repeat) {
     long firstSentUs = Long.MAX_VALUE;
@@ -71,7 +74,7 @@
     return (long) (WINDOW_FRACTION * request.requestClass.deduplicationWindowUs()) + fromUs;
   }
 
-  /** Whether a client may safely try again after the sidecar gave the request up. */
+  /** Whether the client may safely retry after the sidecar has given the request up. */
   boolean isRetryByClientSafe(Request request) {
     return !request.mayHaveRun()
         || request.isIdempotent()
--- a/sidecar/src/main/java/dillcross/balancer/EjectionState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EjectionState.java
@@ -1,8 +1,8 @@
 package dillcross.balancer;
 
 /**
- * Keeps the failures and the ejection of one endpoint. {@link OutlierEjection} decides by it and
- * alone changes it. Times are in microseconds.
+ * Keeps the failures and the ejection of one endpoint. {@link OutlierEjection} decides by this
+ * state and changes it; {@link AttemptDispatcher} starts a probation. Times are in microseconds.
  */
 final class EjectionState {
   private static final double SAMPLE_WEIGHT = 0.1; // of a new outcome in the failure fraction
@@ -30,13 +30,13 @@
 
   /**
    * Whether a silent attempt triggered the ejection, and no probation since has ended with a
-   * failure. Earlier failures may have been answers.
+   * failure. The failures counted before that attempt may have been error answers.
    */
   boolean isEjectedBySilence() {
     return isEjectedBySilence;
   }
 
-  /** When the latest penalty ends or ended. */
+  /** When the latest penalty ends or ended; 0 if there was none. */
   long untilUs() {
     return untilUs;
   }
@@ -51,7 +51,7 @@
     return probation != null;
   }
 
-  /** Whether that attempt is the one on probation. */
+  /** Whether {@code attempt} is the one on probation. */
   boolean isProbation(Attempt attempt) {
     return probation == attempt;
   }
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Ejects the endpoint until {@code newUntilUs}; {@code bySilence} if a silent attempt triggered
-   * it.
+   * Ejects the endpoint until {@code newUntilUs}; {@code bySilence} says whether a silent attempt
+   * triggered the ejection.
    */
   void eject(long newPenaltyUs, long newUntilUs, boolean bySilence) {
     penaltyUs = newPenaltyUs;
@@ -78,7 +78,7 @@
     probation = null;
   }
 
-  /** Ends the ejection, with the failure fraction to go on from. */
+  /** Ends the ejection and sets the failure fraction to {@code newFailureFraction}. */
   void readmit(double newFailureFraction) {
     isEjected = false;
     failureFraction = newFailureFraction;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps the endpoints that discovery has named, by its endpoint lists. */
+/** Keeps the endpoints that the endpoint lists from discovery have named. */
 final class EndpointDirectory {
   private static final double MIN_WEIGHT = 1e-9; // prevents a division by zero
 
@@ -18,7 +18,7 @@
   private DiscoveryPolicy policy;
   private String zone;
   private double remoteOccupancyRatio = 1;
-  private boolean changed;
+  private boolean changed; // whether an update requires that the subset be selected again
 
   EndpointDirectory(SlowStart slowStart, RemovalGrace removal) {
     this.slowStart = slowStart;
@@ -28,20 +28,21 @@
   void configure(BalancerSettings settings) {
     zone = settings.zone();
     policy = settings.discovery();
-    for (EndpointState state : endpoints.values()) { // the next endpoint list brings new ones
+    // Reinterprets the known weights by the new policy, until an endpoint list brings new ones.
+    for (EndpointState state : endpoints.values()) {
       boolean isDynamic = policy.dynamicWeights() && state.occupancy() > 0;
       state.updateWeight(state.entry().weight(), isDynamic);
     }
   }
 
   /**
-   * All endpoints that are remembered, a live view, in the order in which they were first named.
+   * All endpoints of the directory, as a live view, in the order in which they were first named.
    */
   Collection<EndpointState> all() {
     return endpoints.values();
   }
 
-  /** The endpoint of that id; null where it is not remembered. */
+  /** The endpoint of that id; null if the directory does not hold it. */
   EndpointState find(String id) {
     return endpoints.get(id);
   }
@@ -61,7 +62,7 @@
   }
 
   /**
-   * Applies an update of the endpoint list; whether it changed which endpoints may be used.
+   * Applies an update of the endpoint list. Returns whether the subset must be selected again.
    *
    * @param complete whether endpoints that {@code entries} do not name are removed
    */
@@ -75,7 +76,7 @@
     return changed;
   }
 
-  @SuppressWarnings("ReferenceEquality") // the same object only if it was just created
+  @SuppressWarnings("ReferenceEquality") // equal only if the state was just created
   private void applyEntry(Endpoint entry, long nowUs) {
     EndpointState state = endpoints.computeIfAbsent(entry.id(), id -> new EndpointState(entry));
     Endpoint before = state.entry();
@@ -95,7 +96,10 @@
     state.updateWeight(entry.weight(), policy.dynamicWeights());
   }
 
-  /** Whether the subset must be selected again; not for weights that change with each load. */
+  /**
+   * Whether a changed entry requires that the subset be selected again. Dynamic weights do not,
+   * because they change all the time with load.
+   */
   private boolean differs(Endpoint before, Endpoint entry) {
     return entry.startedUs() != before.startedUs()
         || entry.cell() != before.cell()
@@ -103,7 +107,10 @@
         || (!policy.dynamicWeights() && entry.weight() != before.weight());
   }
 
-  /** The list has removed it; whether it may be used all the same. */
+  /**
+   * Handles the removal of an endpoint from the endpoint list. Returns whether attempts may still
+   * be sent to it.
+   */
   private boolean remove(EndpointState state, long nowUs) {
     boolean isRetained = removal.retains(state);
     if (isRetained) {
@@ -133,7 +140,9 @@
     return (1 + remoteLoad / remoteSize) / (1 + localLoad / localSize);
   }
 
-  /** Unlists removed endpoints whose grace period is over; whether any endpoint is unlisted. */
+  /**
+   * Unlists removed endpoints whose grace period is over. Returns whether any endpoint is unlisted.
+   */
   boolean expireRemoved(long nowUs) {
     boolean isAnyUnlisted = false;
     for (EndpointState state : endpoints.values()) {
@@ -152,7 +161,8 @@
 
   /**
    * The longest wait, in microseconds, of an attempt in flight in the zone that was sent after
-   * every attempt that succeeded there. An endpoint that hangs while others succeed does not count.
+   * every attempt that succeeded there; 0 if there is none. An endpoint that hangs while others
+   * succeed does not count.
    */
   long unansweredUs(String zoneName, long nowUs) {
     long lastSucceededSentUs = 0;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
@@ -10,21 +10,24 @@
  *
  * <pre>cost = latencyRatio x (inFlight + 1) x zoneCost</pre>
  *
- * The latency ratio is the smoothed latency over the mean of the request class, adjusted by
- * reported load, by its age and by how long the oldest attempt in flight has waited. Draws are
- * weighted by capacity. Where no drawn endpoint is usable, or where the request may have run and
- * few endpoints may get it again, all are compared.
+ * The latency ratio is the smoothed latency over the mean of the request class, adjusted by the
+ * reported load, by the time since an attempt last ended there, and by how long the oldest attempt
+ * in flight has waited. Draws are weighted by capacity. If no drawn endpoint is usable, or if the
+ * request may have run and few endpoints may get it again, all available endpoints are compared.
  */
 final class EndpointPicker {
-  private static final long FORGET_US = 10_000_000; // after it a high latency no longer counts
+  private static final long FORGET_US = 10_000_000; // age at which high latency no longer counts
   private static final double CROSS_ZONE_FACTOR = 20; // weight of the configured price
-  private static final double MAX_LIMIT_SHARES = 1.5; // of the limit, at one endpoint
+
+  // Attempts in flight at one endpoint, beyond the first, in equal shares of the concurrency limit.
+  private static final double MAX_LIMIT_SHARES = 1.5;
+
   private static final double REPORT_WEIGHT = 0.1; // of a new load report in the mean
   private static final double LOAD_OFFSET = 0.5; // keeps the ratio of small loads moderate
   private static final int MAX_DRAWS = 5;
-  private static final double MIN_JITTER_FACTOR = 0.5; // the largest is 1 more
+  private static final double MIN_JITTER_FACTOR = 0.5; // the largest factor is 1 more
   private static final int MAX_OVERLOAD_DOUBLINGS = 6;
-  private static final double OVERLOADED_LATENCY_RATIO = 8; // its queue is full
+  private static final double OVERLOADED_LATENCY_RATIO = 8; // assumed, as the queue is full
 
   private final Random random;
   private final EndpointDirectory directory;
@@ -53,13 +56,15 @@
     crossZoneCost = 1 + CROSS_ZONE_FACTOR * settings.crossZonePrice();
   }
 
-  /** The endpoint reported how many requests of all sidecars it has in flight. */
+  /** Records an endpoint's report of how many requests, of all sidecars, it has in flight. */
   void recordLoadReport(EndpointState endpoint, double inFlight) {
     endpoint.recordReportedLoad(inFlight / endpoint.effectiveWeight());
     meanReportedLoad += REPORT_WEIGHT * (endpoint.reportedLoad() - meanReportedLoad);
   }
 
-  /** The endpoint answered that it is overloaded: backs off from it, longer each time. */
+  /**
+   * Backs off from an endpoint that answered that it is overloaded, longer after each such answer.
+   */
   void recordOverload(EndpointState endpoint, double meanLatencyUs, long nowUs) {
     int doublings = Math.min(endpoint.consecutiveOverloads(), MAX_OVERLOAD_DOUBLINGS);
     double factor = (MIN_JITTER_FACTOR + random.nextDouble()) * (1 << doublings);
@@ -94,8 +99,8 @@
   }
 
   /**
-   * Weights the draw by capacity, because latency reveals a small endpoint only after it is
-   * overloaded.
+   * Draws a candidate weighted by capacity, because latency reveals a small endpoint only after it
+   * is overloaded. Returns null if the drawn candidate is {@code excluded} or not usable.
    */
   private EndpointState draw(
       Request request, List<EndpointState> candidates, EndpointState excluded, long nowUs) {
@@ -132,7 +137,7 @@
   }
 
   private double cost(EndpointState endpoint, long nowUs) {
-    // The square root damps it: otherwise all sidecars would choose the least loaded endpoint.
+    // The square root damps reported load: otherwise all sidecars would choose the same endpoint.
     double reported =
         Math.sqrt((endpoint.reportedLoad() + LOAD_OFFSET) / (meanReportedLoad + LOAD_OFFSET));
     double ratio = endpoint.latencyRatio() * reported;
@@ -140,7 +145,7 @@
     double freshness = ratio > 1 ? Math.max(0, 1 - age) : 1;
     double latency = 1 + (ratio - 1) * freshness;
     Attempt oldest = endpoint.oldestInFlight();
-    if (oldest != null) { // its wait is newer than the last answers
+    if (oldest != null) { // its wait is newer information than past answers
       double waited = oldest.request.classState.latency.ratioToMean(nowUs - oldest.sentUs());
       latency = Math.max(latency, waited);
     }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSets.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSets.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** Keeps the endpoints that {@link EndpointSubset} selected last, which alone replaces them. */
+/**
+ * Keeps the endpoints of the last selection by {@link EndpointSubset}, which alone replaces them.
+ */
 final class EndpointSets {
   private List<EndpointState> available = List.of();
   private List<EndpointState> ejected = List.of();
@@ -11,8 +13,8 @@
   private double largestWeight;
 
   /**
-   * Listed endpoints that are not ejected, from this sidecar's ring position on; all listed ones
-   * where all are ejected.
+   * Listed endpoints that are not ejected, from this sidecar's ring position on; all listed
+   * endpoints if all are ejected.
    */
   List<EndpointState> available() {
     return available;
@@ -33,7 +35,7 @@
     return remote;
   }
 
-  /** The largest effective weight of a listed endpoint. */
+  /** The largest effective weight of a listed endpoint; 1 if none is listed. */
   double largestWeight() {
     return largestWeight;
   }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -4,8 +4,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Keeps what is known of one endpoint: its entry in the endpoint list, the attempts in flight, and
- * what its answers have shown. Times and latencies are in microseconds.
+ * Keeps the state of one endpoint: its entry in the endpoint list, the attempts in flight, and
+ * measurements from its answers. Times and latencies are in microseconds.
  */
 final class EndpointState {
   private static final double WEIGHT_SAMPLE_WEIGHT = 0.2;
@@ -16,7 +16,7 @@
   final EjectionState ejection = new EjectionState();
   final SlowStartState slowStart = new SlowStartState();
 
-  /** Place on the ring by which subsets are chosen; the same at all sidecars. */
+  /** Position on the ring from which subsets are selected; the same at all sidecars. */
   final long ringPosition;
 
   private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
@@ -44,7 +44,7 @@
     ringPosition = position;
   }
 
-  // Its entry in the endpoint list
+  // Entry in the endpoint list
 
   /** The newest entry of the endpoint list. */
   Endpoint entry() {
@@ -67,7 +67,10 @@
     entry = newEntry;
   }
 
-  /** Whether attempts may be sent to it. */
+  /**
+   * Whether attempts may be sent to the endpoint: discovery names it as up, or {@link RemovalGrace}
+   * retains it.
+   */
   boolean isListed() {
     return isListed;
   }
@@ -76,25 +79,29 @@
     isListed = newListed;
   }
 
-  /** Since when endpoint lists leave it out although it did not drain; 0 while they name it. */
+  /**
+   * When an endpoint list removed the endpoint although it had not drained; 0 if none has since the
+   * endpoint was last up.
+   */
   long removedUs() {
     return removedUs;
   }
 
-  /** It was removed without draining; an earlier time of removal stays. */
+  /** Records that the endpoint was removed without draining; an earlier time of removal is kept. */
   void markRemoved(long nowUs) {
     removedUs = removedUs == 0 ? nowUs : removedUs;
   }
 
-  /** It is named as up again. */
+  /** Clears the removal, because an endpoint list names the endpoint as up again. */
   void clearRemoval() {
     removedUs = 0;
   }
 
   /**
-   * Takes the weight from the endpoint list. Where weights fall with load, the largest seen is the
-   * nominal weight and the rest is occupancy, smoothed so that sidecars that all see the same
-   * delayed figure do not move together.
+   * Updates the weight from the endpoint list. If weights fall with load ({@code dynamic}), the
+   * largest weight seen is the nominal weight, and a lower weight shows the occupancy. That is
+   * smoothed, so that sidecars that all see the same delayed weight do not all shift their load at
+   * once.
    */
   void updateWeight(double weight, boolean dynamic) {
     nominalWeight = dynamic ? Math.max(nominalWeight, weight) : weight;
@@ -102,34 +109,40 @@
     occupancy = dynamic ? occupancy + WEIGHT_SAMPLE_WEIGHT * sample : 0;
   }
 
-  /** Its weight without load. */
+  /** The endpoint's weight without load. */
   double nominalWeight() {
     return nominalWeight;
   }
 
-  /** Requests in flight per unit of weight, as its weights show; smoothed. */
+  /**
+   * Requests in flight per unit of weight, smoothed, as dynamic weights show them; 0 if weights are
+   * not dynamic.
+   */
   double occupancy() {
     return occupancy;
   }
 
-  /** Its weight, less the part that is occupied. */
+  /** The nominal weight, reduced by the occupancy. */
   double effectiveWeight() {
     return nominalWeight / (1 + occupancy);
   }
 
   // Attempts
 
-  /** Attempts of this sidecar that count as load. */
+  /** Number of this sidecar's attempts that count as load on the endpoint. */
   int inFlightCount() {
     return inFlight.size();
   }
 
-  /** The one of them that was sent first; null if there is none. */
+  /** The oldest of the attempts that count as load; null if there is none. */
   Attempt oldestInFlight() {
     return inFlight.peekFirst();
   }
 
-  /** How long the oldest of them has waited that was sent after that time; 0 if there is none. */
+  /**
+   * How long the oldest attempt has waited of those that count as load and were sent after {@code
+   * sentAfterUs}; 0 if there is none.
+   */
   long longestWaitUs(long sentAfterUs, long nowUs) {
     long longestUs = 0;
     for (Attempt attempt : inFlight) {
@@ -148,7 +161,10 @@
     inFlight.remove(attempt);
   }
 
-  /** When the latest attempt was sent; 0 where its connections were released since. */
+  /**
+   * When the latest attempt was sent; 0 if there was none, or if the idle connections were released
+   * since.
+   */
   long lastAttemptUs() {
     return lastAttemptUs;
   }
@@ -162,18 +178,19 @@
     lastAttemptUs = 0;
   }
 
-  // What its answers have shown
+  // Measurements from answers
 
+  /** When an attempt last succeeded or its response began to stream; 0 if none has. */
   long lastSuccessUs() {
     return lastSuccessUs;
   }
 
-  /** When the latest-sent of the attempts that succeeded was sent. */
+  /** The latest time at which an attempt was sent that succeeded; 0 if none has. */
   long lastSucceededSentUs() {
     return lastSucceededSentUs;
   }
 
-  /** It has answered an attempt that was sent at that time successfully. */
+  /** Records a successful answer to an attempt that was sent at {@code sentUs}. */
   void recordSuccess(long sentUs, long nowUs) {
     lastSuccessUs = nowUs;
     lastSucceededSentUs = Math.max(lastSucceededSentUs, sentUs);
@@ -181,7 +198,7 @@
     slowStart.recordSuccess();
   }
 
-  /** When an attempt last ended. */
+  /** When an attempt last ended; 0 if none has. */
   long lastOutcomeUs() {
     return lastOutcomeUs;
   }
@@ -197,7 +214,9 @@
     lastOutcomeUs = nowUs;
   }
 
-  /** Smoothed latency as a multiple of the mean of the request class. */
+  /**
+   * Smoothed latency as a multiple of the mean of the request class; 1 until an answer is measured.
+   */
   double latencyRatio() {
     return latencyRatio;
   }
@@ -207,19 +226,21 @@
     return Clamp.between(1, latencyRatio, max);
   }
 
-  /** Takes a new ratio in; the first ones weigh more. */
+  /** Adds a sample to the smoothed latency ratio; the first samples weigh more. */
   void recordLatencyRatio(double ratio) {
     double weight = Math.max(LATENCY_SAMPLE_WEIGHT, 1.0 / (2 + latencySamples));
     latencySamples++;
     latencyRatio += weight * (ratio - latencyRatio);
   }
 
-  /** Has the latency ratio be no lower than {@code ratio}. */
+  /** Raises the latency ratio to {@code ratio} if it is lower. */
   void raiseLatencyRatio(double ratio) {
     latencyRatio = Math.max(latencyRatio, ratio);
   }
 
-  /** It is a new process: what was measured of the old one does not hold. */
+  /**
+   * Resets the latency ratio for a new process, to which measurements of the old one do not apply.
+   */
   void forgetLatency() {
     latencyRatio = 1;
     latencySamples = 0;
@@ -233,7 +254,7 @@
     return backoffUntilUs;
   }
 
-  /** Such answers since its last success. */
+  /** Number of overload responses since the endpoint's last success. */
   int consecutiveOverloads() {
     return consecutiveOverloads;
   }
@@ -243,7 +264,7 @@
     backoffUntilUs = newBackoffUntilUs;
   }
 
-  /** Requests that it reported in flight, per unit of weight. */
+  /** Requests in flight per unit of weight by the endpoint's latest report; 0 before the first. */
   double reportedLoad() {
     return reportedLoad;
   }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -9,22 +9,29 @@
 import java.util.Map;
 
 /**
- * Decides which endpoints this sidecar uses (deterministic subsetting): some of its own zone and as
- * many of others, from the sidecar's own position on a ring of endpoints.
+ * Decides which endpoints this sidecar uses (deterministic subsetting): some in its own zone and as
+ * many in other zones, from the sidecar's own position on a ring of endpoints.
  *
- * <p>Ring positions spread sidecars evenly over endpoints, and a change of the endpoint list moves
- * few. The size grows with traffic: a sidecar with little traffic that used every endpoint would
- * measure none of them.
+ * <p>Ring positions spread sidecars evenly over endpoints, and a change of the endpoint list
+ * changes few subsets. The size grows with traffic: a sidecar with little traffic that used every
+ * endpoint would measure none of them.
  */
 final class EndpointSubset {
   private static final double MIN_SIZE = 1.5; // in mean endpoint weights of a zone
-  private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25; // enough samples of each endpoint
-  private static final int MIN_WARM_ENDPOINTS = 2; // to choose between
+
+  // Target size per request per second; leaves enough samples for each endpoint.
+  private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25;
+
+  private static final int MIN_WARM_ENDPOINTS = 2; // the fewest that leave a choice
   private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
-  private static final double KEEP_ALL_FRACTION = 0.7; // of the rate from which all are used
+
+  // Once all endpoints are in use, they stay in use down to this fraction of the request rate from
+  // which all are used.
+  private static final double KEEP_ALL_FRACTION = 0.7;
+
   private static final double GROW_FACTOR = 1.2;
   private static final double SHRINK_FACTOR = 0.6;
-  private static final double ROUNDING_TOLERANCE = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9; // of the total weight of a zone
 
   private final EndpointDirectory directory;
   private final EndpointSets sets;
@@ -40,19 +47,19 @@
 
   void configure(BalancerSettings settings) {
     zone = settings.zone();
-    // The fractions of multiples of the golden ratio are spread evenly.
+    // The fractional parts of multiples of the golden ratio are spread evenly.
     position = Math.abs(settings.instanceIndex() * GOLDEN_RATIO) % 1;
     isStale = true;
   }
 
-  /** Has the subset be selected again before the next decision. */
+  /** Marks the subset as stale, so that it is selected again before the next decision. */
   void invalidate() {
     isStale = true;
   }
 
   /**
-   * Fits the size to the traffic, with hysteresis: an endpoint that leaves the subset is no longer
-   * measured.
+   * Adapts the target size to the request rate. It has hysteresis, because an endpoint that leaves
+   * the subset is no longer measured.
    */
   void resize(double requestsPerSecond) {
     int known = directory.all().size();
@@ -67,7 +74,7 @@
     }
   }
 
-  /** Selects the subset again if something changed; whether it did. */
+  /** Selects the subset again if it is stale. Returns whether it was. */
   boolean refreshIfStale() {
     if (!isStale) {
       return false;
@@ -89,7 +96,7 @@
     List<EndpointState> ejected = new ArrayList<>();
     ring.forEach(state -> (state.ejection.isEjected() ? ejected : available).add(state));
     if (available.isEmpty()) {
-      available.addAll(ejected); // as if none were: some may serve
+      available.addAll(ejected); // ignores the ejections: some endpoints may serve
     }
     // Starts at this sidecar's ring position so that sidecars overflow to different endpoints.
     Collections.rotate(available, -(int) (position * available.size()));
@@ -115,8 +122,11 @@
   }
 
   /**
-   * Selects candidates from this sidecar's position on until they have the target size. Ejected
-   * ones are left out, those in slow start do not count towards the size.
+   * Adds candidates to {@code selected}, from this sidecar's position on, until they have the
+   * target size. Ejected endpoints are left out unless all are ejected. Endpoints in slow start do
+   * not count towards the size.
+   *
+   * @param candidates the listed endpoints of one zone in ring order; null if it has none
    */
   private void select(List<EndpointState> candidates, List<EndpointState> selected) {
     if (candidates == null) {
@@ -142,6 +152,7 @@
     }
   }
 
+  /** The index of the candidate at which the sum of nominal weights exceeds {@code weight}. */
   private static int startIndex(List<EndpointState> candidates, double weight) {
     double remaining = weight;
     int index = 0;
--- a/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
+++ b/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
@@ -5,12 +5,12 @@
 import java.util.Random;
 
 /**
- * Decides how a request that gets no further attempt is answered: rejected with a Retry-After where
- * its client may safely try again, failed where it may have run.
+ * Decides how a request that gets no further attempt is answered: rejected with a Retry-After if
+ * its client may safely retry, otherwise failed.
  *
  * <p>Retry-After is a short random part of the latency objective, so that clients do not return
- * together. It is the longest that clients honour where the objective would be missed anyway and a
- * late answer has no value, because a retry would only add load.
+ * together. It is the configured maximum if the objective would be missed anyway and a late answer
+ * has no value, because an early retry would only add load.
  */
 final class FinalAnswer {
   private static final double MIN_RETRY_AFTER_FRACTION = 0.1; // of the latency objective
@@ -34,7 +34,7 @@
     maxRetryAfterUs = newMaxRetryAfterUs;
   }
 
-  /** Answers the request and ends it. */
+  /** Gives the client its final answer and ends the request. */
   void giveUp(Request request, long nowUs) {
     long retryAfterUs = retryAfterUs(request, nowUs);
     boolean isSafe = duplicates.isRetryByClientSafe(request);
--- a/sidecar/src/main/java/dillcross/balancer/IdleConnections.java
+++ b/sidecar/src/main/java/dillcross/balancer/IdleConnections.java
@@ -5,8 +5,8 @@
 
 /**
  * Decides when idle connections to an endpoint are closed: once it is outside this sidecar's subset
- * and has got no attempt for a while. Otherwise hundreds of sidecars would fill the endpoint's
- * connection table with connections that each used once.
+ * and no attempt has been sent to it for a while. Otherwise hundreds of sidecars would fill the
+ * endpoint's connection table with connections that each of them used once.
  */
 final class IdleConnections {
   private static final long UNUSED_US = 2_000_000;
@@ -21,7 +21,7 @@
     this.decisions = decisions;
   }
 
-  /** Releases the connections of endpoints that are unused at {@code nowUs}. */
+  /** Releases the idle connections to endpoints that are no longer in use at {@code nowUs}. */
   void releaseUnused(long nowUs) {
     for (EndpointState endpoint : directory.all()) {
       boolean isIdle = endpoint.lastAttemptUs() > 0 && endpoint.inFlightCount() == 0;
--- a/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
@@ -7,7 +7,7 @@
   private final TrafficMeter traffic;
   private final EndpointDirectory directory;
   private int total;
-  private int unresponsive;
+  private int unresponsive; // silent, or on a connection that seems dead
   private boolean capacityChanged;
 
   InFlightTracker(TrafficMeter traffic, EndpointDirectory directory) {
@@ -15,25 +15,26 @@
     this.directory = directory;
   }
 
-  /** Attempts in flight, silent or not. */
+  /** Number of attempts in flight that count as load, silent or not. */
   int total() {
     return total;
   }
 
   /**
-   * Attempts in flight that are not silent. At most two an endpoint are left out as silent, so that
-   * load stays bounded where no endpoint answers.
+   * Number of attempts in flight that count as load, less the silent ones and those on connections
+   * that seem dead. At most two per endpoint are left out, so that load stays bounded if no
+   * endpoint answers.
    */
   int responsive() {
     return total - Math.min(unresponsive, MAX_SILENT_PER_ENDPOINT * directory.all().size());
   }
 
-  /** The mean of {@link #responsive} over time. */
+  /** The mean of {@link #responsive} over time, up to {@code nowUs}. */
   double meanResponsive(long nowUs) {
     return traffic.meanInFlight(responsive(), nowUs);
   }
 
-  /** The attempt counts as load from now on. */
+  /** Counts the attempt as load from now on. */
   void start(Attempt attempt, long nowUs) {
     meanResponsive(nowUs);
     attempt.startLoad(nowUs);
@@ -41,7 +42,7 @@
     attempt.endpoint.addInFlight(attempt);
   }
 
-  /** The attempt no longer counts as load. */
+  /** Stops counting the attempt as load and signals that waiting requests may be admitted. */
   void release(Attempt attempt, long nowUs) {
     if (attempt.countsAsLoad()) {
       meanResponsive(nowUs);
@@ -53,13 +54,19 @@
     capacityChanged = true;
   }
 
-  /** The attempt is silent: it must not use up the limit of a sidecar with little traffic. */
+  /**
+   * Marks the attempt as silent, so that it does not use up the limit of a sidecar with little
+   * traffic.
+   */
   void markSilent(Attempt attempt) {
     unresponsive += attempt.isConnectionSuspect() ? 0 : 1;
     attempt.markSilent();
   }
 
-  /** Its connection seems dead: such attempts must not use up the limit until they end. */
+  /**
+   * Marks the attempt's connection as seemingly dead, so that the attempt does not use up the limit
+   * until it ends.
+   */
   void markConnectionSuspect(Attempt attempt) {
     attempt.markConnectionSuspect();
     unresponsive++;
@@ -67,12 +74,12 @@
     capacityChanged = true;
   }
 
-  /** Waiting requests may be admitted from now on. */
+  /** Signals that waiting requests may be admitted. */
   void signalCapacity() {
     capacityChanged = true;
   }
 
-  /** Whether capacity may have been freed since the last call. */
+  /** Returns whether capacity may have been freed since the last call, and clears the signal. */
   boolean takeCapacitySignal() {
     boolean changed = capacityChanged;
     capacityChanged = false;
--- a/sidecar/src/main/java/dillcross/balancer/LatencyEstimate.java
+++ b/sidecar/src/main/java/dillcross/balancer/LatencyEstimate.java
@@ -24,7 +24,10 @@
   private double baselineUs;
   private int samples;
 
-  /** Until the first answer the mean is derived from the class's latency objective. */
+  /**
+   * Creates an estimate whose mean is a quarter of the class's latency objective until the first
+   * answer.
+   */
   LatencyEstimate(long objectiveUs) {
     meanUs = objectiveUs / INITIAL_OBJECTIVE_DIVISOR;
   }
@@ -32,7 +35,8 @@
   /**
    * Adds the latency of a successful answer.
    *
-   * @param baselineRise the part of the way, 0 to 1, that the baseline rises towards a higher mean
+   * @param baselineRise the fraction, 0 to 1, of its distance to a higher mean by which the
+   *     baseline rises
    */
   void record(double latencyUs, double baselineRise) {
     samples++;
@@ -41,7 +45,7 @@
     baselineUs = isLowest ? meanUs : baselineUs + baselineRise * (meanUs - baselineUs);
   }
 
-  /** Successful answers so far. */
+  /** Number of successful answers so far. */
   int samples() {
     return samples;
   }
@@ -56,14 +60,14 @@
     return PESSIMISTIC_FACTOR * meanUs;
   }
 
-  /** Time in which nearly every answer comes. */
+  /** The latency within which nearly every answer comes. */
   double ampleUs() {
     return AMPLE_FACTOR * meanUs;
   }
 
   /**
-   * After how long an attempt is overdue at an endpoint of that latency ratio: the ordinary spread
-   * of latencies must not count as failures.
+   * How long after it was sent an attempt is overdue at an endpoint with that latency ratio. The
+   * ordinary spread of latencies must not count as failures.
    */
   long overdueAfterUs(double latencyRatio) {
     return (long) (OVERDUE_FACTOR * meanUs * latencyRatio);
@@ -74,22 +78,27 @@
     return tookUs > TIMEOUT_FAILURE_FACTOR * meanUs;
   }
 
-  /** A latency as a multiple of the mean. */
+  /** The latency {@code latencyUs} as a multiple of the mean. */
   double ratioToMean(long latencyUs) {
     return latencyUs / meanUs;
   }
 
-  /** A latency as a multiple of the mean, bounded so that one sample can't dominate an average. */
+  /**
+   * The latency {@code latencyUs} as a multiple of the mean, bounded so that one sample can't
+   * dominate an average.
+   */
   double boundedRatioToMean(long latencyUs) {
     return Math.min(MAX_RATIO, ratioToMean(latencyUs));
   }
 
-  /** The latency without queueing. */
+  /** The latency without queueing; 0 before the first answer. */
   double baselineUs() {
     return baselineUs;
   }
 
-  /** The baseline, kept plausible: under load from the start it would be learned too high. */
+  /**
+   * The baseline, limited to a plausible range: under load from the start it is measured too high.
+   */
   double boundedBaselineUs(long objectiveUs) {
     return Clamp.between(
         MIN_BASELINE_FRACTION * objectiveUs, baselineUs, MAX_BASELINE_FRACTION * objectiveUs);
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -15,27 +15,30 @@
 /**
  * Takes every decision of one sidecar: the facade of this package. Inputs ({@code on...}, {@link
  * #applySettings}) carry the time in whole microseconds of one clock that never goes back, and only
- * note what is known. Then pull {@link #next} until it is null and carry out each {@link Decision}.
- * Not safe for use by several threads.
+ * update the state. After an input, call {@link #next} until it returns null and carry out each
+ * {@link Decision}. Not thread-safe.
  *
- * <p>A request's way: {@link RequestDeadline} and {@link RequestRanking} at its arrival, {@link
- * RequestScheduler} for each next step. Attempts pass {@link AttemptRouter}, {@link EndpointPicker}
- * and {@link AttemptDispatcher}; {@link RequestQueue} has requests wait and {@link FinalAnswer}
- * gives them up. {@link OutlierEjection} ejects endpoints after consecutive failures, until one
- * request on probation succeeds. Beside these stand six mechanisms:
+ * <p>The path of a request: {@link RequestDeadline} and {@link RequestRanking} at its arrival,
+ * {@link RequestScheduler} for each next step. Attempts go through {@link AttemptRouter}, {@link
+ * EndpointPicker} and {@link AttemptDispatcher}; {@link RequestQueue} decides which requests wait,
+ * and {@link FinalAnswer} answers those that are given up. {@link OutlierEjection} ejects endpoints
+ * after consecutive failures, until one request on probation succeeds. Six mechanisms protect the
+ * endpoints and the latency of requests:
  *
  * <ol>
- *   <li>{@link SlowStart}: a new or readmitted endpoint gets little at first.
+ *   <li>{@link SlowStart}: a new or readmitted endpoint gets few attempts at first.
  *   <li>{@link SilenceMonitor}: an overdue attempt counts as a failure before its deadline.
  *   <li>{@link RetryBudget}: retries and hedges are paid for by first attempts.
  *   <li>{@link AdmissionControl}: a concurrency limit, by Little's law.
  *   <li>{@link OutlierEjection}: a smoothed failure fraction ejects as consecutive failures do.
- *   <li>{@link RequestRanking}: requests wait by priority weight, class and tenant.
+ *   <li>{@link RequestRanking}: waiting requests are ordered by priority weight, class and tenant.
  * </ol>
  */
 public final class LoadBalancer {
-  private static final double MIN_REQUESTS_IN_SPAN = 10; // over which means are taken
-  private static final double DEFAULT_OBJECTIVE_US = 1e6; // where there is no request class
+  // Traffic is measured over a time span in which at least this many requests arrive on average.
+  private static final double MIN_REQUESTS_IN_SPAN = 10;
+
+  private static final double DEFAULT_OBJECTIVE_US = 1e6; // if there is no request class
 
   private final Map<String, ClassState> classes = new HashMap<>();
   private final ArrayDeque<Decision> decisions = new ArrayDeque<>();
@@ -63,13 +66,14 @@
   private final RequestScheduler scheduler;
   private final OutcomeRecorder outcomes;
   private RetryPolicy retryPolicy;
-  private long meanObjectiveUs;
-  private long now;
+  private long meanObjectiveUs; // mean latency objective of the configured classes
+  private long now; // time of the latest input, in microseconds
   private long nextSequence;
-  private long timerUs = Long.MAX_VALUE;
+  private long timerUs = Long.MAX_VALUE; // when the next scheduled timer is due; MAX_VALUE if none
 
   /**
-   * A load balancer that knows no endpoints yet. The same seed and calls give the same decisions.
+   * Creates a load balancer without endpoints. The same seed and the same calls give the same
+   * decisions.
    */
   public LoadBalancer(long seed, BalancerSettings settings) {
     Random random = new Random(seed);
@@ -104,7 +108,10 @@
 
   // Inputs
 
-  /** Replaces all settings. Endpoints, requests and what was measured by class and tenant stay. */
+  /**
+   * Replaces all settings. Endpoints, open requests, and measurements of classes and tenants that
+   * remain are kept.
+   */
   public void applySettings(long nowUs, BalancerSettings settings) {
     now = nowUs;
     retryPolicy = settings.retry();
@@ -140,9 +147,10 @@
   }
 
   /**
-   * An update of the endpoint list.
+   * Applies an update of the endpoint list.
    *
-   * @param complete whether {@code entries} are all endpoints, and not only those that changed
+   * @param complete whether {@code entries} are all endpoints; otherwise they are those that
+   *     changed
    */
   public void onEndpointList(long nowUs, boolean complete, List<Endpoint> entries) {
     now = nowUs;
@@ -153,28 +161,32 @@
   }
 
   /**
-   * A call for the endpoint list failed, or its subscription broke.
+   * Schedules another call for the endpoint list after a call failed or its subscription broke.
    *
-   * @param maxDelayUs it is called again after at most so long, times 0.5 to 1.5
+   * @param maxDelayUs the longest delay before that call, in microseconds, before jitter by a
+   *     factor of 0.5 to 1.5
    */
   public void onEndpointListFailure(long nowUs, long maxDelayUs) {
     now = nowUs;
     discovery.onFailure(now, maxDelayUs);
   }
 
-  /** Whether attempts may be sent to the endpoint; the caller keeps its address until then. */
+  /**
+   * Whether attempts may be sent to the endpoint; the caller keeps its address while this is true.
+   */
   public boolean isListed(String endpointId) {
     return directory.isListed(endpointId);
   }
 
   /**
-   * A request has arrived.
+   * Accepts a request that has arrived.
    *
-   * @param id unused so far
-   * @param tenant null or unknown where it has no quota
-   * @param className a class that the settings name
-   * @param timeoutUs how long its client waits, in microseconds
-   * @param isRepeat whether its client says that it tried before
+   * @param id the request's number, not used before
+   * @param tenant the request's tenant; null, or a name that the settings do not contain, if it has
+   *     no quota
+   * @param className the request's class; the settings have to contain it
+   * @param timeoutUs how long the client waits for an answer, in microseconds
+   * @param isRepeat whether the client says that it has tried the request before
    */
   public void onRequest(
       long nowUs, long id, String tenant, String className, long timeoutUs, boolean isRepeat) {
@@ -198,10 +210,10 @@
   }
 
   /**
-   * How far a request's body has arrived, where it did not come with the request.
+   * Updates how far a request's body has arrived, if the body did not come with the request.
    *
-   * @param complete whether all of it is there
-   * @param replayable whether all of it could be sent once more
+   * @param complete whether the whole body has arrived
+   * @param replayable whether the whole body could be sent again
    */
   public void onRequestBody(long nowUs, long id, boolean complete, boolean replayable) {
     now = nowUs;
@@ -217,24 +229,24 @@
     }
   }
 
-  /** The answer of an attempt has begun to stream to the client. */
+  /** Records that the response of an attempt has begun to stream to the client. */
   public void onResponseStarted(long nowUs, long id, int attemptNumber) {
     now = nowUs;
     Request request = requests.find(id);
     if (request != null && attemptNumber < request.attempts().size()) {
       Attempt attempt = request.attempts().get(attemptNumber);
       request.startStreaming(attempt);
-      inFlight.release(attempt, now); // from now on the client sets the pace
+      inFlight.release(attempt, now); // from now on its pace depends on the client
       outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs()), now);
       requests.cancelOthers(request);
     }
   }
 
   /**
-   * An attempt has ended.
+   * Records that an attempt has ended.
    *
-   * @param attemptNumber within the request, from 0
-   * @param elapsedUs since it was sent, in microseconds
+   * @param attemptNumber the attempt's number within the request, from 0
+   * @param elapsedUs the time since the attempt was sent, in microseconds
    * @param requestOver whether the client has its final answer
    */
   public void onAttemptEnded(
@@ -261,7 +273,7 @@
     }
   }
 
-  /** An endpoint reported how many requests it has in flight. */
+  /** Records an endpoint's report of how many requests it has in flight. */
   public void onLoadReport(long nowUs, String endpointId, double inFlight) {
     now = nowUs;
     EndpointState endpoint = directory.find(endpointId);
@@ -270,7 +282,7 @@
     }
   }
 
-  /** The client has disconnected and needs no answer. */
+  /** Ends a request whose client has disconnected and needs no answer. */
   public void onClientDisconnected(long nowUs, long id) {
     now = nowUs;
     Request request = requests.find(id);
@@ -279,7 +291,7 @@
     }
   }
 
-  /** A timer that was scheduled is due. */
+  /** Records that a scheduled timer is due. */
   public void onTimer(long nowUs) {
     now = nowUs;
     if (now >= timerUs) {
@@ -289,7 +301,7 @@
 
   // Decisions
 
-  /** The next thing to do; null when there is none. */
+  /** Returns the next decision to carry out; null if there is none. */
   public Decision next() {
     if (decisions.isEmpty()) {
       decide();
--- a/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
@@ -2,7 +2,7 @@
 
 import dillcross.model.AttemptOutcome;
 
-/** Measures endpoints, request classes and traffic by how attempts end. */
+/** Updates the measurements of endpoints, request classes and traffic when attempts end. */
 final class OutcomeRecorder {
   private static final long STALE_LATENCY_US = 5_000_000;
   private static final double BASELINE_RISE_IDLE = 0.05; // without load the mean is the baseline
@@ -27,7 +27,7 @@
     this.picker = picker;
   }
 
-  /** The attempt has ended, {@code tookUs} after it was sent. */
+  /** Records that the attempt has ended, {@code tookUs} after it was sent. */
   void recordOutcome(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     endpoint.recordOutcome(nowUs, STALE_LATENCY_US);
@@ -43,7 +43,10 @@
     ejection.endProbation(attempt);
   }
 
-  /** Counts a late attempt only where its endpoint answered others meanwhile. */
+  /**
+   * Counts the attempt as late or in time; a late one only if its endpoint answered others
+   * meanwhile.
+   */
   private static void recordLateness(Attempt attempt, long tookUs) {
     ClassState classState = attempt.request.classState;
     boolean isLate = tookUs > classState.requestClass().latencyObjectiveUs();
@@ -56,7 +59,10 @@
     }
   }
 
-  /** The endpoint has answered successfully, or has begun to, {@code tookUs} after sending. */
+  /**
+   * Records that the endpoint has answered the attempt successfully, or has begun to, {@code
+   * tookUs} after it was sent.
+   */
   void recordSuccess(Attempt attempt, long tookUs, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
     ClassState classState = attempt.request.classState;
@@ -74,17 +80,17 @@
     EndpointState endpoint = attempt.endpoint;
     boolean isTimeout = attempt.outcome() == AttemptOutcome.TIMED_OUT;
     LatencyEstimate latency = attempt.request.classState.latency;
-    // Raises the ratio at once: with little traffic there would be no more samples.
+    // Raises the latency ratio at once: with little traffic there would be no more samples.
     boolean isUninformative = attempt.isConnectionSuspect() || attempt.request.isBodyIncomplete();
     double ratio = isUninformative ? 0 : latency.boundedRatioToMean(tookUs);
     endpoint.raiseLatencyRatio(ratio);
-    // A client that gives up before an answer could be expected is no failure of the endpoint.
+    // If the client gives up before an answer can be expected, the endpoint has not failed.
     boolean isProbation = endpoint.ejection.isProbation(attempt);
     if (!isTimeout || latency.isTimeoutFailure(tookUs) || isProbation) {
       ejection.recordFailure(attempt, nowUs);
     }
     if (isTimeout && !endpoint.ejection.isEjected() && !attempt.isConnectionSuspect()) {
-      slowdown.record(attempt, tookUs, nowUs); // else endpoints that answer nothing would not count
+      slowdown.record(attempt, tookUs, nowUs); // else unanswered attempts would not count
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -4,16 +4,16 @@
 import java.util.Random;
 
 /**
- * Decides which endpoints are ejected and when they return (outlier detection): consecutive
- * failures or a smoothed failure fraction eject an endpoint for a jittered penalty. Then one
- * request on probation decides: success readmits it into slow start, failure doubles the penalty.
+ * Decides which endpoints are ejected and readmitted (outlier detection): consecutive failures or a
+ * smoothed failure fraction eject an endpoint for a jittered penalty. Then one request on probation
+ * decides: success readmits it into slow start, failure doubles the penalty.
  */
 final class OutlierEjection {
   private static final int CONSECUTIVE_FAILURES = 5; // fewer: ejects healthy endpoints by chance
-  private static final double FAILURE_FRACTION = 0.4; // smoothed
+  private static final double FAILURE_FRACTION = 0.4; // smoothed; above it an endpoint is ejected
   private static final long MAX_PENALTY_US = 60_000_000;
-  private static final long FIRST_PENALTY_US = 1_000_000; // short, as a healthy one may have paused
-  private static final double JITTER = 0.2; // fraction of a penalty, up or down
+  private static final long FIRST_PENALTY_US = 1_000_000; // short: a healthy endpoint may pause
+  private static final double JITTER = 0.2; // largest deviation, as a fraction of a penalty
 
   private final Random random;
   private final SlowStart slowStart;
@@ -49,7 +49,8 @@
   }
 
   private void eject(EjectionState state, boolean bySilence, long nowUs) {
-    // Soon after the last one it doubles: an endpoint that fails half may pass probation.
+    // Soon after the last penalty the next one is twice as long: an endpoint that fails half of its
+    // attempts may pass probation.
     boolean isRepeated =
         state.penaltyUs() > 0 && nowUs < state.untilUs() + 2 * state.penaltyUs() + FIRST_PENALTY_US;
     long penaltyUs =
@@ -60,8 +61,8 @@
   }
 
   /**
-   * Counts a success. On probation it readmits the endpoint; after an ejection that a silent
-   * attempt triggered any success does, as the endpoint may only have paused.
+   * Counts a success. On probation it readmits the endpoint; if a silent attempt triggered the
+   * ejection, any success readmits it, because the endpoint may only have paused.
    */
   void recordSuccess(Attempt attempt, long nowUs) {
     EndpointState endpoint = attempt.endpoint;
@@ -78,15 +79,15 @@
   /** Whether the request may be the endpoint's one attempt on probation. */
   boolean isProbationDue(EndpointState endpoint, Request request, long nowUs) {
     EjectionState state = endpoint.ejection;
-    long extraUs =
-        request.isIdempotent() ? 0 : state.penaltyUs(); // it could not be retried elsewhere
+    // A request that is not idempotent could not be retried elsewhere, so it is tried only later.
+    long extraUs = request.isIdempotent() ? 0 : state.penaltyUs();
     return state.isEjected()
         && !state.hasProbation()
         && nowUs >= endpoint.backoffUntilUs()
         && nowUs >= state.untilUs() + extraUs;
   }
 
-  /** The attempt has ended; if it was on probation, another may be. */
+  /** Ends the probation if the attempt, which has ended, was on it; another attempt may then be. */
   void endProbation(Attempt attempt) {
     EjectionState state = attempt.endpoint.ejection;
     if (state.isProbation(attempt)) {
--- a/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
+++ b/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
@@ -4,13 +4,14 @@
 
 /**
  * Decides whether an endpoint stays in use that discovery removed without draining it. Endpoint
- * lists can be wrong, in part or whole, so where settings allow it the endpoint's own answers
- * count: it stays until it refuses or resets a connection, or has not answered for a while.
+ * lists can be wrong, in part or whole. If the settings allow it, a removed endpoint therefore
+ * stays in use until it refuses or resets a connection, or has not answered successfully for a
+ * while.
  *
- * <p>The cost is one failed attempt per sidecar where a removed endpoint is really gone.
+ * <p>The cost is one failed attempt per sidecar if a removed endpoint is really gone.
  */
 final class RemovalGrace {
-  private static final long MAX_RETENTION_US = 60_000_000; // after the removal and the last answer
+  private static final long MAX_RETENTION_US = 60_000_000; // from removal or last success
 
   private DiscoveryPolicy policy;
 
@@ -18,7 +19,7 @@
     policy = newPolicy;
   }
 
-  /** Whether the endpoint, removed now, stays in use. */
+  /** Whether the endpoint stays in use if it is removed from the endpoint list now. */
   boolean retains(EndpointState endpoint) {
     return policy.keepRemoved() && endpoint.isListed();
   }
--- a/sidecar/src/main/java/dillcross/balancer/Request.java
+++ b/sidecar/src/main/java/dillcross/balancer/Request.java
@@ -8,25 +8,30 @@
 import java.util.List;
 
 /**
- * Keeps one request that is open, or that still has an attempt in flight. Times are in
+ * Keeps the state of one request that is open, or that still has an attempt in flight. Times are in
  * microseconds.
  */
 final class Request {
   final long id;
   final ClassState classState;
 
-  /** As it was at arrival: new settings must not change the rules of an open request. */
+  /**
+   * The request class as it was at arrival: new settings must not change the rules of an open
+   * request.
+   */
   final RequestClass requestClass;
 
-  /** As it was at arrival. */
+  /** The retry policy as it was at arrival, for the same reason. */
   final RetryPolicy retryPolicy;
 
   final long arrivalUs;
 
-  /** Number in order of arrival. */
+  /** Number of the request in the order of arrival. */
   final long sequence;
 
-  /** Whether its deadline is before the client's, because a late answer has no value. */
+  /**
+   * Whether the deadline is bounded by the latency objective, because a late answer has no value.
+   */
   final boolean hasEarlyDeadline;
 
   private final List<Attempt> attempts = new ArrayList<>(2);
@@ -66,12 +71,12 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
   }
 
-  /** Until when it may be answered; it counts from the last byte of the body. */
+  /** Until when the request may be answered: its timeout counts from the last byte of the body. */
   long deadlineUs() {
     return deadlineUs;
   }
 
-  /** Whether it needs no answer any more. */
+  /** Whether the request needs no answer any more. */
   boolean isOver() {
     return isOver;
   }
@@ -82,17 +87,22 @@
 
   // Body
 
-  /** Whether its body still arrives: no endpoint can have started on it. */
+  /**
+   * Whether the request's body is still arriving, so that no endpoint can have started on the
+   * request.
+   */
   boolean isBodyIncomplete() {
     return isBodyIncomplete;
   }
 
-  /** Whether a part of its body was released, so that no other attempt can send it. */
+  /**
+   * Whether a part of the request's body was released, so that no other attempt can send the body.
+   */
   boolean isBodyReleased() {
     return isBodyReleased;
   }
 
-  /** How far its body has arrived, and whether all of it could be sent once more. */
+  /** Updates whether the whole body has arrived, and whether the whole body could be sent again. */
   void updateBody(boolean complete, boolean replayable, long nowUs) {
     isBodyIncomplete = !complete;
     isBodyReleased = !replayable;
@@ -103,7 +113,7 @@
 
   // Attempts
 
-  /** Its attempts so far in the order in which they were sent. */
+  /** The request's attempts so far, in the order in which they were sent. */
   List<Attempt> attempts() {
     return attempts;
   }
@@ -112,12 +122,12 @@
     return attemptsInFlight;
   }
 
-  /** Whether any attempt may have run, or still may. */
+  /** Whether an endpoint may have executed any attempt, or may still do so. */
   boolean mayHaveRun() {
     return attempts.stream().anyMatch(Attempt::mayHaveRun);
   }
 
-  /** The attempt whose answer has begun to stream to the client; null before. */
+  /** The attempt whose response has begun to stream to the client; null if none has. */
   Attempt streaming() {
     return streaming;
   }
@@ -138,12 +148,15 @@
 
   // Ranking
 
-  /** Order in the queue, the highest first. */
+  /** Rank in the queue of waiting requests: the highest goes first. */
   double rank() {
     return rank;
   }
 
-  /** Its value for its time compared with the usual request's, which is 1. */
+  /**
+   * The request's value rate relative to that of the usual request, which is 1; see {@link
+   * RequestRanking}.
+   */
   double relativeValue() {
     return relativeValue;
   }
@@ -153,7 +166,7 @@
     relativeValue = newRelativeValue;
   }
 
-  /** Counts the requests of its tenant; null where that has no quota. */
+  /** The counter of the request's tenant; null if the tenant has no quota. */
   DemandCounter tenant() {
     return tenant;
   }
--- a/sidecar/src/main/java/dillcross/balancer/RequestDeadline.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestDeadline.java
@@ -5,7 +5,7 @@
 import dillcross.model.ServiceObjective;
 
 /**
- * Decides until when a request may be answered: until its client's timeout, or earlier where a late
+ * Decides until when a request may be answered: until its client's timeout, or earlier if a late
  * answer has no value, so that it can be rejected within its latency objective.
  */
 final class RequestDeadline {
@@ -17,7 +17,7 @@
     objective = newObjective;
   }
 
-  /** Whether requests of the class end before their client's timeout. */
+  /** Whether requests of the class may end before their client's timeout. */
   boolean isEarly(RequestClass requestClass) {
     return objective.tailWeight() > 0
         && requestClass.lateValueShare() == 0
--- a/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
@@ -4,12 +4,15 @@
  * Decides whether a request may wait for capacity, for how long, and how many may wait.
  *
  * <p>A request waits only while an answer can still come within its latency objective, and the
- * queue is no longer than what is answered within the queue timeout. What may not wait is given up
- * at once.
+ * queue holds no more requests than are answered within the queue timeout. A request that may not
+ * wait is given up at once.
  */
 final class RequestQueue {
-  private static final double QUEUE_FRACTION = 0.3; // of the latency objective, at least
-  private static final double SPARE_FRACTION = 0.8; // of what an answer leaves of the objective
+  // Smallest queue timeout, as a fraction of the latency objective.
+  private static final double QUEUE_FRACTION = 0.3;
+
+  // Queue timeout, as a fraction of the part of the latency objective that an answer leaves.
+  private static final double SPARE_FRACTION = 0.8;
 
   private final RequestTable requests;
   private final EndpointSets endpoints;
@@ -33,10 +36,10 @@
     this.finalAnswer = finalAnswer;
   }
 
-  /** Has the request wait for capacity while it can still be in time, or gives it up. */
+  /** Queues the request for capacity while it can still be answered in time, or gives it up. */
   void addOrGiveUp(Request request, boolean isFirst, long nowUs) {
     long untilUs = waitUntilUs(request);
-    // A retry waits only for the limit: where no endpoint may take it, waiting changes nothing.
+    // A retry waits only for the limit: if no endpoint may take it, waiting changes nothing.
     boolean mayWait = isFirst || (!admission.admits(request, nowUs) && !request.mayHaveRun());
     boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs();
     if (mayWait && isInTime && !endpoints.available().isEmpty()) {
@@ -62,8 +65,8 @@
   }
 
   /**
-   * Gives up the lowest-ranked requests once the queue exceeds what is answered within the queue
-   * timeout.
+   * Gives up the lowest-ranked requests while the queue holds more requests than are answered
+   * within the queue timeout.
    */
   void shed(double successesPerUs, long meanObjectiveUs, long nowUs) {
     while (requests.waitingCount() > 1 + successesPerUs * QUEUE_FRACTION * meanObjectiveUs) {
--- a/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestRanking.java
@@ -1,7 +1,7 @@
 package dillcross.balancer;
 
 /**
- * Decides which waiting request goes first, and what a request is worth against others.
+ * Decides which waiting request goes first, and a request's value relative to other requests.
  *
  * <pre>
  * valueRate = sqrt(priorityWeight / work) x timeoutFactor
@@ -9,9 +9,10 @@
  * relativeValue = valueRate / usual valueRate
  * </pre>
  *
- * Work is the class's expected latency in microseconds, or 1 where weights are per unit of work;
- * timeoutFactor is below 1 where the client gives up before an answer can come, and need is above 1
- * where class or tenant got less than their quota. A repeat by the client counts for less in both.
+ * Work is the class's expected latency in microseconds, or 1 if weights are per unit of work;
+ * timeoutFactor is below 1 if the client gives up before an answer is likely, and need is above 1
+ * if class or tenant got less than their quota. For a repeat by the client, both rank and
+ * relativeValue are lower.
  */
 final class RequestRanking {
   private static final double REPEAT_FRACTION = 0.4; // of the value of a first request
--- a/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
@@ -63,7 +63,7 @@
       } else if (request.attempts().isEmpty()) {
         return;
       } else {
-        finalAnswer.giveUp(request, nowUs); // a retry with no endpoint left must not block the rest
+        finalAnswer.giveUp(request, nowUs); // a retry that no endpoint may take must not block
       }
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/RequestTable.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestTable.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Keeps the requests of one sidecar, and which of them need an attempt, capacity or an end. */
+/**
+ * Keeps the requests of one sidecar, and which of them need an attempt, wait for capacity, or have
+ * attempts to cancel.
+ */
 final class RequestTable {
   private static final Comparator<Request> BY_RANK =
       Comparator.comparingDouble(Request::rank)
@@ -18,7 +21,7 @@
   private final ArrayDeque<Request> toCancel = new ArrayDeque<>();
   private final TreeSet<Request> waiting = new TreeSet<>(BY_RANK);
 
-  /** The request of that id; null where it is over and has nothing in flight. */
+  /** The request of that id; null if there is none, or if it is over and has nothing in flight. */
   Request find(long id) {
     return requests.get(id);
   }
@@ -28,12 +31,16 @@
     toPlace.add(request);
   }
 
-  /** Its last attempt has ended without an answer. */
+  /**
+   * Queues the request for another attempt, because its last attempt has ended without an answer.
+   */
   void placeAgain(Request request) {
     toPlace.add(request);
   }
 
-  /** It has an answer or needs none, so its other attempts in flight are unneeded. */
+  /**
+   * Queues the request for cancellation of its other attempts, because its response has started.
+   */
   void cancelOthers(Request request) {
     toCancel.add(request);
   }
@@ -52,7 +59,7 @@
     return toCancel.poll();
   }
 
-  // Waiting for capacity, the highest rank first
+  // Requests that wait for capacity, the highest rank first
 
   boolean hasWaiting() {
     return !waiting.isEmpty();
@@ -74,14 +81,14 @@
     waiting.add(request);
   }
 
-  /** Whether the request was waiting. */
+  /** Removes the request from those that wait. Returns whether it was waiting. */
   boolean removeWaiting(Request request) {
     return waiting.remove(request);
   }
 
   /**
-   * Updates the table after a change of the request. One that is over is kept only while an attempt
-   * is in flight, which is cancelled.
+   * Updates the table after a change of the request. A request that is over is kept only while it
+   * has attempts in flight, which are to be cancelled.
    *
    * @param ends whether the request is over with this change
    */
--- a/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
+++ b/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
@@ -8,7 +8,7 @@
   private static final double EARNED_PER_REQUEST = 0.2; // higher: more retries in an overload
   private static final double MAX_BALANCE = 20;
 
-  // More at the start would add up over hundreds of sidecars.
+  // Starts at one attempt, because a larger balance would add up over hundreds of sidecars.
   private double balance = 1;
 
   boolean allows(double price) {
@@ -19,7 +19,10 @@
     balance -= price;
   }
 
-  /** A request got its first attempt; {@code recentRequests} bounds the balance. */
+  /**
+   * Adds to the balance for a first attempt. The balance is bounded by a share of {@code
+   * recentRequests}, a decaying count of requests.
+   */
   void earn(double recentRequests) {
     double limit = Math.max(1, Math.min(MAX_BALANCE, EARNED_PER_REQUEST * recentRequests));
     balance = Math.min(limit, balance + EARNED_PER_REQUEST);
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -6,11 +6,11 @@
  * Decides when an attempt in flight is overdue or due for a hedge.
  *
  * <p>An overdue attempt at an endpoint that has answered nothing meanwhile counts as a failure
- * before its deadline, so that an endpoint that accepts requests and answers none is ejected soon.
+ * before its deadline, so that an endpoint that accepts requests and answers none is ejected early.
  * If the endpoint answered others, only the attempt's connection is suspect.
  */
 final class SilenceMonitor {
-  private static final double MAX_LATENCY_RATIO = 4; // a slow endpoint must become overdue too
+  private static final double MAX_LATENCY_RATIO = 4; // bounds the wait at a slow endpoint
 
   private final CheckQueue checks;
   private final InFlightTracker inFlight;
@@ -18,7 +18,10 @@
   private final AttemptPolicy attemptPolicy;
   private final ObjLongConsumer<Request> hedge;
 
-  /** Calls {@code hedge} with a request for which a hedge is due, and the time. */
+  /**
+   * Creates a monitor that calls {@code hedge} with a request for which a hedge is due and the
+   * current time.
+   */
   SilenceMonitor(
       CheckQueue checks,
       InFlightTracker inFlight,
@@ -32,14 +35,14 @@
     this.hedge = hedge;
   }
 
-  /** Checks an attempt that was sent now until it ends. */
+  /** Schedules checks of an attempt that was sent now, until it ends or is silent. */
   void watch(Attempt attempt, long nowUs) {
     long firstUs =
         Math.min(overdueAfterUs(attempt) / 2, attemptPolicy.hedgeAfterUs(attempt.request));
     checks.schedule(nowUs + firstUs, checkUs -> check(attempt, checkUs));
   }
 
-  /** After how long an attempt is overdue, in microseconds. */
+  /** How long after it was sent an attempt is overdue, in microseconds. */
   long overdueAfterUs(Attempt attempt) {
     double latencyRatio = attempt.endpoint.boundedLatencyRatio(MAX_LATENCY_RATIO);
     return attempt.request.classState.latency.overdueAfterUs(latencyRatio);
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -32,13 +32,16 @@
     instances = settings.instanceCount();
   }
 
-  /** The endpoint warms up from {@code startUs} on; 0, or long ago, means that it is warm. */
+  /**
+   * Begins the slow start of an endpoint that warms up from {@code startUs} on. The endpoint counts
+   * as warm if that is 0 or longer ago than the warm-up time.
+   */
   void begin(EndpointState endpoint, long startUs, long nowUs) {
     boolean isWarm = startUs == 0 || nowUs - startUs > policy.warmUpUs();
     endpoint.slowStart.begin(isWarm ? 0 : startUs);
   }
 
-  /** Whether the endpoint may get one more attempt now. Draws once for each window. */
+  /** Whether the endpoint may get one more attempt now. Draws one random number for each window. */
   boolean hasBudget(EndpointState endpoint, long nowUs) {
     SlowStartState state = endpoint.slowStart;
     long elapsedUs = nowUs - state.startUs();
@@ -49,11 +52,14 @@
     double initialShare = policy.initialCapacityShare();
     double progress = Math.max(0, (double) elapsedUs / policy.warmUpUs());
     double capacityShare = initialShare + (1 - initialShare) * progress;
-    double usual =
+    double usualAttempts =
         traffic.successesPerUs(nowUs) * policy.windowUs() / Math.max(1, endpoints.inUse());
-    double floor = AdmissionControl.INITIAL_LIMIT_PER_ENDPOINT / instances;
+    double minAttempts = AdmissionControl.INITIAL_LIMIT_PER_ENDPOINT / instances;
     double budget =
-        BUDGET_FRACTION * policy.overloadMultiple() * capacityShare * Math.max(usual, floor);
+        BUDGET_FRACTION
+            * policy.overloadMultiple()
+            * capacityShare
+            * Math.max(usualAttempts, minAttempts);
     openWindow(state, nowUs / policy.windowUs());
     return endpoint.inFlightCount() < 1 + state.successes()
         && state.sentInWindow() + 1 <= budget + state.rounding();
@@ -61,7 +67,7 @@
 
   private void openWindow(SlowStartState state, long window) {
     if (window != state.window()) {
-      // At least one attempt for each sidecar would add up over hundreds of them.
+      // Rounding up for each sidecar would add up over hundreds of sidecars.
       state.openWindow(window, random.nextDouble());
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/SlowStartState.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStartState.java
@@ -1,6 +1,6 @@
 package dillcross.balancer;
 
-/** Keeps the slow start of one endpoint. {@link SlowStart} decides by it. */
+/** Keeps the slow-start state of one endpoint, by which {@link SlowStart} decides. */
 final class SlowStartState {
   private long startUs;
   private long successes;
@@ -8,7 +8,7 @@
   private int sentInWindow;
   private double rounding;
 
-  /** When its slow start counts as begun, in microseconds; 0 once it is warm. */
+  /** When the endpoint's slow start began, in microseconds; 0 once the endpoint is warm. */
   long startUs() {
     return startUs;
   }
@@ -17,33 +17,38 @@
     return startUs == 0;
   }
 
-  /** Successful answers since the slow start began. */
+  /** Number of successful answers since the slow start began. */
   long successes() {
     return successes;
   }
 
-  /** Number of the current window. */
+  /**
+   * Number of the window in which the endpoint was last considered: time divided by window length.
+   */
   long window() {
     return window;
   }
 
-  /** Attempts sent in the current window. */
+  /** Number of attempts sent since that window was opened. */
   int sentInWindow() {
     return sentInWindow;
   }
 
-  /** Drawn for each window, 0 to 1: how a fraction of an attempt in the budget is rounded. */
+  /**
+   * Random number, 0 to 1, drawn for each window, by which a fraction of an attempt in the budget
+   * is rounded.
+   */
   double rounding() {
     return rounding;
   }
 
-  /** Begins a slow start; at 0 the endpoint is warm. */
+  /** Begins a slow start at {@code newStartUs}; 0 marks the endpoint as warm. */
   void begin(long newStartUs) {
     startUs = newStartUs;
     successes = 0;
   }
 
-  /** The warm-up time is over. */
+  /** Marks the endpoint as warm, because the warm-up time is over. */
   void end() {
     startUs = 0;
   }
--- a/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
@@ -7,7 +7,7 @@
  * {@link AdmissionControl} lowers the concurrency limit by it.
  */
 final class SlowdownEstimator {
-  private static final double MAX_SAMPLE = 2; // a few attempts that hang are no queueing
+  private static final double MAX_SAMPLE = 2; // a few attempts that hang do not show queueing
   private static final double MIN_SAMPLE = 0.6;
   private static final double MAX_USUAL_RATIO = 5;
   private static final double MIN_SAMPLE_WEIGHT = 0.06;
@@ -34,7 +34,7 @@
    */
   void record(Attempt attempt, long tookUs, long nowUs) {
     if (!attempt.endpoint.slowStart.isWarm()) {
-      return; // slow without queueing
+      return; // an endpoint in slow start is slow without queueing
     }
     long objectiveUs = attempt.request.requestClass.latencyObjectiveUs();
     ClassState classState = attempt.request.classState;
@@ -48,8 +48,9 @@
 
   /**
    * How much more often a class is late than the class that is late least often. Queueing at the
-   * endpoints delays all classes; one that alone is late waits for something behind them, which a
-   * lower limit would not help. Where latency objectives differ much, a queue may be noticed later.
+   * endpoints delays all classes; a class that alone is late waits for something that the endpoints
+   * depend on, which a lower limit would not help. If latency objectives differ much, a queue may
+   * be noticed later.
    */
   private double excessLateness(ClassState classState) {
     double lowest =
