--- a/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
@@ -6,6 +6,9 @@
 import dillcross.balancer.DecisionRecorder.SentAttempt;
 import dillcross.model.AttemptOutcome;
 import dillcross.model.RetryPolicy;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,58 +20,73 @@
   private static final int CONSECUTIVE_FAILURES = 5;
   private static final int RESPONSE_MS = 5;
 
-  /** Longer than a response can take: a timeout before that says nothing of the endpoint. */
-  private static final int LONG_SILENCE_MS = 350;
-
-  private static final int OVERLOAD_PAUSE_MS = 12_000;
+  /** How the only endpoint ends an attempt, and how long it takes. */
+  private enum Ending {
+    SUCCESS(AttemptOutcome.SUCCEEDED, 10, 10),
+    ERROR(AttemptOutcome.ERROR, 10, 10),
+    RESET(AttemptOutcome.RESET, 10, 10),
+    CONNECT_FAILED(AttemptOutcome.CONNECT_FAILED, 10, 10),
+    /** A timeout after 10 ms, before a response can be expected: no failure of the endpoint. */
+    EARLY_TIMEOUT(AttemptOutcome.TIMED_OUT, 10, 10),
+    /** A timeout after more time than a response can take. */
+    LATE_TIMEOUT(AttemptOutcome.TIMED_OUT, 350, 10),
+    /** The pause of 12 s is longer than any backoff from an overloaded endpoint. */
+    OVERLOADED(AttemptOutcome.OVERLOADED, 10, 12_000);
+
+    final AttemptOutcome outcome;
+    final long durationMs;
+    final long pauseMs;
+
+    Ending(AttemptOutcome outcome, long durationMs, long pauseMs) {
+      this.outcome = outcome;
+      this.durationMs = durationMs;
+      this.pauseMs = pauseMs;
+    }
+  }
 
-  /**
-   * Outcomes in the order in which the only endpoint gives them: E error, T timeout after a long
-   * silence, t early timeout, R reset, X connection failed, F full, A success.
-   */
+  /** Each row has the endings of successive attempts, and whether they eject the endpoint. */
   @ParameterizedTest
   @CsvSource({
-    "EEEEE, true",
-    "TTTTT, true",
-    "RRRRR, true",
-    "XXXXX, true",
-    "EEEE, false",
-    "FFFFFFFF, false",
-    "ttttttt, false",
-    "EEAAEEAA, false",
-    "EEFFFEEE, true",
-    "EEEAEEEAEEEA, true"
+    "5 ERROR, true",
+    "5 LATE_TIMEOUT, true",
+    "5 RESET, true",
+    "5 CONNECT_FAILED, true",
+    "4 ERROR, false",
+    "8 OVERLOADED, false",
+    "7 EARLY_TIMEOUT, false",
+    "2 ERROR + 2 SUCCESS + 2 ERROR + 2 SUCCESS, false",
+    "2 ERROR + 3 OVERLOADED + 3 ERROR, true",
+    "3 ERROR + 1 SUCCESS + 3 ERROR + 1 SUCCESS + 3 ERROR + 1 SUCCESS, true"
   })
-  void ejectsAfterConsecutiveFailuresOrHighFailureShare(String outcomes, boolean ejected) {
+  void ejectsAfterConsecutiveFailuresOrHighFailureFraction(String endings, boolean ejected) {
     BalancerFixture fixture = BalancerFixture.withEndpoints("a");
 
-    for (int i = 0; i < outcomes.length(); i++) {
-      endOneAttempt(fixture, outcomes.charAt(i));
-    }
+    parse(endings).forEach(ending -> endOneAttempt(fixture, ending));
 
     fixture.updateEndpoints(false, "b");
     assertEquals(ejected, fixture.sendSequentially(30, "a") == 0);
   }
 
-  private static void endOneAttempt(BalancerFixture fixture, char outcome) {
-    long request = fixture.startRequest("once");
-    fixture.advance(outcome == 'T' ? LONG_SILENCE_MS : 10);
-    fixture.endAttempt(fixture.lastAttemptOf(request), outcomeOf(outcome));
-    fixture.advance(outcome == 'F' ? OVERLOAD_PAUSE_MS : 10);
+  private static List<Ending> parse(String endings) {
+    List<Ending> parsed = new ArrayList<>();
+    for (String run : endings.split(" \\+ ")) {
+      String[] countAndEnding = run.split(" ");
+      int count = Integer.parseInt(countAndEnding[0]);
+      parsed.addAll(Collections.nCopies(count, Ending.valueOf(countAndEnding[1])));
+    }
+    return parsed;
   }
 
-  private static AttemptOutcome outcomeOf(char letter) {
-    return switch (letter) {
-      case 'E' -> AttemptOutcome.ERROR;
-      case 'T', 't' -> AttemptOutcome.TIMED_OUT;
-      case 'R' -> AttemptOutcome.RESET;
-      case 'X' -> AttemptOutcome.CONNECT_FAILED;
-      case 'F' -> AttemptOutcome.OVERLOADED;
-      default -> AttemptOutcome.SUCCEEDED;
-    };
+  private static void endOneAttempt(BalancerFixture fixture, Ending ending) {
+    long request = fixture.startRequest("once");
+    fixture.advance(ending.durationMs);
+    fixture.endAttempt(fixture.lastAttemptOf(request), ending.outcome);
+    fixture.advance(ending.pauseMs);
   }
 
-  /** Of two endpoints, "a" has just been ejected for consecutive failures. */
+  /**
+   * A load balancer with endpoints "a" and "b" that has just ejected "a" for consecutive failures.
+   */
   private static BalancerFixture withEjectedEndpoint() {
     BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
     int failures = 0;
@@ -88,7 +106,7 @@
   @CsvSource({"SUCCEEDED, true", "ERROR, false", "TIMED_OUT, false"})
   void readmitsAfterOneSuccessOnProbation(AttemptOutcome outcome, boolean readmitted) {
     BalancerFixture fixture = withEjectedEndpoint();
-    assertEquals(0, fixture.sendSequentially(30, "a")); // 0.6 s: within the shortest penalty
+    assertEquals(0, fixture.sendSequentially(30, "a")); // takes 0.6 s, less than any penalty
 
     fixture.advance(700);
     SentAttempt probation = fixture.lastAttemptOf(fixture.startRequest("read"));
@@ -97,7 +115,7 @@
     fixture.endAttempt(probation, outcome);
     fixture.succeedAll();
 
-    assertEquals(readmitted, fixture.sendPairs(60, "a") > 0); // 1.2 s
+    assertEquals(readmitted, fixture.sendPairs(60, "a") > 0); // takes 1.2 s
     fixture.advance(1300);
     assertTrue(fixture.sendPairs(60, "a") > 0, "the second penalty is at most twice the first");
   }
@@ -118,13 +136,13 @@
     BalancerFixture fixture = BalancerFixture.withEndpoints("a");
 
     for (int i = 0; i < 6; i++) {
-      endOneAttempt(fixture, 'E');
+      endOneAttempt(fixture, Ending.ERROR);
     }
 
     assertEquals("a", fixture.lastAttemptOf(fixture.startRequest("once")).endpoint());
   }
 
-  /** A response after a pause ends an ejection that only missing responses caused. */
+  /** A response after a pause ends an ejection that was caused only by missing responses. */
   @Test
   void readmitsSilentEndpointOnceItResponds() {
     BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
@@ -138,7 +156,7 @@
     fixture.advance(200);
     fixture.succeedAll();
 
-    fixture.advance(10_000); // until the latency of the pause is no longer remembered
+    fixture.advance(10_000); // after 10 s the latency of the pause no longer counts
     assertTrue(fixture.sendPairs(100, "a") > 10);
   }
 
