--- a/sidecar/src/test/java/dillcross/balancer/GivingUpTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/FinalAnswerTest.java
@@ -8,9 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Covers the final answer to requests that no endpoint answers; see {@link RequestScheduler}. */
-class GivingUpTest {
-  /** The client may retry only after a rejection, so that is only given where a retry is safe. */
+/** Covers the final answer to requests that no endpoint answers; see {@link FinalAnswer}. */
+class FinalAnswerTest {
+  /**
+   * The client retries only after a rejection, so a request is rejected only if a retry is safe.
+   */
   @ParameterizedTest
   @CsvSource({
     "read, ERROR, REJECT",
