--- a/sidecar/src/main/java/dillcross/net/buffer/MemoryBudget.java
+++ b/sidecar/src/main/java/dillcross/net/buffer/MemoryBudget.java
@@ -1,16 +1,19 @@
 package dillcross.net.buffer;
 
-/** Bytes that all buffers may take together: many large messages must not use up the memory. */
+/**
+ * A limit on the bytes that all buffers take together, so that many large messages can't use up the
+ * heap.
+ */
 public final class MemoryBudget {
   private final long maxBytes;
   private long taken;
 
-  /** A budget of which nothing is taken. */
+  /** Creates a budget of {@code maxBytes}, none of which are taken. */
   public MemoryBudget(long maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Takes the bytes if there are so many; whether it did. */
+  /** Takes {@code bytes} from the budget; returns false, and takes none, if fewer are left. */
   boolean tryTake(int bytes) {
     boolean fits = taken + bytes <= maxBytes;
     if (fits) {
@@ -23,12 +26,12 @@
     taken -= bytes;
   }
 
-  /** Whether less than half of it is taken. */
+  /** Whether less than half of the budget is taken. */
   public boolean isAmple() {
     return taken < maxBytes / 2;
   }
 
-  /** Bytes that are taken. */
+  /** The number of bytes that buffers have taken and not given back. */
   public long taken() {
     return taken;
   }
--- a/sidecar/src/main/java/dillcross/net/buffer/RingBuffer.java
+++ b/sidecar/src/main/java/dillcross/net/buffer/RingBuffer.java
@@ -5,8 +5,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Bytes of one connection in one direction. Starts small, which is free, and doubles up to a limit
- * while the memory budget of all buffers allows it.
+ * A ring buffer for the bytes of one connection in one direction. Starts with 1 KiB, which does not
+ * count against the memory budget, and doubles up to a limit as long as the budget that all buffers
+ * share allows it.
  */
 public final class RingBuffer {
   private static final int INITIAL_BYTES = 1 << 10;
@@ -22,33 +23,37 @@
   private boolean keepsCapacity;
 
   /**
-   * An empty buffer.
+   * Creates an empty buffer.
    *
-   * @param maxBytes a power of two
+   * @param maxBytes the most bytes that the buffer can hold; a power of two
    */
   public RingBuffer(int maxBytes, MemoryBudget budget) {
     this.maxBytes = maxBytes;
     this.budget = budget;
   }
 
-  /** How many bytes it holds. */
+  /** The number of bytes in the buffer. */
   public int size() {
     return size;
   }
 
-  /** Whether nothing more fits in. */
+  /**
+   * Whether no byte can be added: the buffer holds its maximum, or the budget refused its last
+   * growth.
+   */
   public boolean isFull() {
     return size == maxBytes || isStarved;
   }
 
-  /** Whether the budget did not let it grow when it last had to. */
+  /** Whether the budget refused the buffer's last growth, and no bytes have been removed since. */
   public boolean isStarved() {
     return isStarved;
   }
 
   /**
-   * Returns its memory to the budget for good. What is added later takes none, because it would
-   * never be returned.
+   * Drops all bytes and returns the buffer's memory to the budget. From then on the buffer does not
+   * grow beyond its initial size: memory that it took after its connection was closed would never
+   * be returned.
    */
   public void release() {
     shrink();
@@ -62,50 +67,57 @@
     size = 0;
   }
 
-  /** The byte at an index from the head. */
+  /** The byte at {@code index}, counted from the head. */
   public byte at(int index) {
     return bytes[(head + index) & (bytes.length - 1)];
   }
 
-  /** Drops bytes from the head. */
+  /** Removes {@code count} bytes from the head. */
   public void skip(int count) {
     head = (head + count) & (bytes.length - 1);
     size -= count;
     if (count > 0) {
-      isStarved = false; // there is space again: a streamed body must not stand still for it
+      isStarved = false; // there is space again; a streamed body would stall otherwise
     }
     if (size == 0) {
       head = 0;
       if (bytes.length > MAX_IDLE_BYTES && !keepsCapacity) {
-        shrink(); // one large message must not cost for ever
+        shrink(); // one large message must not occupy memory for as long as the connection is open
       }
     }
   }
 
-  /** Drops all bytes. */
+  /** Removes all bytes. */
   public void clear() {
     skip(size);
   }
 
   /**
-   * Sets whether it keeps its memory while empty, as a streamed body would grow it at each read.
+   * Sets whether the buffer keeps its memory while it is empty. It does for a streamed body,
+   * because it would otherwise shrink and grow again at each read.
    */
   public void setKeepsCapacity(boolean keeps) {
     keepsCapacity = keeps;
     skip(0);
   }
 
-  /** How many more bytes fit in, up to a window; it grows for them where the budget allows it. */
+  /**
+   * Returns how many bytes can be added before the buffer holds {@code window} bytes. The buffer
+   * grows for them as far as its maximum and the budget allow.
+   */
   public int freeBytes(int window) {
     int wanted = Math.min(window, maxBytes);
     if (bytes.length < wanted) {
       grow(wanted);
-      isStarved = false; // it goes on with the memory it has
+      isStarved = false; // a stream goes on with the present size
     }
     return Math.max(0, Math.min(wanted, bytes.length) - size);
   }
 
-  /** Moves bytes over from the head of another, for which there are {@link #freeBytes}. */
+  /**
+   * Moves {@code count} bytes from the head of another buffer to the end of this one; at most
+   * {@link #freeBytes} may be moved.
+   */
   public void moveFrom(RingBuffer other, int count) {
     int remaining = count;
     while (remaining > 0) {
@@ -119,7 +131,10 @@
     }
   }
 
-  /** Copies bytes out, from an index from the head, and leaves them in. */
+  /**
+   * Copies {@code count} bytes, which begin at {@code index} from the head, into an array; the
+   * bytes stay in the buffer.
+   */
   public void copyTo(int index, byte[] to, int offset, int count) {
     int start = (head + index) & (bytes.length - 1);
     int first = Math.min(count, bytes.length - start);
@@ -127,12 +142,15 @@
     System.arraycopy(bytes, 0, to, offset + first, count - first);
   }
 
-  /** Grows for so many more bytes, at once and not step by step; whether they fit in. */
+  /**
+   * Grows in one step to make space for {@code more} bytes; returns false if the buffer's maximum
+   * or the budget does not allow it.
+   */
   public boolean ensureSpace(int more) {
     return size + more <= maxBytes && grow(size + more);
   }
 
-  /** Adds all of the bytes if they fit in; whether it did. */
+  /** Adds all of the bytes; returns false, and adds none, if they do not fit. */
   public boolean add(byte[] from) {
     if (!ensureSpace(from.length)) {
       return false;
@@ -145,27 +163,31 @@
     return true;
   }
 
-  /** The first contiguous bytes, for writing; they stay in until skipped. */
+  /**
+   * A view of the bytes from the head to the end of the array, for writing; they stay in the buffer
+   * until they are skipped.
+   */
   public ByteBuffer contiguous() {
     return ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)).slice();
   }
 
   /**
-   * Reads what fits into a window, up to where nothing more has arrived. A short read is no sign
-   * that nothing is behind it: that a client has gone is to be seen before its request is sent.
+   * Reads until the buffer holds {@code window} bytes or nothing more has arrived. A short read
+   * does not end the loop, because the end of the stream may follow it: a client's disconnect has
+   * to be seen before its request is sent.
    *
    * @return whether the stream has ended
    */
   public boolean read(TransportChannel from, int window) throws IOException {
     int limit = Math.min(window, maxBytes);
-    int got = 1;
-    while (got > 0 && size < limit && grow(size + 1)) {
+    int readCount = 1;
+    while (readCount > 0 && size < limit && grow(size + 1)) {
       int end = (head + size) & (bytes.length - 1);
       int space = end < head ? head - end : bytes.length - end;
-      got = from.read(ByteBuffer.wrap(bytes, end, space));
-      size += Math.max(0, got);
+      readCount = from.read(ByteBuffer.wrap(bytes, end, space));
+      size += Math.max(0, readCount);
     }
-    return got < 0;
+    return readCount < 0;
   }
 
   private boolean grow(int needed) {
--- a/sidecar/src/main/java/dillcross/net/buffer/package-info.java
+++ b/sidecar/src/main/java/dillcross/net/buffer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Ring buffers, and the memory budget that all of them share. Belongs to the selector thread. It
- * knows nothing of HTTP.
+ * Ring buffers, and the memory budget that all of them share. Belongs to the selector thread. The
+ * package does not depend on HTTP.
  */
 package dillcross.net.buffer;
--- a/sidecar/src/main/java/dillcross/net/http/AsciiText.java
+++ b/sidecar/src/main/java/dillcross/net/http/AsciiText.java
@@ -3,14 +3,14 @@
 import dillcross.net.buffer.RingBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Text of message heads. */
+/** Reads and checks the text of message heads. */
 final class AsciiText {
   private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
   static final char DELETE = 0x7f;
 
   private AsciiText() {}
 
-  /** The bytes of a buffer from one index to another, as text. */
+  /** The bytes of a buffer from index {@code from} up to {@code to}, decoded as ISO-8859-1. */
   static String read(RingBuffer in, int from, int to) {
     byte[] bytes = new byte[to - from];
     in.copyTo(from, bytes, 0, bytes.length);
@@ -29,12 +29,12 @@
         || TOKEN_MARKS.indexOf(c) >= 0;
   }
 
-  /** Whether the text has no control characters, the tab included. */
+  /** Whether the text has no control characters; a tab counts as one. */
   static boolean isPrintable(String text) {
     return text.chars().allMatch(c -> c >= ' ' && c != DELETE);
   }
 
-  /** Whether the text has no control characters but tabs. */
+  /** Whether the text has no control characters other than tabs. */
   static boolean isFieldText(String text) {
     return text.chars().allMatch(c -> (c >= ' ' && c != DELETE) || c == '\t');
   }
--- a/sidecar/src/main/java/dillcross/net/http/ChunkDecoder.java
+++ b/sidecar/src/main/java/dillcross/net/http/ChunkDecoder.java
@@ -2,12 +2,14 @@
 
 import dillcross.net.buffer.RingBuffer;
 
-/** Takes the framing off a chunked body: chunk sizes, the line ends behind chunks, the trailer. */
+/**
+ * Removes the framing of a chunked body: chunk sizes, the line ends after chunks, and the trailer.
+ */
 final class ChunkDecoder {
-  private static final int MAX_LINE_BYTES = 4 << 10; // with extensions, or of a trailer
+  private static final int MAX_LINE_BYTES = 4 << 10; // of a chunk size or of a trailer field
   private static final int HEXADECIMAL = 16;
 
-  private boolean isLineEndPending; // behind a chunk
+  private boolean isLineEndPending; // a chunk was read, and the line end after it was not
   private boolean isInTrailer;
   private int trailerBytes;
   private int scanned; // bytes already searched for a line end
@@ -19,15 +21,17 @@
     return isComplete;
   }
 
-  /** The status that says what is malformed; 0 while nothing is. */
+  /** The HTTP status code for what is wrong with the framing; 0 while nothing is wrong. */
   int fault() {
     return fault;
   }
 
   /**
-   * Reads on to the next chunk, or past the trailer.
+   * Removes the framing up to the next chunk, or to the end of the trailer.
    *
-   * @return the size of the next chunk; 0 where it has not arrived or there is none
+   * @param maxBytes the size of the largest chunk that is allowed; a larger one is a fault
+   * @return the size of the next chunk in bytes; 0 if it has not arrived, the body has ended, or
+   *     the framing is malformed
    */
   long nextChunk(RingBuffer in, long maxBytes) {
     while (!isComplete && fault == 0) {
@@ -55,7 +59,7 @@
     return 0;
   }
 
-  /** Whether the line end behind a chunk was there and well-formed. */
+  /** Removes the line end after a chunk; returns false if it has not arrived or is malformed. */
   private boolean skipLineEnd(RingBuffer in) {
     if (in.size() < HttpMessage.LINE_END.length()) {
       return false;
@@ -69,7 +73,7 @@
     return true;
   }
 
-  /** Trailer fields are read and dropped. */
+  /** Drops a line of the trailer; an empty line ends the body. */
   private void skipTrailerLine(int length) {
     trailerBytes += length + HttpMessage.LINE_END.length();
     isComplete = length == 0;
@@ -95,7 +99,7 @@
     return size;
   }
 
-  /** Where the first line ends; -1 where its end has not arrived. */
+  /** The index of the line end of the first line; -1 if it has not arrived. */
   private int findLineEnd(RingBuffer in) {
     for (int i = Math.max(0, scanned - 1); i + 1 < in.size(); i++) {
       if (in.at(i) == '\r' && in.at(i + 1) == '\n') {
--- a/sidecar/src/main/java/dillcross/net/http/HeaderNames.java
+++ b/sidecar/src/main/java/dillcross/net/http/HeaderNames.java
@@ -11,7 +11,7 @@
   /** The key by which endpoints deduplicate retries. */
   public static final String IDEMPOTENCY_KEY = "idempotency-key";
 
-  /** A flag: the client has tried before. */
+  /** A flag: the client retries a request that it has sent before. */
   public static final String CLIENT_RETRY = "client-retry";
 
   /** A flag: an endpoint did not start on the request, so that a retry is safe. */
@@ -20,7 +20,7 @@
   /** How long a client should wait before it retries, in seconds. */
   public static final String RETRY_AFTER = "retry-after";
 
-  /** An endpoint's load report. */
+  /** An endpoint's load report, which this sidecar does not use. */
   public static final String SERVER_LOAD = "server-load";
 
   /** The tenant that the request is made for. */
--- a/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
@@ -8,11 +8,11 @@
 
 /** Parses the head of a message: its first line and its header fields. */
 final class HttpHeadParser {
-  private static final int FIRST_LINE_PARTS = 3; // of a request line and of a status line
-  private static final String VERSION_FORM = "HTTP/1\\.[01]";
+  private static final int START_LINE_PARTS = 3; // both a request line and a status line have them
+  private static final String VERSION_PATTERN = "HTTP/1\\.[01]";
 
-  /** Fields whose repetition makes a message ambiguous, and so malformed. */
-  private static final Set<String> SINGLE =
+  /** Fields whose repetition makes a message ambiguous, and therefore malformed. */
+  private static final Set<String> SINGLE_VALUED =
       Set.of(
           HeaderNames.CONTENT_LENGTH,
           HeaderNames.TRANSFER_ENCODING,
@@ -27,7 +27,10 @@
     this.parsesRequests = parsesRequests;
   }
 
-  /** The message with no body yet; empty where its head is malformed. */
+  /**
+   * Parses the lines of a head. Returns the message without its body, or empty if the head is
+   * malformed.
+   */
   Optional<HttpMessage> parse(String[] lines) {
     if (!AsciiText.isPrintable(lines[0])) {
       return Optional.empty();
@@ -40,12 +43,12 @@
         parsesRequests
             ? parseRequestLine(lines[0], fields.get())
             : parseStatusLine(lines[0], fields.get());
-    return head.filter(message -> isFramedOnce(lines[0], message));
+    return head.filter(message -> hasUnambiguousFraming(lines[0], message));
   }
 
   private static Optional<HttpMessage> parseRequestLine(String line, Map<String, String> fields) {
     String[] parts = line.split(" ", -1);
-    if (parts.length != FIRST_LINE_PARTS) {
+    if (parts.length != START_LINE_PARTS) {
       return Optional.empty();
     }
     String target = withoutAuthority(parts[1]);
@@ -53,23 +56,25 @@
     boolean isWellFormed =
         AsciiText.isToken(parts[0])
             && target.matches("/[!-~]*")
-            && version.matches(VERSION_FORM)
+            && version.matches(VERSION_PATTERN)
             && (version.equals(HttpMessage.HTTP_10) || fields.containsKey(HeaderNames.HOST));
     return isWellFormed
         ? Optional.of(new HttpRequest(parts[0], target, version, fields, HttpMessage.NO_BODY, 0))
         : Optional.empty();
   }
 
-  /** The absolute form of a target, as proxies receive it, is forwarded without its host. */
+  /** Removes scheme and host from a target in absolute form, which clients send to proxies. */
   private static String withoutAuthority(String target) {
     String path = target.replaceFirst("^https?://[^/?#]+(?=/|$)", "");
     return path.isEmpty() ? "/" : path;
   }
 
   private static Optional<HttpMessage> parseStatusLine(String line, Map<String, String> fields) {
-    String[] parts = line.split(" ", FIRST_LINE_PARTS);
+    String[] parts = line.split(" ", START_LINE_PARTS);
     boolean isWellFormed =
-        parts.length >= 2 && parts[0].matches(VERSION_FORM) && parts[1].matches("[1-5][0-9][0-9]");
+        parts.length >= 2
+            && parts[0].matches(VERSION_PATTERN)
+            && parts[1].matches("[1-5][0-9][0-9]");
     if (!isWellFormed) {
       return Optional.empty();
     }
@@ -88,7 +93,9 @@
     return Optional.of(fields);
   }
 
-  /** Adds the field of a line; whether it is well-formed. */
+  /**
+   * Adds the field of a line to {@code fields}; returns false if it makes the message malformed.
+   */
   private boolean parseField(String line, Map<String, String> fields) {
     int colon = line.indexOf(':');
     if (colon <= 0 || !AsciiText.isToken(line.substring(0, colon))) {
@@ -96,7 +103,7 @@
     }
     String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
     if (!parsesRequests && name.equals(HeaderNames.SERVER_LOAD)) {
-      return true; // unused here, so a malformed one does not invalidate the response
+      return true; // not used here, so a malformed one does not invalidate the response
     }
     if (!AsciiText.isFieldText(line)) {
       return false;
@@ -111,11 +118,14 @@
       return true;
     }
     fields.put(name, before + ", " + value);
-    return !SINGLE.contains(name);
+    return !SINGLE_VALUED.contains(name);
   }
 
-  /** Whether exactly one of a length and a known coding frames the body, or neither. */
-  private static boolean isFramedOnce(String firstLine, HttpMessage head) {
+  /**
+   * Whether the framing of the body is unambiguous: there is a valid content-length, or the chunked
+   * coding under HTTP/1.1, or neither, but not both.
+   */
+  private static boolean hasUnambiguousFraming(String firstLine, HttpMessage head) {
     String length = head.field(HeaderNames.CONTENT_LENGTH);
     String coding = head.field(HeaderNames.TRANSFER_ENCODING);
     boolean isKnownCoding =
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
@@ -16,20 +16,26 @@
   /** A body with no bytes. */
   byte[] NO_BODY = {};
 
-  /** As {@link #remainingBytes}: only the end of the body tells, in chunks. */
+  /**
+   * A value of {@link #remainingBytes}: the length is unknown until the body ends. It is written in
+   * chunks.
+   */
   long UNKNOWN = -1;
 
-  /** As {@link #remainingBytes}: the end of the connection tells, to those who know no chunks. */
+  /**
+   * A value of {@link #remainingBytes}: the length is unknown, and the end of the connection marks
+   * the end of the body, as in HTTP/1.0.
+   */
   long UNTIL_CLOSE = -2;
 
   /** The version that this sidecar writes. */
   String HTTP_11 = "HTTP/1.1";
 
-  /** The version whose senders know no chunks. */
+  /** The version that has no chunked bodies. */
   String HTTP_10 = "HTTP/1.0";
 
-  /** A first guess at the size of a head, in characters. */
-  int USUAL_HEAD_CHARS = 256;
+  /** The initial capacity of the builder of a head, in characters. */
+  int INITIAL_HEAD_CHARS = 256;
 
   /** The line end of HTTP. */
   String LINE_END = "\r\n";
@@ -39,7 +45,9 @@
     return LINE_END.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Fields of one connection only, or that the writer of the next message sets itself. */
+  /**
+   * Fields that are not forwarded: they concern one connection only, or the sidecar writes its own.
+   */
   Set<String> HOP_BY_HOP =
       Set.of(
           HeaderNames.CONNECTION,
@@ -57,37 +65,47 @@
   /** The version in the first line. */
   String version();
 
-  /** The header fields by lower-case name; of a message that we make, others may be added. */
+  /**
+   * The header fields by lower-case name. Fields may be added to messages that this sidecar makes.
+   */
   Map<String, String> fields();
 
-  /** The body, or its first bytes. */
+  /** The body, or its first bytes if the rest is streamed. */
   byte[] body();
 
-  /** Bytes of the body that follow {@link #body}, {@link #UNKNOWN} or {@link #UNTIL_CLOSE}. */
+  /**
+   * The number of bytes of the body that follow {@link #body}, or {@link #UNKNOWN}, or {@link
+   * #UNTIL_CLOSE}; 0 if {@link #body} is complete.
+   */
   long remainingBytes();
 
-  /** The first line, with no line end. */
+  /** The first line, without its line end. */
   String startLine();
 
-  /** Whether a message with no body names its length. */
-  boolean namesEmptyLength();
+  /** Whether a message without a body is written with {@code content-length: 0}. */
+  boolean writesZeroLength();
 
-  /** The value of a header field; null where it has none. */
+  /**
+   * The value of a header field, by lower-case name; null if the message does not have the field.
+   */
   default String field(String name) {
     return fields().get(name);
   }
 
-  /** Whether the rest of its body is streamed. */
+  /** Whether a part of the body follows {@link #body} and is streamed. */
   default boolean isStreaming() {
     return remainingBytes() != 0;
   }
 
-  /** Whether its sender keeps no connection unless it says so, and knows no chunks. */
+  /**
+   * Whether the sender uses HTTP/1.0: it closes the connection unless it announces otherwise, and
+   * does not support chunked bodies.
+   */
   default boolean isHttp10() {
     return version().equals(HTTP_10);
   }
 
-  /** Whether its sender keeps the connection open behind it. */
+  /** Whether the sender keeps the connection open after this message. */
   default boolean keepsAlive() {
     String text = fields().getOrDefault(HeaderNames.CONNECTION, "").toLowerCase(Locale.ROOT);
     List<String> options = List.of(text.split("[ \\t]*,[ \\t]*"));
@@ -95,7 +113,10 @@
         && (!isHttp10() || options.contains(HeaderNames.CONNECTION_KEEP_ALIVE));
   }
 
-  /** Its fields, without those of the hop and those that the sender names as such. */
+  /**
+   * A copy of the fields without the hop-by-hop ones: those of {@link #HOP_BY_HOP}, and those that
+   * the sender lists in {@code connection}.
+   */
   default Map<String, String> forwardedFields() {
     Map<String, String> forwarded = new LinkedHashMap<>(fields());
     forwarded.keySet().removeAll(HOP_BY_HOP);
@@ -108,7 +129,7 @@
     return forwarded;
   }
 
-  /** All that goes before the bytes that follow: its head and what it has of its body. */
+  /** Encodes the head and {@link #body}, as a chunk if the length of the whole body is unknown. */
   default byte[] encode() {
     byte[] head = encodeHead();
     byte[] body = body();
@@ -122,21 +143,21 @@
     return all;
   }
 
-  /** What goes ahead of so many bytes of a chunked body. */
+  /** The line that precedes a chunk of {@code size} bytes. */
   static byte[] chunkHead(int size) {
     return (Integer.toHexString(size) + LINE_END).getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** All that goes before its body. */
+  /** Encodes the start line and the fields, up to the empty line before the body. */
   default byte[] encodeHead() {
-    StringBuilder head = new StringBuilder(USUAL_HEAD_CHARS);
+    StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS);
     head.append(startLine()).append(LINE_END);
     fields()
         .forEach((name, value) -> head.append(name).append(": ").append(value).append(LINE_END));
     long remaining = remainingBytes();
     if (remaining == UNKNOWN) {
       head.append("transfer-encoding: chunked").append(LINE_END);
-    } else if (remaining >= 0 && (body().length > 0 || namesEmptyLength())) {
+    } else if (remaining >= 0 && (body().length > 0 || writesZeroLength())) {
       head.append("content-length: ").append(body().length + remaining).append(LINE_END);
     }
     return head.append(LINE_END).toString().getBytes(StandardCharsets.ISO_8859_1);
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -5,17 +5,20 @@
 import java.util.Optional;
 
 /**
- * Reads HTTP/1.1 messages from a buffer as they arrive. Strict, since what two readers frame
- * differently can smuggle one request inside another: one length, one coding, no folded lines, no
- * stray control characters.
+ * Parses HTTP/1.1 messages from a buffer as they arrive. Strict, because a message that two parsers
+ * frame differently can smuggle one request inside another: it accepts one length, one coding, no
+ * folded lines and no control characters.
  */
 public final class HttpMessageParser {
-  /** A body up to this is read completely before it is handed on; a larger one is streamed. */
+  /**
+   * The size of the largest body that is read completely before it is forwarded; a larger one is
+   * streamed.
+   */
   public static final int MAX_BUFFERED_BODY_BYTES = 64 << 10;
 
   static final int MAX_HEAD_BYTES = 16 << 10;
-  private static final int MAX_REQUEST_HEAD_BYTES = 8 << 10; // an endpoint may take no more
-  private static final int MAX_INTERIM_RESPONSES = 16; // some are usual, more are without end
+  private static final int MAX_REQUEST_HEAD_BYTES = 8 << 10; // endpoints may reject larger ones
+  private static final int MAX_INTERIM_RESPONSES = 16; // a few are usual; more may never end
   private static final String RESPONSE_START = "HTTP/1.";
   private static final int HEAD_END_BYTES = 4; // two line ends
   private static final int LINE_END_BYTES = 2;
@@ -24,23 +27,25 @@
   private final HttpHeadParser headParser;
   private final int maxBufferedBody;
   private final long maxBody;
-  private HttpMessage head; // of the message whose body is being read; null between messages
-  private long remaining; // of its body or chunk, or HttpMessage.UNTIL_CLOSE
-  private long received; // of its body
-  private ChunkDecoder chunks; // null where the body is not chunked
-  private ByteArrayOutputStream collected; // null where the length of the body is known
-  private boolean isStreaming; // the rest of the body is taken from outside, as it arrives
-  private boolean isBodyComplete; // all of it has been taken
+  private HttpMessage head; // the message whose body is being read; null between messages
+  private long remaining; // bytes left of the body or chunk, or HttpMessage.UNTIL_CLOSE
+  private long received; // bytes of the body that were taken
+  private ChunkDecoder chunks; // null if the body is not chunked
+  private ByteArrayOutputStream collected; // bytes of a body of unknown length; else null
+  private boolean isStreaming; // the caller takes the rest of the body as it arrives
+  private boolean isBodyComplete; // all of the body has been taken
   private int interimResponses;
   private int scanned; // bytes already searched for the end of the head
-  private int fault;
+  private int fault; // an HTTP status code; 0 while nothing is wrong
   private boolean expectsContinue;
 
   /**
-   * A parser of requests, or else of responses.
+   * Creates a parser at the start of the input.
    *
-   * @param maxBufferedBody bytes of a body that is handed on completely
-   * @param maxBody bytes of any body
+   * @param parsesRequests true for requests, false for responses
+   * @param maxBufferedBody the size of the largest body that is returned completely, in bytes; a
+   *     larger one is streamed
+   * @param maxBody the size of the largest body that is allowed, in bytes; a larger one is a fault
    */
   public HttpMessageParser(boolean parsesRequests, int maxBufferedBody, long maxBody) {
     this.parsesRequests = parsesRequests;
@@ -49,31 +54,34 @@
     headParser = new HttpHeadParser(parsesRequests);
   }
 
-  /** The status that says what is wrong with the input; 0 while nothing is. */
+  /** The HTTP status code for what is wrong with the input; 0 while nothing is wrong. */
   public int fault() {
     return fault;
   }
 
-  /** Whether a head has been read whose body has not. */
+  /** Whether the head of a message has been read, and its body has not been read completely. */
   public boolean isInMessage() {
     return head != null;
   }
 
-  /** Whether the sender waits to be asked for the body; once for each message. */
+  /**
+   * Whether the sender waits for {@code 100 Continue} before it sends the body. Returns true only
+   * once for each message.
+   */
   public boolean takeExpectsContinue() {
     boolean expected = expectsContinue;
     expectsContinue = false;
     return expected;
   }
 
-  /** Whether the body of the message that was read last is taken as it arrives. */
+  /** Whether the body of the last message is streamed: the caller takes the rest as it arrives. */
   public boolean isStreaming() {
     return isStreaming;
   }
 
   /**
-   * Whether all that is still to be taken of a streamed body is in the buffer. Of a chunked body
-   * that is not known before its end is read.
+   * Whether the buffer holds all of a streamed body that has not been taken yet. False for a body
+   * of unknown length, because its end is found only as the body is taken.
    */
   public boolean hasRestArrived(RingBuffer in) {
     return isStreaming
@@ -83,16 +91,21 @@
         && remaining <= in.size();
   }
 
-  /** Whether all of a streamed body has been taken; after {@link #finish} the next may be read. */
+  /**
+   * Whether all of a streamed body has been taken; {@link #finish} then allows the next message to
+   * be parsed.
+   */
   public boolean isBodyComplete() {
     return isBodyComplete;
   }
 
   /**
-   * The next message, complete or with the first bytes of a body too large for that.
+   * Returns the next message, complete or with the first bytes of a body that is too large to be
+   * buffered.
    *
    * @param ended whether no more input follows
-   * @return empty where it has not arrived, or never will because of a fault
+   * @return the message; empty if not enough of it has arrived, the input has a fault, or the body
+   *     of the last message is still streamed
    */
   public Optional<HttpMessage> parse(RingBuffer in, boolean ended) {
     while (fault == 0 && !isStreaming) {
@@ -104,7 +117,8 @@
         continue;
       }
       interimResponses = 0;
-      Optional<byte[]> body = collected == null ? readMeasured(in) : collect(in, ended);
+      Optional<byte[]> body =
+          collected == null ? readKnownLength(in) : readUnknownLength(in, ended);
       return body.map(this::finishRead);
     }
     return Optional.empty();
@@ -143,15 +157,15 @@
         response.version(), response.status(), response.reason(), response.fields(), body, rest);
   }
 
-  /** The message is over: the next bytes belong to another. */
+  /** Ends the current message; the bytes that follow belong to the next one. */
   public void finish() {
     head = null;
     isStreaming = false;
     collected = null;
   }
 
-  /** Of a body whose length is known: all of it, or the first bytes of a large one. */
-  private Optional<byte[]> readMeasured(RingBuffer in) {
+  /** Reads a body of known length: all of it, or the first bytes if it is large. */
+  private Optional<byte[]> readKnownLength(RingBuffer in) {
     // A request's first bytes are kept for another attempt; a response's are forwarded at once.
     long firstBytes = parsesRequests ? maxBufferedBody : 1;
     long wanted = remaining <= maxBufferedBody ? remaining : firstBytes;
@@ -162,8 +176,8 @@
     return Optional.of(take(in, (int) Math.min(remaining, Math.min(maxBufferedBody, in.size()))));
   }
 
-  /** Of a body whose length only its end tells: the same. */
-  private Optional<byte[]> collect(RingBuffer in, boolean ended) {
+  /** Reads a body of unknown length: all of it, or the first bytes once it proves to be large. */
+  private Optional<byte[]> readUnknownLength(RingBuffer in, boolean ended) {
     int available = availableBody(in, ended);
     while (available > 0) {
       if (collected.size() + available > maxBufferedBody) {
@@ -183,7 +197,10 @@
     return bytes;
   }
 
-  /** How many bytes of the body are at the head of the buffer; framing is taken off. */
+  /**
+   * Returns how many bytes of the body can be taken from the head of the buffer; removes the chunk
+   * framing before them.
+   */
   public int availableBody(RingBuffer in, boolean ended) {
     if (fault != 0 || isBodyComplete) {
       return 0;
@@ -200,7 +217,7 @@
     return remaining == HttpMessage.UNTIL_CLOSE ? in.size() : (int) Math.min(remaining, in.size());
   }
 
-  /** So many bytes of the body were taken off the buffer. */
+  /** Records that the caller has taken {@code count} bytes of the body from the buffer. */
   public void onBodyTaken(int count) {
     received += count;
     if (remaining != HttpMessage.UNTIL_CLOSE) {
@@ -229,7 +246,7 @@
     return head != null;
   }
 
-  /** Empty lines before a message are allowed. */
+  /** Skips empty lines, which are allowed before a message. */
   private void skipEmptyLines(RingBuffer in) {
     while (in.size() >= LINE_END_BYTES && isLineEnd(in, 0)) {
       in.skip(LINE_END_BYTES);
@@ -237,7 +254,10 @@
     }
   }
 
-  /** Where the empty line behind the head begins; -1 where it has not arrived. */
+  /**
+   * The index at which the last line of the head ends; -1 if the empty line after it has not
+   * arrived.
+   */
   private int findHeadEnd(RingBuffer in) {
     int from = Math.max(0, scanned - (HEAD_END_BYTES - 1));
     scanned = in.size();
@@ -254,8 +274,8 @@
   }
 
   /**
-   * Whether what has arrived can be the start of a message: noise may never end, and its attempt
-   * would wait until its deadline.
+   * Whether the bytes that have arrived can be the start of a message. Other bytes are a fault at
+   * once, because a head might never end in them, and an attempt would wait until its deadline.
    */
   private boolean startsLikeMessage(RingBuffer in) {
     int count = Math.min(in.size(), RESPONSE_START.length());
@@ -292,7 +312,7 @@
       return;
     }
     if (length == HttpMessage.UNTIL_CLOSE && message.keepsAlive()) {
-      fault = HttpStatus.BAD_REQUEST; // a reset would look like the end of its body
+      fault = HttpStatus.BAD_REQUEST; // a reset would be taken for the end of the body
       return;
     }
     remaining = length;
--- a/sidecar/src/main/java/dillcross/net/http/HttpRequest.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpRequest.java
@@ -32,7 +32,7 @@
     return of(GET, target, fields, NO_BODY);
   }
 
-  /** The request as it is forwarded: the same body with other fields, as HTTP/1.1. */
+  /** The request as it is forwarded: with other fields, as HTTP/1.1; the body is the same. */
   public HttpRequest withFields(Map<String, String> newFields) {
     return new HttpRequest(method, target, HttpMessage.HTTP_11, newFields, body, remainingBytes);
   }
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public boolean namesEmptyLength() {
+  public boolean writesZeroLength() {
     return !method.equals(GET);
   }
 }
--- a/sidecar/src/main/java/dillcross/net/http/HttpResponse.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpResponse.java
@@ -30,7 +30,7 @@
     return of(status, fields, (text + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The answer to a request by another method than the one that is served. */
+  /** The response to a request whose method is not the {@code allowed} one. */
   public static HttpResponse methodNotAllowed(String allowed) {
     HttpResponse response =
         text(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowed + " is served here");
@@ -39,8 +39,9 @@
   }
 
   /**
-   * The response as it is forwarded to the sender of {@code request}, its body framed as that
-   * version of HTTP allows.
+   * The response as it is forwarded to the sender of {@code request}, with the framing that the
+   * sender's version of HTTP allows. The status is always 200, because no other response is
+   * forwarded.
    */
   public HttpResponse forwardedTo(HttpRequest request) {
     boolean untilClose = remainingBytes == UNKNOWN && request.isHttp10();
@@ -54,7 +55,10 @@
         remaining);
   }
 
-  /** Announces that the connection closes after this response, which this sidecar makes. */
+  /**
+   * Adds the field that announces that the connection closes after this response. Only for a
+   * response that this sidecar makes, whose fields can be modified.
+   */
   public void announceClose() {
     fields.put(HeaderNames.CONNECTION, HeaderNames.CONNECTION_CLOSE);
   }
@@ -65,7 +69,7 @@
   }
 
   @Override
-  public boolean namesEmptyLength() {
+  public boolean writesZeroLength() {
     return true;
   }
 }
--- a/sidecar/src/main/java/dillcross/net/http/HttpStatus.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpStatus.java
@@ -46,7 +46,7 @@
 
   private HttpStatus() {}
 
-  /** Whether the status is interim, so that a final one follows. */
+  /** Whether the status is of the class 1xx, so that a final response follows. */
   static boolean isInterim(int status) {
     return status < OK;
   }
@@ -56,7 +56,7 @@
     return status / CLASS_SIZE == CLIENT_ERROR_CLASS;
   }
 
-  /** The reason phrase of a status that the sidecar sends. */
+  /** The reason phrase of a status that the sidecar chooses; "Other" for any other status. */
   static String reason(int status) {
     return switch (status) {
       case OK -> "OK";
--- a/sidecar/src/main/java/dillcross/net/transport/Network.java
+++ b/sidecar/src/main/java/dillcross/net/transport/Network.java
@@ -5,79 +5,93 @@
 import java.nio.ByteBuffer;
 
 /**
- * The network below the sidecar: in service sockets under Grizzly, in the emulator channels in
- * virtual time. One thread calls all of it and is called by it; {@link #wakeUp} alone may be called
- * from any. It decides nothing and sends nothing again by itself.
+ * The network that the sidecar runs on: real sockets through Grizzly, or channels in virtual time
+ * in the emulator. All callbacks run on one thread, the one of the event loop. Once the server has
+ * started, only that thread calls methods; {@link #wakeUp} may be called from any. An
+ * implementation makes no decisions about requests, and never sends anything again by itself.
  */
 public interface Network {
   /** Handles the events of one connection. */
   interface ConnectionHandler {
-    /** There is something to read, or the end of it. */
+    /** Bytes have arrived, or the end of the input has. */
     void onReadable();
 
-    /** It was closed, by either side or by a failure; once, and only if it was connected. */
+    /**
+     * The connection was closed, by either side or by a failure. Called once, and only if it had
+     * been connected.
+     */
     void onClosed();
   }
 
-  /** Takes incoming connections. */
+  /** Receives incoming connections. */
   interface ConnectionAcceptor {
-    /** A connection has come in; returns its handler. */
+    /** A connection was accepted; returns the handler of its events. */
     ConnectionHandler onAccepted(TransportChannel channel);
   }
 
-  /** Waits for an outgoing connection. */
+  /** Receives the outcome of connecting to an address. */
   interface ConnectCallback {
-    /** Called before it is connected, so that it can be given up; returns its handler. */
+    /**
+     * The channel exists but is not connected yet; the receiver can give it up by closing it.
+     * Returns the handler of its events.
+     */
     ConnectionHandler onOpening(TransportChannel channel);
 
-    /** It is connected. */
+    /** The channel is connected. */
     void onConnected();
 
-    /** It could not be connected. */
+    /** The connect failed. */
     void onConnectFailed();
   }
 
-  /** A socket on which connections come in. */
+  /** A socket that accepts connections. */
   interface ListeningSocket {
-    /** As a number and a port. */
+    /** The local address: a numeric IP address and a port. */
     String address();
 
-    /** Whether it has not been closed. */
+    /** Whether the socket has not been closed. */
     boolean isOpen();
 
-    /** Sets whether connections are accepted; while they are not, they wait. */
+    /** Sets whether connections are accepted. While they are not, new ones wait in the backlog. */
     void setAccepting(boolean accepting) throws IOException;
 
     /**
-     * Accepts what waits in its queue, which would be reset else, and closes it; called within an
-     * iteration of the event loop.
+     * Closes the socket. If it is accepting, it first accepts the connections in its backlog,
+     * because the close would reset them. Called within an iteration of the event loop.
      */
     void close();
   }
 
-  /** What the event loop works for. */
+  /** The work that the event loop does in each iteration. */
   interface EventLoopTask {
-    /** Ready events are about to be handled: the time to read the clock. */
+    /** Called before the ready events are handled, to read the clock. */
     void beforeEvents();
 
-    /** All ready events have been handled: the time to act, before the loop waits again. */
+    /**
+     * Called after all ready events have been handled and before the loop waits again, to act on
+     * them.
+     */
     void afterEvents();
 
-    /** How long the loop may wait at the most when nothing becomes ready, in microseconds. */
+    /**
+     * The longest time for which the loop may wait for events, in microseconds; the loop does not
+     * wait if it is 0 or less.
+     */
     long maxWaitUs();
   }
 
   /** Handles datagrams. */
   interface DatagramHandler {
     /**
-     * One has arrived; its bytes, up to the largest size asked for, are there in this call only.
+     * A datagram has arrived. {@code bytes} holds as much of it as {@link #bindDatagrams} allows,
+     * and is valid during this call only.
      */
     void onDatagram(InetSocketAddress sender, ByteBuffer bytes);
   }
 
-  /** A socket for datagrams; what can't be sent at once is lost. */
+  /** A socket for datagrams; a datagram that can't be sent at once is lost. */
   interface DatagramTransport {
-    /** As a number and a port. */
+    /** The local address: a numeric IP address and a port. */
     String address();
 
     /** Sends one datagram. */
@@ -87,10 +101,13 @@
   /** Starts the event loop. */
   void start(EventLoopTask task) throws IOException;
 
-  /** Has an iteration of the event loop made now. From any thread. */
+  /**
+   * Ends the event loop's wait for events, so that it runs an iteration now. May be called from any
+   * thread.
+   */
   void wakeUp();
 
-  /** Listens at an address. */
+  /** Opens a listening socket at an address. */
   ListeningSocket bind(InetSocketAddress address, ConnectionAcceptor acceptor) throws IOException;
 
   /** Listens on the socket that this process inherited. */
@@ -99,10 +116,13 @@
   /** Whether this process inherited a listening socket. */
   boolean hasInheritedSocket() throws IOException;
 
-  /** Connects to an address. */
+  /** Begins to connect to an address; {@code callback} receives the outcome. */
   void connect(InetSocketAddress address, ConnectCallback callback);
 
-  /** Receives datagrams of up to {@code maxBytes} at an address. */
+  /**
+   * Opens a datagram socket at an address. Datagrams that arrive are passed to {@code handler}, cut
+   * off after {@code maxBytes}.
+   */
   DatagramTransport bindDatagrams(InetSocketAddress address, int maxBytes, DatagramHandler handler)
       throws IOException;
 }
--- a/sidecar/src/main/java/dillcross/net/transport/TransportChannel.java
+++ b/sidecar/src/main/java/dillcross/net/transport/TransportChannel.java
@@ -3,45 +3,53 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** One byte stream of the network, below the buffers. */
+/** One byte stream to a peer, without buffering. */
 public interface TransportChannel {
-  /** Who waits for bytes to be taken over; one of its methods is called once for each write. */
+  /** Receives the outcome of a write: for each write, one of its methods is called once. */
   interface WriteCallback {
-    /** The bytes were taken over. */
+    /** All of the bytes were handed to the network. */
     void onWritten();
 
-    /** The channel failed. */
+    /** The channel failed before all of the bytes were handed to the network. */
     void onWriteFailed();
   }
 
   /**
    * Reads what has arrived, without waiting.
    *
-   * @return how many bytes, 0 where there are none now, -1 at the end of the stream
+   * @return the number of bytes read; 0 if none have arrived, -1 at the end of the stream
    */
   int read(ByteBuffer into) throws IOException;
 
   /**
-   * Writes these bytes, which stay as they are until the callback is called, at once or later; one
-   * call at a time.
+   * Writes the bytes. Until the callback is called, within this call or later, the caller must
+   * neither change the bytes nor write again.
    */
   void write(ByteBuffer bytes, WriteCallback callback);
 
-  /** Sets whether the handler is called when there is something to read. */
+  /** Sets whether the connection's handler is called when bytes or the end of the input arrive. */
   void setReadInterest(boolean interested) throws IOException;
 
-  /** Has the handler called once more, as something was left unread; not within this call. */
+  /**
+   * Schedules another call of the handler's {@code onReadable}, for input that was left
+   * unprocessed. The call does not happen within this one.
+   */
   void scheduleRead() throws IOException;
 
-  /** Ends the output; the other side reads to the end. */
+  /**
+   * Ends the output. The peer can still read all that was written, and then the end of the stream.
+   */
   void shutdownOutput() throws IOException;
 
-  /** From now on a close resets the connection and destroys what is still on its way. */
+  /**
+   * Makes {@link #close} reset the connection, which discards bytes that have not reached the peer
+   * yet.
+   */
   void resetOnClose() throws IOException;
 
-  /** Whether it is connected or connecting. */
+  /** Whether the channel is connected or connecting. */
   boolean isOpen();
 
-  /** Closes it; the handler's {@code onClosed} is called once. */
+  /** Closes the channel; the handler's {@code onClosed} is called once if it had been connected. */
   void close();
 }
--- a/sidecar/src/main/java/dillcross/net/transport/package-info.java
+++ b/sidecar/src/main/java/dillcross/net/transport/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The network as the sidecar sees it: interfaces for sockets, datagrams and the event loop, which
- * have one implementation on sockets and one in the emulator. It knows nothing of HTTP and buffers.
+ * Interfaces of the network that the sidecar runs on: sockets, datagrams and the event loop. There
+ * is one implementation on real sockets and one in the emulator. The package depends neither on
+ * HTTP nor on buffers.
  */
 package dillcross.net.transport;
