--- a/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -10,47 +10,58 @@
 import java.util.logging.Logger;
 
 /**
- * The connections of clients and their limit: whom to close for a new one, and when to stop
- * accepting. Belongs to the selector thread.
+ * The connections of clients, and the limit on their number: decides which connection to close for
+ * a new one, and when to stop accepting. Belongs to the selector thread.
  */
 public final class ClientConnections {
-  /** At the limit: how long a client may wait before it sends the next request. */
-  static final long RECENT_US = 2_000_000;
-
-  /** At the limit: how long a new client may wait before it sends its first byte. */
-  static final long FIRST_BYTE_US = 200_000;
+  /**
+   * How long a connection may be idle between two requests while connections are scarce; at the
+   * limit, those that have been idle for longer are closed first.
+   */
+  static final long SHORT_IDLE_TIMEOUT_US = 2_000_000;
 
-  private static final long PARTIAL_REQUEST_US = 1_000_000; // at the limit: for all of its request
-  private static final int HIGH_USE_NUMERATOR =
-      3; // of the limit, from which idle timeouts are short
-  private static final int HIGH_USE_DENOMINATOR = 8;
+  /**
+   * How long a new connection may be open without a byte before it is closed at the limit, or by a
+   * drain or shutdown.
+   */
+  static final long FIRST_BYTE_TIMEOUT_US = 200_000;
+
+  // How long after its connect a connection's first request may be incomplete before it is closed
+  // at the limit.
+  private static final long PARTIAL_REQUEST_TIMEOUT_US = 1_000_000;
+  // Connections are scarce from 3/8 of the limit on.
+  private static final int SCARCE_NUMERATOR = 3;
+  private static final int SCARCE_DENOMINATOR = 8;
   private static final long LOG_INTERVAL_US = 10_000_000;
   private static final Logger LOG = Logger.getLogger(ClientConnections.class.getName());
 
   private final LongSupplier clock;
   private final int maxConnections;
   private final Set<Connection> connections = new LinkedHashSet<>(); // the longest idle first
-  private Network.ListeningSocket listeningSocket; // null while there is none
+  private Network.ListeningSocket listeningSocket; // null before the start and after the stop
   private boolean isAcceptPaused;
-  private long loggedUs;
+  private long loggedUs; // when the limit was last logged
 
-  /** No connections yet, at most {@code maxConnections}; {@code clock} gives microseconds. */
+  /** Creates an empty set of at most {@code maxConnections}; {@code clock} gives microseconds. */
   public ClientConnections(LongSupplier clock, int maxConnections) {
     this.clock = clock;
     this.maxConnections = maxConnections;
   }
 
-  /** The socket that stops accepting while the limit of connections is reached. */
+  /** Sets the socket that stops accepting while the limit of connections is reached. */
   public void setListeningSocket(Network.ListeningSocket socket) {
     listeningSocket = socket;
   }
 
-  /** Adds a new connection; at the limit another is closed for the next, or accepting stops. */
+  /**
+   * Adds a new connection. If that reaches the limit, closes another one to have space for the
+   * next, or stops accepting.
+   */
   void add(Connection connection) {
     connection.activity().markIdle(clock.getAsLong());
     connections.add(connection);
     if (connections.size() >= maxConnections && !closeOneExcept(connection)) {
-      pauseAccepting(); // an accept would fail, and fail again, and spin
+      pauseAccepting(); // accepts would fail over and over in a busy loop
     }
   }
 
@@ -58,7 +69,7 @@
     connections.remove(connection);
   }
 
-  /** Notes that the connection carries nothing from now on; it moves to the end of the order. */
+  /** Records that the connection is idle from now on, and moves it to the end of the order. */
   void markIdle(Connection connection) {
     connection.activity().markIdle(clock.getAsLong());
     connections.remove(connection);
@@ -94,14 +105,14 @@
 
   private static long allowedIdleUs(Connection connection) {
     if (connection.activity().requestCount() > 0) {
-      return RECENT_US;
+      return SHORT_IDLE_TIMEOUT_US;
     }
-    return connection.hasPartialMessage() ? PARTIAL_REQUEST_US : FIRST_BYTE_US;
+    return connection.hasPartialMessage() ? PARTIAL_REQUEST_TIMEOUT_US : FIRST_BYTE_TIMEOUT_US;
   }
 
   /**
-   * Closes a connection unless a request has arrived that is not read yet and would be lost.
-   * Returns whether it was closed.
+   * Closes a connection, unless unread input has arrived: the close would lose a request. Returns
+   * whether the connection was closed.
    */
   static boolean closeIfIdle(Connection connection) {
     if (connection.hasUnreadInput()) {
@@ -113,11 +124,11 @@
   }
 
   /**
-   * Whether a large share of the limit is in use. Below the limit itself, because clients may have
+   * Whether connections are scarce. The threshold is far below the limit, because clients may have
    * a limit of their own and reach it earlier.
    */
-  boolean isHighlyUsed() {
-    return connections.size() > maxConnections * HIGH_USE_NUMERATOR / HIGH_USE_DENOMINATOR;
+  boolean areScarce() {
+    return connections.size() > maxConnections * SCARCE_NUMERATOR / SCARCE_DENOMINATOR;
   }
 
   private void pauseAccepting() {
@@ -128,7 +139,10 @@
     }
   }
 
-  /** Accepts again, as there may be space now. */
+  /**
+   * Accepts connections again if the limit had stopped that; called when a connection may have
+   * become free.
+   */
   void resumeAccepting() {
     if (isAcceptPaused && isListening()) {
       isAcceptPaused = false;
@@ -160,8 +174,10 @@
   }
 
   /**
-   * Stops accepting for good. A socket that another process accepts from too stays open, so that
-   * what is in its queue is left to that process.
+   * Stops accepting for good.
+   *
+   * @param isShared whether another process accepts from the socket too; the socket then stays
+   *     open, so that the connections in its backlog are left to that process
    */
   public void stopAccepting(boolean isShared) {
     if (listeningSocket == null) {
@@ -176,16 +192,16 @@
     } catch (IOException closed) {
       LOG.fine("listening socket was closed already");
     }
-    listeningSocket = null; // nothing makes it accept again
+    listeningSocket = null; // so that accepting is not resumed
   }
 
-  /** Whether nothing more can arrive on any connection, and all responses are written. */
+  /** Whether all connections parse no more requests, and all responses are written. */
   public boolean areDrained() {
     return connections.stream()
         .allMatch(connection -> connection.isClosing() && connection.out().size() == 0);
   }
 
-  /** All connections, as they are now. */
+  /** A copy of the present connections, the longest idle first. */
   List<Connection> snapshot() {
     return List.copyOf(connections);
   }
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -31,13 +31,19 @@
  * Belongs to the selector thread.
  */
 public final class ClientListener implements MessageHandler, Network.ConnectionAcceptor {
-  private static final long LINGER_US = 500_000; // for the client to read a last response and close
-  private static final long TRANSFER_US = 2_000_000; // for a first byte, or for a response's bytes
-  private static final long HEAD_US = 2_500_000; // for a request's head
-  private static final long BODY_US = 4_000_000; // for 64 KiB from a slow client, and slack
-  private static final long IDLE_US = 20_000_000; // clients that come once and stay must not add up
+  // For the client to read the last response and to close.
+  private static final long CLOSE_TIMEOUT_US = 500_000;
+  // Without progress: before the first byte of a connection, within a request body, or while a
+  // response is written.
+  private static final long STALL_TIMEOUT_US = 2_000_000;
+  private static final long HEAD_TIMEOUT_US = 2_500_000; // for the head of a request
+  // For a complete request with up to 64 KiB of body from a slow client, and slack.
+  private static final long BODY_TIMEOUT_US = 4_000_000;
+  // Without a request, or without reading a streamed response. Clients that send one request and
+  // stay connected would accumulate otherwise.
+  private static final long IDLE_TIMEOUT_US = 20_000_000;
   private static final int MICROS_PER_MILLI = 1000;
-  private static final String UNKNOWN_CLASS_BODY = "unknown category"; // the protocol's word
+  private static final String UNKNOWN_CLASS_BODY = "unknown category"; // the protocol's term
 
   private final RequestCoordinator coordinator;
   private final LongSupplier clock;
@@ -45,20 +51,24 @@
   private final long maxBody;
   private final MemoryBudget budget;
   private final ClientConnections connections;
-  private final Set<String> openIds = new HashSet<>(); // of requests that wait for their response
+  // The clients' ids of the requests that wait for their response.
+  private final Set<String> openIds = new HashSet<>();
   private Map<String, RequestClass> requestClasses = Map.of();
-  private long maxTimeoutUs;
+  private long maxTimeoutUs; // longer request timeouts are cut to this
 
-  /** Who waits for the response to a request: the connection that brought it. */
+  /** The receiver of a response: the connection on which the request arrived, and the request. */
   public record Caller(Connection connection, HttpRequest request) {}
 
-  /** What a connection waits for: our id of the request, and the client's. */
+  /**
+   * A connection's exchange: the request that waits for its response, by the coordinator's id and
+   * by the client's.
+   */
   private record PendingRequest(long requestId, String clientId) {}
 
   /**
    * A listener with no connections.
    *
-   * @param maxBody bytes of the largest request body
+   * @param maxBody the size of the largest request body that is allowed, in bytes
    */
   public ClientListener(
       RequestCoordinator coordinator,
@@ -75,7 +85,10 @@
     this.budget = budget;
   }
 
-  /** What is served from now on; requests that are open go on. */
+  /**
+   * Sets the request classes that are served from now on, and the longest request timeout in
+   * microseconds. Open requests go on unchanged.
+   */
   public void configure(List<RequestClass> served, long newMaxTimeoutUs) {
     Map<String, RequestClass> byName = new LinkedHashMap<>();
     served.forEach(requestClass -> byName.put(requestClass.name(), requestClass));
@@ -83,10 +96,12 @@
     maxTimeoutUs = newMaxTimeoutUs;
   }
 
-  /** Reads what has arrived from a client that waits for its response, which may be its end. */
+  /**
+   * Reads the input of a client that waits for its response, to see whether it has disconnected.
+   */
   public void readPending(Caller caller) {
     Connection connection = caller.connection();
-    // Of a body that is relayed the end is seen as it is forwarded.
+    // While a request body is relayed, the relay's reads show a disconnect.
     if (connection.isOpen() && !connection.relays().hasInbound()) {
       connection.onReadable();
     }
@@ -131,7 +146,7 @@
               isHealthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE,
               isHealthy ? "ready" : "not ready"));
     } else if (connection.hasInputEnded()) {
-      connection.close(); // a client that closes has gone
+      connection.close(); // the client counts as disconnected
     } else {
       serve(connection, request);
     }
@@ -170,9 +185,9 @@
 
   private void accept(Connection connection, HttpRequest request, RequestClass requestClass) {
     String clientId = request.field(HeaderNames.REQUEST_ID);
-    long askedMs = Long.parseLong(request.field(HeaderNames.REQUEST_TIMEOUT));
-    long askedUs = Math.min(maxTimeoutUs, askedMs * MICROS_PER_MILLI);
-    long timeoutUs = lifecycle.limitTimeout(askedUs, maxTimeoutUs, clock.getAsLong());
+    long requestedMs = Long.parseLong(request.field(HeaderNames.REQUEST_TIMEOUT));
+    long requestedUs = Math.min(maxTimeoutUs, requestedMs * MICROS_PER_MILLI);
+    long timeoutUs = lifecycle.limitTimeout(requestedUs, maxTimeoutUs, clock.getAsLong());
     openIds.add(clientId);
     IncomingRequest incoming =
         new IncomingRequest(
@@ -189,7 +204,7 @@
 
   // Responses
 
-  /** Answers a bad request and closes its connection. */
+  /** Sends a response to an invalid or late request, and closes the connection. */
   private void rejectAndClose(Connection connection, HttpResponse response) {
     connection.discardRest();
     connections.markIdle(connection);
@@ -209,7 +224,7 @@
       connection.closeAfterNextMessage();
     }
     if (connection.parser().isStreaming()) {
-      connection.discardRest(maxBody); // its body still arrives
+      connection.discardRest(maxBody); // its body is still arriving
     }
     if (!connection.isClosing() && request.isHttp10()) {
       response.fields().put(HeaderNames.CONNECTION, HeaderNames.CONNECTION_KEEP_ALIVE);
@@ -219,12 +234,12 @@
   }
 
   /**
-   * Whether the connection closes after its response. While connections are scarce, those of
-   * clients that sent one request only do; the response announces it, so that no next request
-   * crosses the close.
+   * Whether the connection closes after its response. While connections are scarce, this includes
+   * connections with a single request so far. The response announces the close, so that no further
+   * request crosses it.
    */
   private boolean closesAfter(Connection connection, HttpRequest request) {
-    boolean isLeastUsed = connections.isHighlyUsed() && connection.activity().requestCount() <= 1;
+    boolean isLeastUsed = connections.areScarce() && connection.activity().requestCount() <= 1;
     return lifecycle.closesConnections()
         || !request.keepsAlive()
         || isLeastUsed
@@ -241,7 +256,10 @@
     }
   }
 
-  /** Begins a response whose rest is relayed; whether that has to be written in chunks. */
+  /**
+   * Sends the head and the first bytes of a response whose body is streamed; returns whether the
+   * rest has to be written in chunks.
+   */
   public boolean startStreaming(Caller caller, HttpResponse response) {
     HttpResponse head = response.forwardedTo(caller.request());
     Connection connection = caller.connection();
@@ -254,7 +272,10 @@
     return head.remainingBytes() == HttpMessage.UNKNOWN;
   }
 
-  /** Ends a streamed response; one that broke off is cut so that the client sees it. */
+  /**
+   * Ends a streamed response. If it broke off, closes the connection in a way that shows the client
+   * that the response is truncated.
+   */
   public void finishStreaming(Caller caller, boolean complete) {
     Connection connection = caller.connection();
     connection.endExchange();
@@ -277,57 +298,58 @@
 
   // Shutdown and expiry
 
-  /** Requests that wait for their response. */
+  /** The number of requests that wait for their response. */
   public int openRequests() {
     return openIds.size();
   }
 
   /**
-   * Answers and closes clients that bring no complete request in time, closes those that sent
-   * nothing or do not read their response: a slow client would use up the limit. What makes
-   * progress, if only slowly, may go on.
+   * Closes connections that have timed out, because slow clients would use up the limit: with a 408
+   * response if a request has not arrived in time, and without one if the client has sent nothing
+   * or does not read its response. A streamed body or a response may be slow as long as it makes
+   * progress.
    */
   public void expire(long nowUs) {
     for (Connection connection : connections.snapshot()) {
       ConnectionActivity activity = connection.activity();
       activity.noteProgress(nowUs);
-      long stillUs = nowUs - Math.max(activity.lastProgressUs(), activity.idleSinceUs());
+      long stalledUs = nowUs - Math.max(activity.lastProgressUs(), activity.idleSinceUs());
       if (connection.isClosing()) {
-        expireClosing(connection, stillUs);
+        expireClosing(connection, stalledUs);
       } else if (connection.exchange() instanceof PendingRequest pending) {
-        expireStreaming(connection, pending, nowUs, stillUs);
+        expireStreaming(connection, pending, nowUs, stalledUs);
       } else {
-        expireIdle(connection, nowUs, stillUs);
+        expireIdle(connection, nowUs, stalledUs);
       }
     }
   }
 
-  private static void expireClosing(Connection connection, long stillUs) {
-    if (stillUs > (connection.out().size() > 0 ? TRANSFER_US : LINGER_US)) {
+  private static void expireClosing(Connection connection, long stalledUs) {
+    if (stalledUs > (connection.out().size() > 0 ? STALL_TIMEOUT_US : CLOSE_TIMEOUT_US)) {
       connection.close();
     }
   }
 
   /** Ends an exchange whose large request or response body has stalled. */
   private void expireStreaming(
-      Connection connection, PendingRequest pending, long nowUs, long stillUs) {
+      Connection connection, PendingRequest pending, long nowUs, long stalledUs) {
     boolean isBodyIncomplete = connection.parser().isStreaming();
-    if (isBodyIncomplete && !connection.isPaused() && stillUs > TRANSFER_US) {
+    if (isBodyIncomplete && !connection.isPaused() && stalledUs > STALL_TIMEOUT_US) {
       connection.endExchange();
       openIds.remove(pending.clientId());
       coordinator.onClientDisconnected(nowUs, pending.requestId());
       rejectAndClose(
           connection, HttpResponse.text(HttpStatus.REQUEST_TIMEOUT, "the request stopped coming"));
-    } else if (isBodyIncomplete && stillUs > Math.max(TRANSFER_US, maxTimeoutUs)) {
+    } else if (isBodyIncomplete && stalledUs > Math.max(STALL_TIMEOUT_US, maxTimeoutUs)) {
       coordinator.onBodyStalled(pending.requestId());
     } else if (connection.relays().hasOutbound()
         && connection.out().size() > 0
-        && stillUs > IDLE_US) {
-      connection.close(); // it reads nothing
+        && stalledUs > IDLE_TIMEOUT_US) {
+      connection.close(); // the client does not read the response
     }
   }
 
-  private void expireIdle(Connection connection, long nowUs, long stillUs) {
+  private void expireIdle(Connection connection, long nowUs, long stalledUs) {
     boolean hasPartial = connection.hasPartialMessage();
     boolean hasOutput = connection.out().size() > 0;
     boolean isSilent = connection.exchange() == null && !hasPartial && !hasOutput;
@@ -337,8 +359,8 @@
         ClientConnections.closeIfIdle(connection);
       }
     } else if (hasOutput && !hasPartial) {
-      if (stillUs > TRANSFER_US) {
-        connection.close(); // it does not read its response
+      if (stalledUs > STALL_TIMEOUT_US) {
+        connection.close(); // the client does not read the response
       }
     } else {
       expirePartial(connection, nowUs, isSilent);
@@ -349,7 +371,7 @@
     if (lifecycle.closesIdleConnections(nowUs)) {
       return 0;
     }
-    return connections.isHighlyUsed() ? ClientConnections.RECENT_US : IDLE_US;
+    return connections.areScarce() ? ClientConnections.SHORT_IDLE_TIMEOUT_US : IDLE_TIMEOUT_US;
   }
 
   private void expirePartial(Connection connection, long nowUs, boolean isSilent) {
@@ -357,7 +379,8 @@
     boolean isLate = isRequestLate(connection, nowUs, isSilent);
     boolean isUnwanted =
         lifecycle.closesIdleConnections(nowUs)
-            && nowUs - connection.activity().idleSinceUs() > ClientConnections.FIRST_BYTE_US;
+            && nowUs - connection.activity().idleSinceUs()
+                > ClientConnections.FIRST_BYTE_TIMEOUT_US;
     if (isSilent && (isLate || isUnwanted)) {
       ClientConnections.closeIfIdle(connection);
     } else if (isLate) {
@@ -372,8 +395,8 @@
     long elapsedUs = nowUs - activity.partialSinceUs();
     if (connection.parser().isInMessage()) {
       long lastUs = Math.max(activity.lastProgressUs(), activity.partialSinceUs());
-      return elapsedUs > BODY_US || nowUs - lastUs > TRANSFER_US;
+      return elapsedUs > BODY_TIMEOUT_US || nowUs - lastUs > STALL_TIMEOUT_US;
     }
-    return elapsedUs > (isSilent ? TRANSFER_US : HEAD_US);
+    return elapsedUs > (isSilent ? STALL_TIMEOUT_US : HEAD_TIMEOUT_US);
   }
 }
--- a/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
+++ b/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
@@ -10,19 +10,19 @@
 import java.util.Set;
 
 /**
- * Checks requests of clients before they are admitted, so that no endpoint receives a malformed
- * one. Stateless.
+ * Checks clients' requests before they are admitted, so that no endpoint receives an invalid one.
+ * Stateless.
  */
 final class RequestValidator {
-  private static final String TIMEOUT_FORM = "[0-9]{1,9}";
-  private static final String VISIBLE_TEXT = "[!-~]{1,128}";
+  private static final String TIMEOUT_PATTERN = "[0-9]{1,9}";
+  private static final String VISIBLE_TEXT_PATTERN = "[!-~]{1,128}";
 
   private RequestValidator() {}
 
   /**
    * Checks a request against its class.
    *
-   * @param openIds the ids of requests that wait for their response
+   * @param openIds the clients' ids of the requests that wait for their response
    * @return the response that rejects the request; empty if the request is valid
    */
   static Optional<HttpResponse> check(
@@ -51,21 +51,21 @@
       return Optional.of(HeaderNames.REQUEST_ID + " is missing or malformed");
     }
     if (needsKey && !isVisibleText(request.field(HeaderNames.IDEMPOTENCY_KEY))) {
-      // Without a key endpoints could not deduplicate a retry.
+      // Endpoints could not deduplicate a retry without the key.
       return Optional.of(HeaderNames.IDEMPOTENCY_KEY + " is missing or malformed");
     }
     if (openIds.contains(id)) {
-      // Responses to two open requests of one id would be indistinguishable.
+      // The client could not tell the responses to two open requests with one id apart.
       return Optional.of(HeaderNames.REQUEST_ID + " is that of a request that is open");
     }
     return Optional.empty();
   }
 
   private static boolean isTimeout(String text) {
-    return text != null && text.matches(TIMEOUT_FORM) && Long.parseLong(text) > 0;
+    return text != null && text.matches(TIMEOUT_PATTERN) && Long.parseLong(text) > 0;
   }
 
   private static boolean isVisibleText(String text) {
-    return text != null && text.matches(VISIBLE_TEXT);
+    return text != null && text.matches(VISIBLE_TEXT_PATTERN);
   }
 }
--- a/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
+++ b/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
@@ -6,23 +6,26 @@
 
 /**
  * Streams the rest of a body that is too large to buffer from one connection to another, as it
- * arrives and no faster than the other side takes it. What arrives meanwhile waits in the first
- * connection's buffer, which then stops reading.
+ * arrives and no faster than the receiver takes it. Bytes that can't be forwarded yet wait in the
+ * input buffer of the source; while that is full, the source is not read.
  */
 public final class BodyRelay {
-  /** Waits for what becomes of the body. */
+  /** Receives the outcome of the relay. */
   public interface Listener {
-    /** Bytes were released, so the body can't be sent a second time. */
+    /** Bytes of the body have left the source's buffer, so the body can't be sent a second time. */
     void onBytesReleased();
 
-    /** All of it was handed on, or it broke off before its end. */
+    /** The relay has ended; {@code complete} is false if the body broke off before its end. */
     void onFinished(boolean complete);
   }
 
-  /** Of each buffer: enough to keep a connection busy, little enough for many. */
+  /**
+   * The bytes that may wait in each of the two buffers: enough to keep a connection busy, and few
+   * enough for many relays.
+   */
   static final int WINDOW_BYTES = 64 << 10;
 
-  private static final int MAX_FRAMING_BYTES = 16; // of one chunk, or of the end of the body
+  private static final int MAX_FRAMING_BYTES = 16; // around one chunk, or at the end of the body
   private static final byte[] LINE_END = HttpMessage.lineEnd();
   private static final byte[] LAST_CHUNK = {'0', '\r', '\n', '\r', '\n'};
 
@@ -53,7 +56,7 @@
     transfer();
   }
 
-  /** What is left goes nowhere. */
+  /** Detaches the relay from both connections; it forwards no more of the body. */
   public void detach() {
     isOver = true;
     if (source.relays().detachInbound(this)) {
@@ -64,7 +67,7 @@
     }
   }
 
-  /** Moves what has arrived and fits. */
+  /** Moves the bytes that have arrived and that fit into the output buffer of the target. */
   void transfer() {
     if (isOver) {
       return;
@@ -86,7 +89,7 @@
     }
     boolean isComplete = parser.isBodyComplete();
     if (isComplete && chunked) {
-      target.out().add(LAST_CHUNK); // space for it was left
+      target.out().add(LAST_CHUNK); // freeBytes left space for it
     }
     boolean isBroken =
         parser.fault() != 0 || (!isComplete && available == 0 && source.hasInputEnded());
--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -12,21 +12,21 @@
 import java.util.Deque;
 
 /**
- * One HTTP connection: its two buffers, the parser between them, and the exchange that it carries
- * at the moment. Its owner is the listener, pool, discovery client or admin endpoint that opened or
- * accepted it. Belongs to the selector thread.
+ * One HTTP connection: its input and output buffers, the parser of its input, and the exchange that
+ * it carries at the moment. Its owner is the listener, pool, discovery client or admin endpoint
+ * that opened or accepted it. Belongs to the selector thread.
  */
 public final class Connection implements Network.ConnectionHandler, TransportChannel.WriteCallback {
-  private static final int MAX_DISCARDED_BYTES = 1 << 20; // after the last response
-  private static final int MAX_PIPELINED_BYTES = 512 << 10; // buffered behind an open request
+  private static final int MAX_DISCARDED_BYTES = 1 << 20; // input after the last response
+  private static final int MAX_PIPELINED_BYTES = 512 << 10; // input that follows an open request
   private static final ByteBuffer DISCARDED =
-      ByteBuffer.allocate(32 << 10); // its content is unused
+      ByteBuffer.allocate(32 << 10); // shared by all connections, as nothing reads it
 
   private final TransportChannel channel;
   private final MessageHandler handler;
   private final boolean isServerSide;
   private final MemoryBudget budget;
-  private final int usualWindow; // the largest buffered message, its framing, and what precedes it
+  private final int standardWindow; // for the largest buffered body, its head and its framing
   private final RingBuffer in;
   private final RingBuffer out;
   private final HttpMessageParser parser;
@@ -34,26 +34,27 @@
   private final ConnectionActivity activity = new ConnectionActivity();
   private final ConnectionRelays relays = new ConnectionRelays();
   private Object exchange; // a request in progress, or an attempt; null while there is none
-  private Collection<Connection> pool; // the idle connections that it was last put among; or null
+  private Collection<Connection> pool; // the idle connections that it last joined; null if none
   private boolean closesAfterResponse;
   private boolean isClosing; // closed once all output is written
   private long maxDiscardedBytes = MAX_DISCARDED_BYTES;
   private long discardedBytes;
   private boolean isPaused;
-  private boolean hasOverrun;
+  private boolean hasOverrun; // more followed an open request than may be buffered
   private boolean isConnected;
   private boolean hasInputEnded;
-  private boolean wasInputReset; // so that what arrived may be cut short
-  private boolean wasLastMessageDropped; // there was no space for it
+  private boolean wasInputReset; // the input ended by an error, so a message may be cut short
+  private boolean wasLastMessageDropped; // the output buffer had no space for it
   private boolean isWriting;
   private int bytesInWrite;
 
   /**
-   * A connection that is not up yet.
+   * Creates a connection whose connect has not succeeded yet.
    *
-   * @param isServerSide whether it brings requests; else responses
-   * @param maxBufferedBody bytes of a body that is handed on completely; larger ones are streamed
-   * @param maxBody bytes of any body
+   * @param isServerSide true if requests arrive on it, false if responses do
+   * @param maxBufferedBody the size of the largest body that is passed to the handler completely,
+   *     in bytes; a larger one is streamed
+   * @param maxBody the size of the largest body that is allowed, in bytes
    */
   public Connection(
       TransportChannel channel,
@@ -66,8 +67,8 @@
     this.handler = handler;
     this.isServerSide = isServerSide;
     this.budget = budget;
-    usualWindow = 2 * maxBufferedBody;
-    in = new RingBuffer(isServerSide ? MAX_PIPELINED_BYTES : usualWindow, budget);
+    standardWindow = 2 * maxBufferedBody;
+    in = new RingBuffer(isServerSide ? MAX_PIPELINED_BYTES : standardWindow, budget);
     out = new RingBuffer(2 * HttpMessageParser.MAX_BUFFERED_BODY_BYTES, budget);
     parser = new HttpMessageParser(isServerSide, maxBufferedBody, maxBody);
   }
@@ -87,17 +88,17 @@
     return handler;
   }
 
-  /** Bytes that arrived and are not yet read. */
+  /** The input buffer: bytes that have arrived and are not parsed yet. */
   public RingBuffer in() {
     return in;
   }
 
-  /** Bytes to be sent. */
+  /** The output buffer: bytes that the network has not taken over yet. */
   public RingBuffer out() {
     return out;
   }
 
-  /** The parser of what arrives. */
+  /** The parser of the input. */
   public HttpMessageParser parser() {
     return parser;
   }
@@ -111,7 +112,7 @@
     return channel.isOpen();
   }
 
-  /** Notes that the connect has succeeded. */
+  /** Records that the connect has succeeded. */
   public void markConnected() {
     isConnected = true;
   }
@@ -121,17 +122,17 @@
     return isConnected;
   }
 
-  /** Whether nothing more arrives. */
+  /** Whether the input has ended: the peer has closed its output, or the connection has failed. */
   public boolean hasInputEnded() {
     return hasInputEnded;
   }
 
-  /** Whether its input ended as its sender meant it to. */
+  /** Whether the input has ended because the peer closed its output, and not by an error. */
   boolean hasInputEndedCleanly() {
     return hasInputEnded && !wasInputReset;
   }
 
-  /** How much it has been used, and since when it is idle. */
+  /** The times and counts from which time-outs of the connection are derived. */
   public ConnectionActivity activity() {
     return activity;
   }
@@ -143,7 +144,10 @@
 
   // Exchange
 
-  /** Begins a request in progress, or an attempt; the owner says what stands for it. */
+  /**
+   * Begins an exchange; the connection's owner chooses the object that stands for it, a request in
+   * progress or an attempt.
+   */
   public void beginExchange(Object newExchange) {
     exchange = newExchange;
   }
@@ -158,13 +162,13 @@
     return exchange;
   }
 
-  /** Puts it last among the idle connections of its endpoint. */
+  /** Adds the connection to the end of its endpoint's idle connections. */
   public void joinPool(Deque<Connection> idleConnections) {
     idleConnections.addLast(this);
     pool = idleConnections;
   }
 
-  /** Takes it out of the idle connections that it last joined, if it is still there. */
+  /** Removes the connection from the idle connections that it last joined, if it is still there. */
   public void leavePool() {
     if (pool != null) {
       pool.remove(this);
@@ -173,7 +177,10 @@
 
   // Input
 
-  /** Reads what has arrived into the buffer; the end of input is noted, not thrown. */
+  /**
+   * Reads what has arrived into the input buffer. An error counts as the end of the input, and is
+   * not thrown.
+   */
   void fill() {
     int before = in.size();
     try {
@@ -190,8 +197,9 @@
   }
 
   /**
-   * How many bytes may be buffered. Behind an open request more than one message, because a
-   * client's disconnect is seen only once all that it sent before is read.
+   * How many bytes of input may be buffered. While a request is open these are more than one
+   * message, because a client's disconnect is seen only once all bytes that it sent before are
+   * read.
    */
   private int window() {
     boolean isStreaming = parser.isStreaming();
@@ -200,14 +208,17 @@
     if (!isRelayed && isBehindRequest && budget.isAmple()) {
       return MAX_PIPELINED_BYTES;
     }
-    return isStreaming ? BodyRelay.WINDOW_BYTES : usualWindow;
+    return isStreaming ? BodyRelay.WINDOW_BYTES : standardWindow;
   }
 
   boolean isInputFull() {
     return in.isFull() || in.size() >= window();
   }
 
-  /** Reads what has arrived, and returns whether there was any: a request must not be lost. */
+  /**
+   * Reads what has arrived; returns true if that is one byte or more. Used before a close, which
+   * must not lose a request.
+   */
   public boolean hasUnreadInput() {
     int before = in.size();
     fill();
@@ -215,7 +226,8 @@
   }
 
   /**
-   * Whether an idle connection can carry the next message: open, and nothing unsolicited arrived.
+   * Reads what has arrived; returns whether the idle connection can carry the next message, because
+   * it is open and no unsolicited bytes have arrived.
    */
   public boolean isReusable() {
     if (!isOpen() || hasInputEnded) {
@@ -225,17 +237,17 @@
     return !hasInputEnded && in.size() == 0;
   }
 
-  /** Whether so much followed an open request that it was discarded. */
+  /** Whether input was discarded because more followed an open request than may be buffered. */
   public boolean hasOverrun() {
     return hasOverrun;
   }
 
   /**
-   * Reads and discards what follows the last response, because closing with unread input would
-   * reset the connection and destroy the response. Limited, so that a large upload does not take
-   * the thread's time.
+   * Reads and discards input after the last response, because a close with unread input would reset
+   * the connection and destroy the response. The amount is limited, so that a large upload does not
+   * take the thread's time.
    *
-   * @return whether no more is to be read
+   * @return whether no more input is to be read
    */
   private boolean discardInput() throws IOException {
     in.clear();
@@ -245,21 +257,24 @@
     return got < 0 || (isClosing && discardedBytes > maxDiscardedBytes);
   }
 
-  /** Stops reading while the buffer is full, so that the selector does not report it again. */
+  /**
+   * Stops reading if the input buffer is full, so that the selector does not report the same bytes
+   * again.
+   */
   public void pauseIfFull() {
     boolean isBehindRequest = isServerSide && exchange != null && !parser.isStreaming();
     if (isBehindRequest && in.size() >= MAX_PIPELINED_BYTES) {
-      // Discards what follows, but reads on to see a disconnect; closes with the response.
+      // Later input is discarded but read, to see a disconnect; the response announces a close.
       hasOverrun = true;
       in.clear();
     }
     if (isInputFull() || (hasOverrun && discardedBytes > maxDiscardedBytes) || hasInputEnded) {
-      isPaused = true; // the transport may have enabled it again with an event of its own
+      isPaused = true; // set also if paused already: the transport may have enabled reads again
       setReadInterest(false);
     }
   }
 
-  /** Reads on, now that there is space again. */
+  /** Resumes reading if it is paused and the input buffer has space again. */
   public void resumeReading() {
     boolean isRelayBehind = parser.isStreaming() && in.size() > BodyRelay.WINDOW_BYTES / 2;
     if (isPaused && !hasInputEnded && !isInputFull() && !isRelayBehind) {
@@ -281,7 +296,7 @@
     return isPaused;
   }
 
-  /** Has what is left in the buffer read with the next events. */
+  /** Schedules the handling of the bytes that are left in the input buffer. */
   public void scheduleRead() {
     try {
       channel.scheduleRead();
@@ -290,12 +305,15 @@
     }
   }
 
-  /** Whether a part of a message has arrived. */
+  /** Whether a message has arrived in part, or its body is still being read. */
   public boolean hasPartialMessage() {
     return in.size() > 0 || parser.isInMessage();
   }
 
-  /** Discards what still arrives of a message that was answered before it was complete. */
+  /**
+   * Discards what still arrives of a message that was answered before it was complete, and closes
+   * the connection after the answer. At most {@code maxBytes} are read.
+   */
   public void discardRest(long maxBytes) {
     maxDiscardedBytes = maxBytes;
     isClosing = true;
@@ -303,14 +321,17 @@
     resumeReading();
   }
 
-  /** As {@link #discardRest(long)}, with the present limit. */
+  /** As {@link #discardRest(long)}, with the limit that applies now. */
   public void discardRest() {
     discardRest(maxDiscardedBytes);
   }
 
   // Output
 
-  /** Sends a message; where there is no space for it nothing of it is sent, and it closes. */
+  /**
+   * Sends a message. If the output buffer has no space for it, sends none of it and closes the
+   * connection.
+   */
   public void send(HttpMessage message) {
     wasLastMessageDropped = !out.add(message.encode());
     if (wasLastMessageDropped) {
@@ -320,12 +341,15 @@
     }
   }
 
-  /** Whether all of its last message was handed to the network. */
+  /** Whether all of the last message was handed to the network. */
   public boolean isFullyWritten() {
     return isConnected && !wasLastMessageDropped && !relays.hasOutbound() && out.size() == 0;
   }
 
-  /** Hands the buffer to the channel, which takes over what the socket has no space for yet. */
+  /**
+   * Writes the output buffer to the channel, unless a write is in progress; the channel queues what
+   * the socket has no space for.
+   */
   void flush() {
     if (!isWriting && out.size() > 0) {
       ByteBuffer bytes = out.contiguous();
@@ -349,12 +373,12 @@
 
   @Override
   public void onWriteFailed() {
-    close(); // what is left in the buffer says how far it came
+    close(); // bytes left in the output buffer show that the message was not fully written
   }
 
   // Closing
 
-  /** Begins a streamed response, and notes whether the connection closes after it. */
+  /** Begins a streamed response, and sets whether the connection closes after it. */
   public void beginResponse(boolean closesAfterwards) {
     closesAfterResponse = closesAfterwards;
   }
@@ -364,17 +388,17 @@
     return closesAfterResponse;
   }
 
-  /** Closes the connection once the message that is sent next is written. */
+  /** Makes the connection close once the next message has been written. */
   public void closeAfterNextMessage() {
     isClosing = true;
   }
 
-  /** Whether it closes once all output is written, and reads no more messages. */
+  /** Whether the connection parses no more messages, and closes once all output is written. */
   public boolean isClosing() {
     return isClosing;
   }
 
-  /** Sends no more than what is in the buffer; then it closes. */
+  /** Makes the connection close once the present content of the output buffer is written. */
   public void closeAfterOutput() {
     isClosing = true;
     if (out.size() == 0 && !isWriting) {
@@ -382,7 +406,10 @@
     }
   }
 
-  /** The peer then closes; closing at once could destroy what it has not read yet. */
+  /**
+   * Ends the output and leaves the close to the peer; a close could destroy what the peer has not
+   * read yet.
+   */
   private void shutdownOutput() {
     try {
       channel.shutdownOutput();
@@ -391,7 +418,10 @@
     }
   }
 
-  /** Closes it with a reset, so that the peer can't mistake a cut message for a complete one. */
+  /**
+   * Closes the connection with a reset, so that the peer can't take a truncated message for a
+   * complete one.
+   */
   public void reset() {
     try {
       channel.resetOnClose();
@@ -406,7 +436,10 @@
     channel.close();
   }
 
-  /** Returns its buffers' memory, after its close was reported. */
+  /**
+   * Returns the memory of both buffers to the budget; to be called when the close has been
+   * reported.
+   */
   public void releaseBuffers() {
     in.release();
     out.release();
--- a/sidecar/src/main/java/dillcross/net/connection/ConnectionActivity.java
+++ b/sidecar/src/main/java/dillcross/net/connection/ConnectionActivity.java
@@ -1,45 +1,44 @@
 package dillcross.net.connection;
 
 /**
- * How much a connection has been used, and since when it has been idle or in the middle of a
- * message. Times are in microseconds; the caller brings the clock. Belongs to the selector thread.
+ * The number of requests on a connection, and the times since when it has been idle or a message
+ * has been incomplete. Times are in microseconds, and passed in by the caller. Belongs to the
+ * selector thread.
  */
 public final class ConnectionActivity {
   private int requestCount;
   private long idleSinceUs;
   private long partialSinceUs; // 0 while no partial message is timed
-  private long progressBytes;
-  private long seenProgressBytes;
+  private long progressBytes; // read or written since the connection was opened
+  private long seenProgressBytes; // progressBytes at the last call of noteProgress
   private long lastProgressUs;
 
   ConnectionActivity() {}
 
-  /**
-   * Notes that the connection carries nothing from now on; resets the time of a partial message.
-   */
+  /** Records that the connection is idle from now on; stops the timer of a partial message. */
   public void markIdle(long nowUs) {
     idleSinceUs = nowUs;
     partialSinceUs = 0;
   }
 
-  /** Since when the connection has carried nothing. */
+  /** When the connection last became idle. */
   public long idleSinceUs() {
     return idleSinceUs;
   }
 
-  /** Notes that a complete request, or the head of a streamed one, has arrived. */
+  /** Counts a request that has arrived, complete or with the first bytes of a streamed body. */
   public void countRequest() {
     requestCount++;
   }
 
-  /** How many requests the connection has brought. */
+  /** The number of requests that have arrived on the connection. */
   public int requestCount() {
     return requestCount;
   }
 
   /**
-   * Starts the time of a partial message, unless it runs already. The first request counts from
-   * connecting, a later one from when it is first seen.
+   * Starts the timer of a partial message, unless it is running. The first request of a connection
+   * is timed from the connect, a later one from now.
    */
   public void startPartialMessage(long nowUs) {
     if (partialSinceUs <= 0) {
@@ -47,12 +46,12 @@
     }
   }
 
-  /** Stops the time of a partial message. */
+  /** Stops the timer of a partial message. */
   public void clearPartialMessage() {
     partialSinceUs = 0;
   }
 
-  /** Since when a partial message has been timed; 0 while none is. */
+  /** The start of the timer of a partial message; 0 while it is stopped. */
   public long partialSinceUs() {
     return partialSinceUs;
   }
@@ -62,7 +61,10 @@
     progressBytes += count;
   }
 
-  /** Notes whether bytes were read or written since the last call. */
+  /**
+   * Records {@code nowUs} as the time of progress if bytes were read or written since the last
+   * call.
+   */
   public void noteProgress(long nowUs) {
     if (progressBytes != seenProgressBytes) {
       seenProgressBytes = progressBytes;
@@ -70,7 +72,7 @@
     }
   }
 
-  /** When {@link #noteProgress} last found progress; 0 before. */
+  /** When {@link #noteProgress} last found progress; 0 if it never did. */
   public long lastProgressUs() {
     return lastProgressUs;
   }
--- a/sidecar/src/main/java/dillcross/net/connection/ConnectionFactory.java
+++ b/sidecar/src/main/java/dillcross/net/connection/ConnectionFactory.java
@@ -8,7 +8,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Opens connections for a message handler. Each exists before it is up, so it can be given up. */
+/**
+ * Opens connections on which responses arrive, for one message handler. A connection exists before
+ * its connect succeeds, so that the caller can give it up.
+ */
 public final class ConnectionFactory {
   private final Network network;
   private final MessageHandler handler;
@@ -16,7 +19,13 @@
   private final int maxBufferedBody;
   private final long maxBody;
 
-  /** A factory of connections with these limits, in bytes, of response bodies. */
+  /**
+   * Creates a factory.
+   *
+   * @param maxBufferedBody the size of the largest response body that is passed to the handler
+   *     completely, in bytes; a larger one is streamed
+   * @param maxBody the size of the largest response body that is allowed, in bytes
+   */
   public ConnectionFactory(
       Network network,
       MessageHandler handler,
@@ -33,8 +42,10 @@
   /**
    * Opens a connection.
    *
-   * @param callback called once, with the connection when it is up, or empty where it failed
-   * @return the connection that is opening; empty where it has failed already
+   * @param address a numeric IP address and a port
+   * @param callback called once, with the connection when its connect has succeeded, or empty if
+   *     that failed
+   * @return the connection that is opening; empty if that has failed already
    */
   public Optional<Connection> open(String address, Consumer<Optional<Connection>> callback) {
     Optional<InetSocketAddress> target = NumericAddress.parse(address);
@@ -47,7 +58,7 @@
     return Optional.ofNullable(opening.connection);
   }
 
-  /** One connection on its way up. */
+  /** One connect in progress. */
   private final class Opening implements Network.ConnectCallback {
     private final Consumer<Optional<Connection>> callback;
     private Connection connection;
--- a/sidecar/src/main/java/dillcross/net/connection/ConnectionRelays.java
+++ b/sidecar/src/main/java/dillcross/net/connection/ConnectionRelays.java
@@ -1,8 +1,9 @@
 package dillcross.net.connection;
 
 /**
- * The relays of large bodies that a connection takes part in: at most one that takes what arrives,
- * and one that brings what is sent. Belongs to the selector thread.
+ * The relays of large bodies that a connection takes part in: at most one inbound relay, which
+ * forwards its input, and one outbound relay, which supplies its output. Belongs to the selector
+ * thread.
  */
 public final class ConnectionRelays {
   private BodyRelay inbound; // null while complete messages are read
@@ -10,17 +11,17 @@
 
   ConnectionRelays() {}
 
-  /** Has the relay take what arrives. */
+  /** Sets the relay that forwards the input. */
   void attachInbound(BodyRelay relay) {
     inbound = relay;
   }
 
-  /** Has the relay bring what is sent. */
+  /** Sets the relay that supplies the output. */
   void attachOutbound(BodyRelay relay) {
     outbound = relay;
   }
 
-  /** Detaches the relay from what arrives; returns false if it was not attached. */
+  /** Removes the relay if it is the inbound one; returns false if it is not. */
   boolean detachInbound(BodyRelay relay) {
     if (inbound != relay) {
       return false;
@@ -29,7 +30,7 @@
     return true;
   }
 
-  /** Detaches the relay from what is sent; returns false if it was not attached. */
+  /** Removes the relay if it is the outbound one; returns false if it is not. */
   boolean detachOutbound(BodyRelay relay) {
     if (outbound != relay) {
       return false;
@@ -48,26 +49,26 @@
     }
   }
 
-  /** Moves on what has arrived, if it is relayed. */
+  /** Forwards the input that has arrived, if there is an inbound relay. */
   void transferInbound() {
     if (inbound != null) {
       inbound.transfer();
     }
   }
 
-  /** Brings more to be sent, if it is relayed. */
+  /** Adds more output, if there is an outbound relay. */
   void transferOutbound() {
     if (outbound != null) {
       outbound.transfer();
     }
   }
 
-  /** Whether what arrives is relayed to another connection. */
+  /** Whether the input is relayed to another connection. */
   public boolean hasInbound() {
     return inbound != null;
   }
 
-  /** Whether what is sent is relayed from another connection. */
+  /** Whether the output is relayed from another connection. */
   public boolean hasOutbound() {
     return outbound != null;
   }
--- a/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
+++ b/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
@@ -6,7 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** Turns what has arrived on a connection into messages: one at a time, the next waits. */
+/**
+ * Parses the input of a connection into messages, one at a time: the next waits in the buffer until
+ * the exchange has ended.
+ */
 final class HttpConnectionCodec {
   private static final byte[] CONTINUE =
       "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -14,14 +17,15 @@
   private HttpConnectionCodec() {}
 
   /**
-   * Handles what has arrived on the connection, and passes a message to its handler if complete.
+   * Handles the input of the connection: continues a streamed body, or passes the next message to
+   * the handler if enough of it has arrived.
    */
   static void read(Connection connection) {
     if (connection.parser().isStreaming() && !connection.isClosing()) {
       continueBody(connection);
       return;
     }
-    // What follows an open request waits in the buffer.
+    // Input that follows an open request waits in the buffer.
     boolean isBusy = connection.isServerSide() && connection.exchange() != null;
     if (!connection.isClosing() && !isBusy && readMessage(connection)) {
       return;
@@ -35,7 +39,7 @@
 
   private static void continueBody(Connection connection) {
     if (connection.isServerSide() && connection.hasInputEnded()) {
-      connection.close(); // the client has gone, and the rest of its request goes no further
+      connection.close(); // the client has disconnected; the rest of its request is not forwarded
       return;
     }
     reportBodyComplete(connection);
@@ -43,7 +47,7 @@
     connection.pauseIfFull();
   }
 
-  /** Whether a message, or a fault in it, was passed to the handler. */
+  /** Parses the next message; returns true if it, or a fault in it, was passed to the handler. */
   private static boolean readMessage(Connection connection) {
     HttpMessageParser parser = connection.parser();
     Optional<HttpMessage> message =
@@ -65,8 +69,9 @@
   }
 
   /**
-   * The status of what is wrong with the input; 0 if nothing is. A connection that got no memory is
-   * answered 503: nothing of its request was forwarded, so a retry is safe.
+   * The HTTP status code for what is wrong with the input; 0 if nothing is wrong. It is 503 for a
+   * request for which the memory budget has no space: none of the request was forwarded, so a retry
+   * is safe.
    */
   private static int fault(Connection connection) {
     int fault = connection.parser().fault();
@@ -74,7 +79,10 @@
     return fault == 0 && isStarved ? HttpStatus.SERVICE_UNAVAILABLE : fault;
   }
 
-  /** A client's time begins with its last byte, not when an endpoint takes that. */
+  /**
+   * Reports that the last byte of a streamed request has arrived. The request's timeout starts
+   * then, and not when an endpoint takes that byte.
+   */
   private static void reportBodyComplete(Connection connection) {
     if (connection.isServerSide() && connection.parser().hasRestArrived(connection.in())) {
       connection.handler().onBodyComplete(connection);
--- a/sidecar/src/main/java/dillcross/net/connection/InboundRequest.java
+++ b/sidecar/src/main/java/dillcross/net/connection/InboundRequest.java
@@ -3,8 +3,9 @@
 import dillcross.net.http.HttpRequest;
 
 /**
- * A client's request as it is sent to endpoints.
+ * A request as it is sent to endpoints.
  *
- * @param source brings the rest of its body; null where the body is complete
+ * @param source the client's connection, on which the rest of a streamed body arrives; null for a
+ *     request that the sidecar makes itself
  */
 public record InboundRequest(HttpRequest request, Connection source) {}
--- a/sidecar/src/main/java/dillcross/net/connection/InboundResponse.java
+++ b/sidecar/src/main/java/dillcross/net/connection/InboundResponse.java
@@ -3,8 +3,8 @@
 import dillcross.net.http.HttpResponse;
 
 /**
- * An endpoint's response that is streamed.
+ * An endpoint's response whose body is streamed.
  *
- * @param source brings the rest of its body
+ * @param source the connection to the endpoint, on which the rest of the body arrives
  */
 public record InboundResponse(HttpResponse response, Connection source) {}
--- a/sidecar/src/main/java/dillcross/net/connection/MessageHandler.java
+++ b/sidecar/src/main/java/dillcross/net/connection/MessageHandler.java
@@ -2,19 +2,24 @@
 
 import dillcross.net.http.HttpMessage;
 
-/** Handles the messages of connections, and learns when a connection is gone. */
+/** Handles the messages that arrive on connections, and their closing. */
 public interface MessageHandler {
   /** A message has arrived, complete or with the first bytes of a body that is streamed. */
   void onMessage(Connection connection, HttpMessage message);
 
-  /** What has arrived can't be read as a message; {@code status} says why. */
+  /**
+   * The input is not a valid message, or there is no memory for it; {@code status} is the HTTP
+   * status code that says which.
+   */
   void onMalformedMessage(Connection connection, int status);
 
-  /** The last byte of a streamed body has arrived; may be called again. */
+  /**
+   * The last byte of a streamed request body has arrived. May be called more than once for a body.
+   */
   default void onBodyComplete(Connection connection) {
-    // a response's receiver does not wait for it
+    // handlers of responses do not need it
   }
 
-  /** The connection was closed. */
+  /** The connection was closed; called once. */
   void onClosed(Connection connection);
 }
