--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -23,17 +23,17 @@
 import java.util.logging.Logger;
 
 /**
- * Watches the endpoint list on a persistent connection. Owns the deadline for updates, see {@link
- * WatchTimings}; the load balancer draws the backoff after a failure. Belongs to the selector
- * thread.
+ * Watches the endpoint list on a persistent connection. Its timeouts ensure that updates arrive
+ * within the protocol's deadline, see {@link WatchTimings}; the load balancer draws the backoff
+ * after a failure. Belongs to the selector thread.
  *
  * <p>A call that gets no response in time stays open beside the next one, and the first response
- * counts: discovery may be overloaded, and a repeated call would lose its place in the queue. The
- * price is up to two calls of each sidecar in that queue.
+ * counts: discovery may be overloaded, and a repeated call would lose its place in discovery's
+ * queue. The cost is up to two calls of each sidecar in that queue.
  *
  * <p>When discovery moves, the watch at the former address goes on until the new address has
- * answered, because the new address may be overloaded by a fleet that moves at once. The price is
- * that updates of a wrong former address are applied for as long.
+ * answered, because the new address may be overloaded by a fleet that moves all at once. The cost
+ * is that updates from a wrong former address are applied until then.
  */
 public final class DiscoveryClient implements MessageHandler {
   private static final int MAX_LIST_BYTES = 1 << 20;
@@ -46,13 +46,16 @@
   private String address;
   private long connectTimeoutUs;
   private Connection idleConnection; // kept open after a response; null while a call uses it
-  private WatchCall newest; // the call whose time is not over; null if there is none
-  private WatchCall overdue; // its time is over, but it may still be answered; null if none
-  private WatchCall former; // at the former address, until the new one answers; null if none
+  private WatchCall newest; // the call that has not timed out; null if there is none
+  private WatchCall overdue; // it timed out, but may still be answered; null if there is none
+  private WatchCall former; // to the former address, until the new one answers; else null
   private boolean isFailing;
-  private boolean isBehind = true; // no response since the start, a failure or a move
+  private boolean isBehind = true; // no response yet since the start, a failure or a move
 
-  /** A client of the discovery service at {@code address}; {@code clock} gives microseconds. */
+  /**
+   * Creates a client of the discovery service at {@code address}, a numeric address and a port;
+   * {@code clock} gives microseconds.
+   */
   public DiscoveryClient(
       Network network,
       RequestCoordinator coordinator,
@@ -66,7 +69,10 @@
         new ConnectionFactory(network, this, MAX_LIST_BYTES, MAX_LIST_BYTES, budget);
   }
 
-  /** Sets the connect timeout of later calls, in microseconds. */
+  /**
+   * Sets the connect timeout of later calls, in microseconds; longer ones are cut to half of {@link
+   * WatchTimings#OVERLAP_US}.
+   */
   public void configure(long newConnectTimeoutUs) {
     connectTimeoutUs = Math.min(newConnectTimeoutUs, WatchTimings.OVERLAP_US / 2);
   }
@@ -162,7 +168,7 @@
     call.connection().send(HttpRequest.get(target, Map.of(HeaderNames.HOST, address)));
   }
 
-  /** Ends a call that brings no list. */
+  /** Ends a call that failed. */
   private void fail(WatchCall call, WatchFailure failure) {
     Connection connection = call.releaseConnection();
     if (call == former) {
@@ -272,21 +278,27 @@
     connection.releaseBuffers();
   }
 
-  /** Reads what has arrived meanwhile, so that no attempt is sent against a pending update. */
+  /**
+   * Reads input that has arrived meanwhile, so that a pending update is applied before an attempt
+   * is sent.
+   */
   public void readPending() {
-    for (WatchCall call : calls()) { // reading one may end the others
+    for (WatchCall call : calls()) { // a response to one may end the others
       if (call.isConnected() && call.connection().isOpen()) {
         call.connection().onReadable();
       }
     }
   }
 
-  /** When another call is due beside the newest; {@code Long.MAX_VALUE} if none is. */
+  /** When the newest call times out, in microseconds; {@code Long.MAX_VALUE} if there is none. */
   public long nextDueUs() {
     return newest == null ? Long.MAX_VALUE : newest.nextCallUs();
   }
 
-  /** Reports the newest call as failed once its time is over; its response still counts. */
+  /**
+   * Reports the newest call as failed once it has timed out. It stays open, and its response still
+   * counts.
+   */
   public void expire(long nowUs) {
     if (newest != null && nowUs >= newest.nextCallUs()) {
       Connection oldest = overdue == null ? null : overdue.connection();
--- a/sidecar/src/main/java/dillcross/net/discovery/WatchCall.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchCall.java
@@ -13,12 +13,12 @@
     this.nextCallUs = nextCallUs;
   }
 
-  /** The version of the endpoint list that is known; 0 requests the complete list. */
+  /** The version of the endpoint list that the sidecar has; 0 requests the complete list. */
   long sinceVersion() {
     return sinceVersion;
   }
 
-  /** When another call begins beside this one, unless this one is answered; in microseconds. */
+  /** When this call times out and another one begins beside it, in microseconds. */
   long nextCallUs() {
     return nextCallUs;
   }
@@ -27,19 +27,19 @@
     nextCallUs = newNextCallUs;
   }
 
-  /** Notes the connection that carries the call. */
+  /** Sets the connection that carries the call; null if none could be opened. */
   void useConnection(Connection newConnection) {
     connection = newConnection;
   }
 
-  /** Ends the use of its connection, and returns it; null if it has none. */
+  /** Removes the connection from the call and returns it; null if the call has none. */
   Connection releaseConnection() {
     Connection released = connection;
     connection = null;
     return released;
   }
 
-  /** The connection that carries the call; null if it has none. */
+  /** The connection that carries the call; null if the call has none. */
   Connection connection() {
     return connection;
   }
--- a/sidecar/src/main/java/dillcross/net/discovery/WatchFailure.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchFailure.java
@@ -1,16 +1,16 @@
 package dillcross.net.discovery;
 
-/** Why a watch call brought no endpoint list, as it is logged, and how long to back off then. */
+/** Why a watch call brought no endpoint list: the reason for the log, and the longest backoff. */
 enum WatchFailure {
   /** No connection could be opened. */
   CONNECT_FAILED("connect failed", WatchTimings.MAX_BACKOFF_US),
-  /** The call had its time without a response. */
+  /** The call timed out without a response. */
   TIMED_OUT("no response in time", WatchTimings.MAX_BACKOFF_US),
   /** The connection was closed before the response. */
   CONNECTION_CLOSED("connection closed", WatchTimings.MAX_BACKOFF_US),
   /** The response is not HTTP, or too large. */
   MALFORMED_RESPONSE("malformed or too large response", WatchTimings.MAX_BACKOFF_US),
-  /** The response has an error status, or no readable list. */
+  /** The response has an error status or a malformed list. */
   REJECTED("error status or malformed list", WatchTimings.MAX_OVERLOAD_BACKOFF_US);
 
   private final String reason;
--- a/sidecar/src/main/java/dillcross/net/discovery/WatchRequestTarget.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchRequestTarget.java
@@ -4,7 +4,7 @@
 final class WatchRequestTarget {
   private static final String PATH = "/v1/servers";
 
-  /** The version that is known; the response holds what is newer. */
+  /** The version that the sidecar has; the response contains later changes. */
   private static final String KNOWN_VERSION = "since";
 
   /** How long the response may be held back until there is an update. */
@@ -14,7 +14,10 @@
 
   private WatchRequestTarget() {}
 
-  /** Watches for what is newer than {@code version}, for at most {@code waitUs}. */
+  /**
+   * The target of a request for changes after {@code version}. Discovery holds back its response
+   * for at most {@code waitUs} microseconds.
+   */
   static String of(long version, long waitUs) {
     long waitMs = waitUs / MICROS_PER_MILLI;
     return PATH + "?" + KNOWN_VERSION + "=" + version + "&" + WAIT_MS + "=" + waitMs;
--- a/sidecar/src/main/java/dillcross/net/discovery/package-info.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The watch of the endpoint list at the discovery service. Belongs to the selector thread. It hands
- * typed entries to the coordinator, and knows nothing of requests.
+ * The watch of the endpoint list at the discovery service. Belongs to the selector thread. The
+ * package passes parsed entries to the coordinator, and does not depend on requests.
  */
 package dillcross.net.discovery;
--- a/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -27,8 +27,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Carries out attempts on connections to endpoints. Nothing here is sent twice: each attempt is
- * written once, and reported once. Belongs to the selector thread.
+ * Carries out attempts on connections to endpoints. It never sends a request again by itself: each
+ * attempt is written at most once, and its end is reported once. Belongs to the selector thread.
  */
 public final class AttemptExecutor implements MessageHandler {
   private static final long EXPIRY_INTERVAL_US = 1_000_000;
@@ -36,14 +36,14 @@
 
   private final RequestCoordinator coordinator;
   private final LongSupplier clock;
-  private final Consumer<Object> readPending;
+  private final Consumer<Object> readPending; // called with the client of an attempt
   private final ConnectionFactory connectionFactory;
   private final EndpointConnectionPool pool;
   private final Map<AttemptId, InFlightAttempt> attempts = new HashMap<>();
-  private final ArrayDeque<InFlightAttempt> connecting = new ArrayDeque<>(); // by their deadlines
-  private final ArrayDeque<InFlightAttempt> connected = new ArrayDeque<>(); // and not sent yet
+  private final ArrayDeque<InFlightAttempt> connecting = new ArrayDeque<>(); // the oldest first
+  private final ArrayDeque<InFlightAttempt> connected = new ArrayDeque<>(); // not sent yet
   private long connectTimeoutUs;
-  private long expiredUs;
+  private long lastExpiryUs;
 
   private record AttemptId(long requestId, int attempt) {
     static AttemptId of(InFlightAttempt attempt) {
@@ -52,10 +52,11 @@
   }
 
   /**
-   * An executor with no attempts.
+   * Creates an executor with no attempts.
    *
-   * @param maxBody bytes of the largest response
-   * @param readPending has what arrived of the endpoint list and of a client read
+   * @param maxBody the size of the largest response body that is allowed, in bytes
+   * @param readPending called before an attempt is sent, with the client of its request; reads
+   *     input that has arrived from discovery and from that client
    */
   public AttemptExecutor(
       Network network,
@@ -74,13 +75,16 @@
             network, this, HttpMessageParser.MAX_BUFFERED_BODY_BYTES, maxBody, budget);
   }
 
-  /** Applies to new and idle connections; a connect in progress keeps its timeout. */
+  /**
+   * Sets the timeout of connects that begin from now on, and the time for which a connection may be
+   * idle, both in microseconds.
+   */
   public void configure(long newConnectTimeoutUs, long maxIdleUs) {
     connectTimeoutUs = newConnectTimeoutUs;
     pool.setMaxIdle(maxIdleUs);
   }
 
-  /** Begins an attempt; it is sent by {@link #sendConnected} once it has a connection. */
+  /** Begins an attempt. {@link #sendConnected} sends it once it has a connection. */
   public void start(NetworkCommand.SendAttempt command) {
     EndpointConnectionPool.Endpoint endpoint = pool.endpoint(command.endpoint(), command.address());
     InFlightAttempt attempt =
@@ -114,18 +118,18 @@
     } else if (connecting.remove(attempt)) {
       attempt.takeConnection(connection.get());
       connected.add(attempt);
-    } else { // abandoned meanwhile
+    } else { // the attempt was abandoned meanwhile
       pool.close(connection.get());
     }
   }
 
   /**
    * Sends the attempts that have a connection and are still permitted. Called last in an iteration
-   * of the event loop, after all events and timers. Before each attempt, what has arrived since is
-   * read once more, because an iteration of a starved process takes long: an update of the endpoint
-   * list, or a client's disconnect.
+   * of the event loop, after all events and timers. Before each attempt, input from discovery and
+   * from the client is read once more: an iteration takes long in a process that gets little CPU
+   * time, and an update of the endpoint list or the client's disconnect may have arrived meanwhile.
    *
-   * @return whether there was anything to send
+   * @return whether any attempt had a connection, so that the coordinator may have new commands
    */
   public boolean sendConnected() {
     boolean any = !connected.isEmpty();
@@ -172,7 +176,7 @@
     }
   }
 
-  /** Reports what becomes of a request's body that is streamed to an endpoint. */
+  /** Reports the progress of a request body that is streamed to an endpoint. */
   private final class RequestBodyListener implements BodyRelay.Listener {
     private final long requestId;
     private final Connection client;
@@ -192,7 +196,7 @@
       if (complete) {
         coordinator.onBodyComplete(clock.getAsLong(), requestId);
       } else {
-        client.close(); // its request is malformed or cut off
+        client.close(); // the client's request is malformed or cut off
       }
     }
   }
@@ -203,7 +207,7 @@
     if (attempt != null) {
       end(attempt, AttemptResult.Kind.ABANDONED, null);
       pool.closeIdleSince(attempt.endpoint(), attempt.startedUs());
-    } else { // unknown here: reported, or the coordinator would wait for it forever
+    } else { // unknown here; without a report the coordinator would wait for its end forever
       coordinator.onAttemptEnded(
           clock.getAsLong(),
           command.requestId(),
@@ -213,7 +217,8 @@
   }
 
   /**
-   * Takes the attempt off its connection, which the next may use or which closes, and reports it.
+   * Ends the attempt and reports its result. Its connection is kept for the next attempt if it can
+   * be reused, and is closed otherwise.
    */
   private void end(InFlightAttempt attempt, AttemptResult.Kind kind, HttpResponse response) {
     if (!attempts.remove(AttemptId.of(attempt), attempt)) {
@@ -237,8 +242,8 @@
     if (isCurrent && isReusable) {
       pool.put(attempt.endpoint(), connection);
     } else if (kind == AttemptResult.Kind.ABANDONED && connection.isConnected()) {
-      // A plain close would let the system go on sending what was written, and a network that
-      // recovers could deliver the request after its answer.
+      // After a plain close the kernel would go on sending what was written. Once a failed network
+      // recovers, the endpoint could receive the request after the client has its response.
       pool.remove(connection);
       connection.reset();
     } else {
@@ -293,7 +298,7 @@
   public void relayResponse(InboundResponse response, Connection client, boolean chunked) {
     InFlightAttempt attempt = (InFlightAttempt) response.source().exchange();
     if (attempt == null || !attempt.isStreaming(response)) {
-      return; // it has ended meanwhile, and was reported
+      return; // the attempt has ended meanwhile, and its end was reported
     }
     ResponseBodyListener listener = new ResponseBodyListener(attempt, response.response());
     new BodyRelay(response.source(), client, chunked, listener).start();
@@ -311,7 +316,7 @@
 
     @Override
     public void onBytesReleased() {
-      // the response can't be replaced since its first byte
+      // nothing to report: no other response can follow once this one has started
     }
 
     @Override
@@ -329,7 +334,7 @@
           HeaderNames.FLAG_SET.equals(response.field(HeaderNames.NOT_STARTED))
               ? AttemptResult.Kind.OVERLOADED
               : AttemptResult.Kind.ERROR;
-      // These depend on the endpoint or the moment; any other 4xx on the request itself.
+      // These depend on the endpoint or on the moment, whereas any other 4xx is about the request.
       case HttpStatus.REQUEST_TIMEOUT, HttpStatus.TOO_EARLY, HttpStatus.TOO_MANY_REQUESTS ->
           AttemptResult.Kind.ERROR;
       default ->
@@ -343,34 +348,40 @@
   public void onClosed(Connection connection) {
     pool.remove(connection);
     InFlightAttempt attempt = (InFlightAttempt) connection.exchange();
-    if (attempt != null) { // else the endpoint has closed it while it was idle
+    if (attempt != null) { // an idle connection that the endpoint closes has none
       end(attempt, AttemptResult.Kind.CONNECTION_BROKEN, null);
     }
     connection.releaseBuffers();
   }
 
-  /** Attempts that are in flight. */
+  /** The number of attempts in flight. */
   public int inFlight() {
     return attempts.size();
   }
 
-  /** Closes what is idle to an endpoint; what is in use serves no other attempt. */
+  /**
+   * Closes the idle connections to an endpoint, given by its id. Connections in use are closed
+   * after their attempts.
+   */
   public void closeConnections(String endpoint) {
     pool.closeIdle(endpoint);
   }
 
-  /** When the next connect time-out is due. */
+  /** When the next connect timeout is due, in microseconds; {@code Long.MAX_VALUE} if none is. */
   public long nextDueUs() {
     return connecting.isEmpty() ? Long.MAX_VALUE : connecting.peekFirst().connectDeadlineUs();
   }
 
-  /** Ends what does not connect in time, and closes what has been idle for too long. */
+  /**
+   * Ends attempts that have not connected in time or whose responses have stalled, and closes
+   * connections that have been idle for too long.
+   */
   public void expire(long nowUs) {
     while (!connecting.isEmpty() && connecting.peekFirst().connectDeadlineUs() <= nowUs) {
       end(connecting.peekFirst(), AttemptResult.Kind.CONNECTION_BROKEN, null);
     }
-    if (nowUs - expiredUs > EXPIRY_INTERVAL_US) {
-      expiredUs = nowUs;
+    if (nowUs - lastExpiryUs > EXPIRY_INTERVAL_US) {
+      lastExpiryUs = nowUs;
       pool.snapshot().forEach(connection -> endIfStalled(connection, nowUs));
       pool.closeExpired();
     }
--- a/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
@@ -11,10 +11,11 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** All connections to endpoints, and which of them are idle. Belongs to the selector thread. */
+/** The connections to endpoints, idle or in use. Belongs to the selector thread. */
 public final class EndpointConnectionPool {
-  // How long a connection rests after a response: a second, unsolicited response would otherwise
-  // answer the next request. The price is a connection or two more for each busy endpoint.
+  // How long a connection is not reused after a response: a second, unsolicited response would
+  // otherwise be taken for the response to the next request. The cost is one or two more
+  // connections to each busy endpoint.
   private static final long CONNECTION_QUARANTINE_US = 8_000;
 
   private final LongSupplier clock;
@@ -24,13 +25,14 @@
   private long maxIdleUs;
 
   /**
-   * The idle connections to one endpoint. Another endpoint at its address, later, has its own.
+   * The idle connections to one endpoint. If another endpoint has the same address later, it gets
+   * an object of its own.
    *
-   * @param idle the one that was used last comes last
+   * @param idle the most recently used connection is the last
    */
   record Endpoint(String address, ArrayDeque<Connection> idle) {}
 
-  /** A pool of at most {@code maxConnections}; {@code clock} gives microseconds. */
+  /** Creates an empty pool for at most {@code maxConnections}; {@code clock} gives microseconds. */
   public EndpointConnectionPool(LongSupplier clock, int maxConnections) {
     this.clock = clock;
     this.maxConnections = maxConnections;
@@ -40,7 +42,10 @@
     maxIdleUs = newMaxIdleUs;
   }
 
-  /** The endpoint at that address; what was idle at another address of it is closed. */
+  /**
+   * Returns the endpoint with this id and address. If it had another address before, closes the
+   * idle connections to that.
+   */
   Endpoint endpoint(String id, String address) {
     Endpoint endpoint = endpoints.get(id);
     if (endpoint == null || !endpoint.address().equals(address)) {
@@ -51,15 +56,18 @@
     return endpoint;
   }
 
-  /** Whether the endpoint has not been closed or moved since it was asked for. */
-  @SuppressWarnings("ReferenceEquality") // the very object: an endpoint that came back equals it
+  /**
+   * Whether the pool still has this very object for the endpoint: its connections were not closed
+   * by {@link #closeIdle}, and its address has not changed.
+   */
+  @SuppressWarnings("ReferenceEquality") // an endpoint that is listed again may have an equal one
   boolean isCurrent(String id, Endpoint endpoint) {
     return endpoints.get(id) == endpoint;
   }
 
   /**
-   * Takes an idle connection: the one used last, as it is the least likely to be dead, of those
-   * whose quarantine is over.
+   * Takes an idle connection whose quarantine is over. Prefers the most recently used one, which is
+   * the least likely to be dead.
    */
   Optional<Connection> take(Endpoint endpoint) {
     Iterator<Connection> newestFirst = endpoint.idle().descendingIterator();
@@ -78,21 +86,25 @@
   }
 
   /**
-   * Whether the connection is fresh enough and its socket is still good. Connections are closed
-   * before the endpoint's own idle limit, because a request that crosses its close is lost.
+   * Whether the connection has not been idle for too long and its socket is still open. The limit
+   * is below the endpoint's own idle timeout, because a request that crosses the endpoint's close
+   * is lost.
    */
   private boolean isUsable(Connection connection) {
     boolean isFresh = clock.getAsLong() - connection.activity().idleSinceUs() < maxIdleUs;
     return isFresh && connection.isReusable();
   }
 
-  /** Gives a connection back that the next attempt can use. */
+  /** Adds a connection that the next attempt can use to the idle ones. */
   void put(Endpoint endpoint, Connection connection) {
     connection.activity().markIdle(clock.getAsLong());
     connection.joinPool(endpoint.idle());
   }
 
-  /** Whether there is space for another connection, after closing an idle one if need be. */
+  /**
+   * Makes space for another connection, by closing an idle one if necessary; returns false if all
+   * are in use.
+   */
   boolean makeSpace() {
     return connections.size() < maxConnections || closeOldestIdle();
   }
@@ -112,18 +124,21 @@
     connections.add(connection);
   }
 
-  /** The connection was closed, or is reset by its user. */
+  /** Removes a connection that was closed, or that the caller is about to reset. */
   void remove(Connection connection) {
     connections.remove(connection);
     connection.leavePool();
   }
 
   void close(Connection connection) {
-    connections.remove(connection); // one that never came up is not reported as closed
+    connections.remove(connection); // the close of one that never connected is not reported
     connection.close();
   }
 
-  /** Closes what is idle to an endpoint; what is in use closes when it ends. */
+  /**
+   * Closes the idle connections to an endpoint. Connections in use are closed when their attempts
+   * end.
+   */
   void closeIdle(String id) {
     Endpoint endpoint = endpoints.remove(id);
     if (endpoint != null) {
@@ -134,9 +149,10 @@
   }
 
   /**
-   * Closes what has been idle since {@code sinceUs} or longer. An endpoint that was cut off leaves
-   * its connections open, silent and dead: when an attempt to it is abandoned, those on which
-   * nothing arrived since it was sent are not used again, or each would cost another attempt.
+   * Closes the connections that have been idle since {@code sinceUs} or longer. Called when an
+   * attempt to the endpoint is abandoned, with its start: if the network to the endpoint has
+   * failed, its connections stay open although they are dead, and each one that is used again costs
+   * another attempt. A connection that received a response after that start is not suspect.
    */
   void closeIdleSince(Endpoint endpoint, long sinceUs) {
     ArrayDeque<Connection> idle = endpoint.idle();
@@ -145,7 +161,7 @@
     }
   }
 
-  /** Closes what has been idle for too long. */
+  /** Closes the connections that have been idle for too long. */
   void closeExpired() {
     for (Endpoint endpoint : endpoints.values()) {
       ArrayDeque<Connection> idle = endpoint.idle();
@@ -155,7 +171,7 @@
     }
   }
 
-  /** Connections that are open or opening, as they are now. */
+  /** A copy of the set of connections that are open or opening. */
   List<Connection> snapshot() {
     return List.copyOf(connections);
   }
--- a/sidecar/src/main/java/dillcross/net/endpoint/InFlightAttempt.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/InFlightAttempt.java
@@ -5,7 +5,10 @@
 import dillcross.sidecar.NetworkCommand;
 import dillcross.sidecar.WriteProgress;
 
-/** One attempt on the network. Times are in microseconds. Belongs to the selector thread. */
+/**
+ * One attempt that has started and not ended. Times are in microseconds. Belongs to the selector
+ * thread.
+ */
 final class InFlightAttempt {
   private final NetworkCommand.SendAttempt command;
   private final EndpointConnectionPool.Endpoint endpoint;
@@ -13,7 +16,7 @@
   private final long connectDeadlineUs;
   private Connection connection; // null until one is opening or taken from the pool
   private boolean isSent;
-  private InboundResponse streaming; // null until its response is streamed
+  private InboundResponse streaming; // the response; null unless its body is streamed
 
   InFlightAttempt(
       NetworkCommand.SendAttempt command,
@@ -31,7 +34,7 @@
     return command;
   }
 
-  /** The endpoint's connections, as they were when the attempt was started. */
+  /** The pool's object for the endpoint, from when the attempt was started. */
   EndpointConnectionPool.Endpoint endpoint() {
     return endpoint;
   }
@@ -44,12 +47,15 @@
     return connectDeadlineUs;
   }
 
-  /** Notes the connection that is opening for the attempt. */
+  /** Sets the connection that is opening for the attempt. */
   void waitFor(Connection opening) {
     connection = opening;
   }
 
-  /** Takes a connection that is up; if that closes, the attempt ends, sent or not. */
+  /**
+   * Sets the connection, which is connected. If it closes from now on the attempt ends, sent or
+   * not.
+   */
   void takeConnection(Connection connected) {
     connection = connected;
     connected.beginExchange(this);
@@ -60,7 +66,7 @@
     return connection;
   }
 
-  /** Notes that the request is handed to the connection. */
+  /** Records that the request is being handed to the connection. */
   void markSent() {
     isSent = true;
   }
@@ -70,18 +76,18 @@
     return isSent;
   }
 
-  /** Notes the response that is streamed to the client. */
+  /** Sets the response that is streamed to the client. */
   void startStreaming(InboundResponse response) {
     streaming = response;
   }
 
-  /** Whether it is this very response that is streamed. */
-  @SuppressWarnings("ReferenceEquality") // the very response, and not one that equals it
+  /** Whether {@code response} is the one that is streamed. */
+  @SuppressWarnings("ReferenceEquality") // the same object, not an equal one
   boolean isStreaming(InboundResponse response) {
     return streaming == response;
   }
 
-  /** How far the request was written. */
+  /** How much of the request has been written. */
   WriteProgress progress() {
     if (!isSent) {
       return WriteProgress.NOT_CONNECTED;
