--- a/sidecar/src/main/java/dillcross/net/ChangeQueue.java
+++ b/sidecar/src/main/java/dillcross/net/ChangeQueue.java
@@ -4,17 +4,20 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 
-/** Hands changes over from other threads to the selector thread: the only way in for them. */
+/** Passes changes from other threads to the selector thread, the only thread that makes any. */
 final class ChangeQueue {
   private final Queue<Runnable> changes = new ConcurrentLinkedQueue<>();
   private final Runnable wakeUp;
 
-  /** {@code wakeUp} has the event loop make an iteration. */
+  /** Creates an empty queue; {@code wakeUp} makes the event loop run an iteration. */
   ChangeQueue(Runnable wakeUp) {
     this.wakeUp = wakeUp;
   }
 
-  /** Has the change made by the selector thread, between two iterations. From any thread. */
+  /**
+   * Makes the selector thread run the change after the events of an iteration. May be called from
+   * any thread.
+   */
   void submit(Runnable change) {
     changes.add(change);
     wakeUp.run();
@@ -22,7 +25,8 @@
 
   /**
    * As {@link #submit}, and returns once the change has run or has thrown; the caller can't tell
-   * which. Not from the selector thread.
+   * which, but the event loop logs a failure. Must not be called from the selector thread, which
+   * would wait for itself.
    */
   void submitAndWait(Runnable change) throws InterruptedException {
     CountDownLatch made = new CountDownLatch(1);
@@ -31,13 +35,13 @@
           try {
             change.run();
           } finally {
-            made.countDown(); // the event loop logs a failure; the caller must not wait forever
+            made.countDown(); // also after a failure, or the caller would wait forever
           }
         });
     made.await();
   }
 
-  /** Makes all changes that were submitted. On the selector thread. */
+  /** Runs all changes that were submitted. Called on the selector thread. */
   void runAll() {
     Runnable change = changes.poll();
     while (change != null) {
--- a/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
+++ b/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
@@ -12,10 +12,10 @@
 
 /** Passes each command of the coordinator to the component that carries it out. */
 final class CommandDispatcher {
-  // The response bodies that clients know.
+  // Response bodies that are part of the protocol with clients.
   private static final String REJECTED_BODY = "turned away, another try is harmless";
   private static final String FAILED_BODY = "failed";
-  private static final String CLIENT_ERROR_BODY = "turned down"; // by the endpoint, for good
+  private static final String CLIENT_ERROR_BODY = "turned down"; // with the endpoint's 4xx status
 
   private static final int MICROS_PER_MILLI = 1000;
   private static final int MILLIS_PER_SECOND = 1000;
@@ -81,6 +81,7 @@
     listener.respond(caller(command.client()), response);
   }
 
+  /** Seconds with three decimals, rounded up to whole milliseconds. */
   private static String seconds(long us) {
     long ms = (us + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
     return String.format(Locale.ROOT, "%d.%03d", ms / MILLIS_PER_SECOND, ms % MILLIS_PER_SECOND);
--- a/sidecar/src/main/java/dillcross/net/ShutdownSequence.java
+++ b/sidecar/src/main/java/dillcross/net/ShutdownSequence.java
@@ -7,14 +7,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Graceful shutdown: stops accepting once new connections have ceased to come, lets all requests be
- * answered, then is done. On the selector thread, but for {@link #isDone} and {@link #await}.
+ * The graceful shutdown: accepts connections for a while, unless another process accepts them too,
+ * then stops accepting, and is done once all requests are answered or have timed out. Belongs to
+ * the selector thread; {@link #isDone} and {@link #await} may be called from any thread.
  */
 final class ShutdownSequence {
-  /** After the order to stop, new connections still come. */
+  /**
+   * How long after the start of the shutdown connections are accepted, because clients still open
+   * them; in microseconds.
+   */
   static final long ACCEPT_US = 500_000;
 
-  private static final long QUIET_US = 150_000; // a request may be on its way to us still
+  private static final long QUIET_US = 150_000; // for requests in transit when accepting stops
 
   private final Lifecycle lifecycle;
   private final RequestCoordinator coordinator;
@@ -30,7 +34,7 @@
   }
 
   /**
-   * Goes on with the shutdown.
+   * Continues the shutdown; called in each iteration of the event loop after it has begun.
    *
    * @param isSocketShared whether another process may accept from the listening socket too
    */
@@ -58,7 +62,9 @@
     return done.getCount() == 0;
   }
 
-  /** Waits for the end at most so long; whether it is done. */
+  /**
+   * Waits at most {@code us} microseconds for the end of the shutdown; returns whether it is done.
+   */
   boolean await(long us) throws InterruptedException {
     return done.await(us, TimeUnit.MICROSECONDS);
   }
--- a/sidecar/src/main/java/dillcross/net/SidecarServer.java
+++ b/sidecar/src/main/java/dillcross/net/SidecarServer.java
@@ -24,18 +24,20 @@
 import java.util.logging.Logger;
 
 /**
- * The running sidecar: assembles the parts that the network's one thread works for, and makes the
- * iterations of its event loop. All parts belong to that thread. Methods may be called from other
- * threads where they say so; changes go through one {@link ChangeQueue}.
+ * The running sidecar: assembles its components, and runs them in the iterations of the network's
+ * event loop. All components belong to the one thread of that loop. Methods may be called from
+ * other threads where their comments say so; changes by other threads go through one {@link
+ * ChangeQueue}.
  */
 public final class SidecarServer implements Network.EventLoopTask {
   private static final Logger LOG = Logger.getLogger(SidecarServer.class.getName());
-  private static final long FIRST_LIST_US = 3_000_000; // the longest wait for the first list
+  private static final long FIRST_LIST_TIMEOUT_US = 3_000_000; // for the first endpoint list
   private static final int MAX_LOGGED_FAILURES = 20;
-  private static final int RESERVED_DESCRIPTORS = 48; // files, selector, sockets, and what closes
+  // For files, the selector, listening and admin sockets, and connections that are being closed.
+  private static final int RESERVED_DESCRIPTORS = 48;
   private static final int DESCRIPTOR_SHARES = 3;
   private static final int CLIENT_SHARES = 2;
-  private static final int KEEP_ALIVE_MARGIN_DIVISOR = 10;
+  private static final int KEEP_ALIVE_MARGIN_DIVISOR = 10; // a tenth of the endpoint's timeout
   private static final int MICROS_PER_MILLI = 1000;
   private static final long MIN_DISCOVERY_CONNECT_US = 1_000_000;
   private static final long EXPIRY_INTERVAL_US = 200_000;
@@ -57,21 +59,22 @@
   private final ChangeQueue changes;
   private final long startedUs;
   private Optional<MembershipService> membership = Optional.empty();
-  private String adminAddress; // null where there is no admin endpoint
-  private Network.ListeningSocket listeningSocket; // the clients'
-  private volatile long maxTimeoutUs; // of all settings so far: a request may be open from any
-  private volatile boolean isSocketInherited; // so that another process may accept from it too
-  private boolean needsFirstList;
-  private long expiredUs;
+  private String adminAddress; // null if there is no admin endpoint
+  private Network.ListeningSocket listeningSocket; // for clients; null until there is one
+  // The longest request timeout of all settings so far: a request may be open from any of them.
+  private volatile long maxTimeoutUs;
+  private volatile boolean isSocketInherited; // another process may accept from it too
+  private boolean needsFirstList; // before the server is ready
+  private long lastExpiryUs;
   private int failedIterations;
-  private long now; // the clock, read before events and again after them
+  private long now; // in microseconds; read before the events of an iteration and again after them
 
   /**
-   * A server that does not run yet.
+   * Creates a server that does not run yet.
    *
-   * @param warmUpRequests to itself that it makes before it is ready
-   * @param clock whole microseconds that never go back
-   * @param discoveryAddress a numeric address and a port
+   * @param warmUpRequests the number of requests that the server sends to itself before it is ready
+   * @param clock gives microseconds that never go back
+   * @param discoveryAddress a numeric IP address and a port
    */
   public SidecarServer(
       Network network,
@@ -117,8 +120,8 @@
   }
 
   /**
-   * Reads what has arrived of the endpoint list and of a client since this iteration began: what is
-   * sent next must not miss it.
+   * Reads input that has arrived from discovery and from a client since this iteration began, so
+   * that the attempt that is sent next takes it into account.
    */
   private void readPending(Object client) {
     discovery.readPending();
@@ -131,32 +134,40 @@
     long timeoutUs = settings.maxTimeoutUs();
     maxTimeoutUs = Math.max(maxTimeoutUs, timeoutUs);
     listener.configure(settings.balancer().requestClasses(), timeoutUs);
-    // Idle connections close early, because the endpoint started to time them earlier.
+    // Idle connections are closed before the endpoint's own idle timeout, because the endpoint has
+    // started its timer earlier.
     long keepAliveUs = settings.keepAliveUs();
     attempts.configure(
         settings.connectTimeoutUs(), keepAliveUs - keepAliveUs / KEEP_ALIVE_MARGIN_DIVISOR);
     discovery.configure(Math.max(settings.connectTimeoutUs(), MIN_DISCOVERY_CONNECT_US));
   }
 
-  // Before the start
+  // Before the start: on the thread that creates the server
 
   /**
-   * Has the endpoint list requested at once, and waits a while for it before it is ready: where
-   * lists are pushed, what the agent has counts as notified from this process's first moment on,
-   * and what it was started with may be old.
+   * Requests the endpoint list at once, and delays readiness until it has arrived, but not for
+   * longer than 3 s. Needed where discovery pushes updates: those that it already has count as
+   * delivered to this process from its start on, and the list that the process started with may be
+   * old.
    */
   public void requireFirstList() {
     needsFirstList = true;
     coordinator.onDiscoveryMoved(now);
   }
 
-  /** Takes part among others, from the first iteration on. */
+  /**
+   * Makes this sidecar take part in the fleet's membership, from the first iteration on, and lets
+   * the admin endpoint show it.
+   */
   public void join(MembershipService service) {
     membership = Optional.of(service);
-    admin.show(service);
+    admin.setMembership(service);
   }
 
-  /** Starts the event loop, and opens the admin endpoint: operators may call from then on. */
+  /**
+   * Starts the event loop and membership, and opens the admin endpoint at the address, if there is
+   * one.
+   */
   public void open(Optional<InetSocketAddress> adminBindAddress) throws IOException {
     network.start(this);
     if (membership.isPresent()) {
@@ -169,20 +180,27 @@
     }
   }
 
-  // Start. From another thread.
+  // Start up
 
-  /** Listens, warms up and serves. */
+  /**
+   * Listens at an address, warms up, and begins serving. Returns when the server is ready, or once
+   * it is stopping. Must not be called from the selector thread.
+   */
   public void startListening(InetSocketAddress address) throws IOException, InterruptedException {
     makeChange(() -> listen(address));
     warmUp.await();
     runBetweenIterations(this::markReady);
   }
 
-  /** Warms up, then serves on the listening socket that this process inherited. */
+  /**
+   * Warms up, and then begins serving on the listening socket that this process inherited. Returns
+   * when the server is ready, or once it is stopping. Must not be called from the selector thread.
+   */
   public void startInherited() throws IOException, InterruptedException {
     makeChange(this::prepareInherited);
     warmUp.await();
-    makeChange(this::acceptInherited); // only now: what it accepts it has to serve at once
+    // After the warm-up, because accepted connections have to be served at once.
+    makeChange(this::acceptInherited);
     runBetweenIterations(this::markReady);
   }
 
@@ -208,7 +226,10 @@
     }
   }
 
-  /** Listens and starts to warm up; {@link #markReady} is to be called once {@link #isWarm}. */
+  /**
+   * Listens at an address and starts to warm up; the caller calls {@link #markReady} once {@link
+   * #isWarm} is true. Runs on the selector thread.
+   */
   public void listen(InetSocketAddress address) throws IOException {
     accept(network.bind(address, listener));
     warmUp.start(listeningSocket.address(), AdminPaths.HEALTH);
@@ -221,7 +242,7 @@
       throw new IOException(
           "NODE_FD names no listening socket that can be taken over (descriptor 0)");
     }
-    // Through the clients' socket the process before this one would be asked.
+    // Requests to the clients' address would reach the former process, which still serves there.
     warmUp.start(adminAddress, AdminPaths.READY);
     network.wakeUp();
   }
@@ -235,15 +256,15 @@
     clients.setListeningSocket(socket);
   }
 
-  /** Whether it has warmed up. From any thread. */
+  /** Whether the warm-up is done. May be called from any thread. */
   public boolean isWarm() {
     return warmUp.isDone();
   }
 
-  /** Reports itself as ready; between two iterations. */
+  /** Begins serving, unless the shutdown has begun. Runs on the selector thread. */
   public void markReady() {
     lifecycle.markReady(now);
-    if (lifecycle.isReady()) { // it may be stopping meanwhile
+    if (lifecycle.isReady()) { // not if it is stopping
       long elapsedMs = (now - startedUs) / MICROS_PER_MILLI;
       LOG.info(() -> "ready on " + listeningSocket.address() + " after " + elapsedMs + " ms");
     }
@@ -251,27 +272,40 @@
 
   // While it runs
 
-  /** Has the selector thread make a change between two iterations, and returns then. */
+  /**
+   * Makes the selector thread run a change after the events of an iteration, and returns when that
+   * is done. Must not be called from the selector thread.
+   */
   public void runBetweenIterations(Runnable change) throws InterruptedException {
     changes.submitAndWait(change);
   }
 
-  /** Takes new settings on; what is open or learned stays. Between two iterations. */
+  /**
+   * Applies new settings; open requests and what the load balancer has learned are kept. Runs on
+   * the selector thread.
+   */
   public void applySettings(SidecarSettings settings) {
     coordinator.applySettings(now, settings.balancer());
     configure(settings);
   }
 
-  /** Has the endpoint list requested at another address, at once. Between two iterations. */
+  /**
+   * Moves to another discovery address, and requests the endpoint list there at once. Runs on the
+   * selector thread.
+   */
   public void moveDiscovery(String address) {
     discovery.moveTo(address);
     coordinator.onDiscoveryMoved(now);
   }
 
-  /** Shuts down gracefully, and returns when that is done. From another thread. */
+  /**
+   * Shuts down gracefully, and returns when that is done. Must not be called from the selector
+   * thread.
+   */
   public void stop() throws InterruptedException {
     requestStop();
-    boolean isDone = false; // the event loop may not run yet; new settings may prolong the wait
+    // The wait is limited, because the event loop may not run yet; new settings may prolong it.
+    boolean isDone = false;
     long waitedUs = 0;
     while (!isDone && waitedUs < maxTimeoutUs + 2 * ShutdownSequence.ACCEPT_US) {
       isDone = shutdown.await(ShutdownSequence.ACCEPT_US);
@@ -279,7 +313,10 @@
     }
   }
 
-  /** Has the graceful shutdown begin; it {@link #isDone} some iterations later. From any thread. */
+  /**
+   * Begins the graceful shutdown; {@link #isDone} is true when it has ended. May be called from any
+   * thread.
+   */
   public void requestStop() {
     changes.submit(
         () -> {
@@ -289,14 +326,15 @@
         });
   }
 
-  /** Whether the graceful shutdown is done. From any thread. */
+  /** Whether the graceful shutdown is done. May be called from any thread. */
   public boolean isDone() {
     return shutdown.isDone();
   }
 
   /**
-   * What it has in use at the moment; when nothing is carried out all of it is 0 but for what idle
-   * connections may keep, and timers for the endpoint list and the load balancer.
+   * The resources in use now. While no request is open all counts are 0, except for the buffers of
+   * idle connections, the timers of the endpoint list and of the load balancer, and the failed
+   * iterations.
    */
   public Usage usage() {
     return new Usage(
@@ -309,14 +347,14 @@
   }
 
   /**
-   * What a server has in use.
+   * The resources that a server has in use.
    *
-   * @param trackedRequests that the coordinator keeps
-   * @param timers that are set
-   * @param attempts in flight
-   * @param openRequests that wait for their response
-   * @param bufferBytes of the buffers' limit
-   * @param failedIterations of the event loop since the start
+   * @param trackedRequests requests that the coordinator keeps
+   * @param timers timers of the coordinator that are set
+   * @param attempts attempts in flight
+   * @param openRequests requests that wait for their response
+   * @param bufferBytes bytes that are taken from the memory budget of buffers
+   * @param failedIterations iterations of the event loop that have failed since the start
    */
   public record Usage(
       int trackedRequests,
@@ -353,7 +391,7 @@
       iterate();
     } catch (RuntimeException failure) {
       failedIterations++;
-      if (failedIterations <= MAX_LOGGED_FAILURES) { // one that recurs must not fill the log
+      if (failedIterations <= MAX_LOGGED_FAILURES) { // a failure that recurs must not fill the log
         LOG.log(Level.SEVERE, "event loop iteration failed", failure);
       }
     }
@@ -372,8 +410,8 @@
     }
     carryOutCommands();
     boolean closesIdle = lifecycle.isStopping() && lifecycle.closesIdleConnections(now);
-    if (now - expiredUs >= EXPIRY_INTERVAL_US || closesIdle) {
-      expiredUs = now;
+    if (now - lastExpiryUs >= EXPIRY_INTERVAL_US || closesIdle) {
+      lastExpiryUs = now;
       listener.expire(now);
       admin.expire(now);
     }
@@ -385,7 +423,7 @@
   private boolean isWaitingForFirstList() {
     return needsFirstList
         && !coordinator.hasReceivedWatchEvent()
-        && now - startedUs <= FIRST_LIST_US;
+        && now - startedUs <= FIRST_LIST_TIMEOUT_US;
   }
 
   private void carryOutCommands() {
--- a/sidecar/src/main/java/dillcross/net/WarmUp.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUp.java
@@ -23,9 +23,9 @@
 import java.util.Map;
 
 /**
- * Runs made-up requests through a coordinator, a load balancer and a parser of its own before the
- * first client comes: code that has not run yet is slow, and the first requests after a start would
- * pay for it. Nothing of it is kept.
+ * Runs artificial requests through a coordinator, a load balancer and a parser that nothing else
+ * uses, before the first client connects: code that has not run yet is slow, and would delay the
+ * first requests after a start. Their state is discarded.
  */
 public final class WarmUp {
   private static final int REQUESTS = 400;
@@ -44,7 +44,7 @@
     this.coordinator = coordinator;
   }
 
-  /** Runs through a load balancer that nothing else uses. */
+  /** Runs requests of these classes through {@code balancer}, which nothing else may use. */
   public static void run(LoadBalancer balancer, List<RequestClass> requestClasses) {
     new WarmUp(new RequestCoordinator(balancer)).run(requestClasses);
   }
@@ -58,26 +58,26 @@
     coordinator.onEndpointList(1, 1, true, entries, false);
     for (int i = 0; i < REQUESTS; i++) {
       String className = requestClasses.get(i % requestClasses.size()).name();
-      playRequest(1 + i * INTERVAL_US, className);
+      runRequest(1 + i * INTERVAL_US, className);
     }
   }
 
-  private void playRequest(long nowUs, String className) {
+  private void runRequest(long nowUs, String className) {
     Map<String, String> fields = Map.of(HeaderNames.HOST, "a", HeaderNames.REQUEST_ID, "1");
-    Object request = readBack(HttpRequest.of(HttpRequest.POST, "/a/b", fields, BODY), true);
+    Object request = encodeAndParse(HttpRequest.of(HttpRequest.POST, "/a/b", fields, BODY), true);
     coordinator.onRequest(
         nowUs, new IncomingRequest(request, request, null, className, TIMEOUT_US, false, false));
     NetworkCommand command = coordinator.next(nowUs);
     while (command != null) {
       if (command instanceof NetworkCommand.SendAttempt attempt) {
-        playResponse(nowUs, attempt);
+        respond(nowUs, attempt);
       }
       command = coordinator.next(nowUs);
     }
   }
 
-  private void playResponse(long nowUs, NetworkCommand.SendAttempt attempt) {
-    Object response = readBack(HttpResponse.text(HttpStatus.OK, "ok"), false);
+  private void respond(long nowUs, NetworkCommand.SendAttempt attempt) {
+    Object response = encodeAndParse(HttpResponse.text(HttpStatus.OK, "ok"), false);
     boolean fails = attempt.requestId() % REQUESTS_PER_FAILURE == 0;
     AttemptResult.Kind kind =
         fails ? AttemptResult.Kind.CONNECTION_BROKEN : AttemptResult.Kind.SUCCEEDED;
@@ -88,7 +88,7 @@
         new AttemptResult(kind, WriteProgress.FULLY_WRITTEN, response));
   }
 
-  private HttpMessage readBack(HttpMessage message, boolean isRequest) {
+  private HttpMessage encodeAndParse(HttpMessage message, boolean isRequest) {
     buffer.add(message.encode());
     int maxBytes = HttpMessageParser.MAX_BUFFERED_BODY_BYTES;
     return new HttpMessageParser(isRequest, maxBytes, maxBytes).parse(buffer, false).orElseThrow();
--- a/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
@@ -9,9 +9,10 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Warms the process up before the first client comes: it requests its own health, over real sockets
- * and through every part. The responses belong to no request, so the coordinator passes them over.
- * On the selector thread, but for {@link #isDone} and {@link #await}.
+ * Warms up the process before the first client connects, by requests to its own health check or
+ * admin endpoint, over real sockets and through all of the network code. The responses belong to no
+ * open request, so the coordinator ignores them. Belongs to the selector thread; {@link #isDone}
+ * and {@link #await} may be called from any thread.
  */
 final class WarmUpProbe {
   private static final long MAX_DURATION_US = 1_000_000;
@@ -20,24 +21,27 @@
   private final AttemptExecutor attempts;
   private final int requestCount;
   private final CountDownLatch done = new CountDownLatch(1);
-  private String address; // null where there is none to send to
+  private String address; // null if there is none, so that no requests are sent
   private String path;
   private boolean isStarted;
-  private long sent;
+  private long sent; // requests so far
 
   WarmUpProbe(AttemptExecutor attempts, int requestCount) {
     this.attempts = attempts;
     this.requestCount = requestCount;
   }
 
-  /** Has the requests sent from now on; {@code address} is null where there is none to send to. */
+  /**
+   * Starts the warm-up: {@link #advance} sends requests for the path to the address from now on. If
+   * the address is null no requests are sent.
+   */
   void start(String newAddress, String newPath) {
     address = newAddress;
     path = newPath;
     isStarted = true;
   }
 
-  /** Whether it was started and is not done. */
+  /** Whether the warm-up has started and is not done. */
   boolean isRunning() {
     return isStarted && !isDone();
   }
@@ -51,9 +55,10 @@
   }
 
   /**
-   * Sends the next requests once the last are answered.
+   * Sends the next requests once the last ones are answered.
    *
-   * @param mayFinish whether the process may become ready
+   * @param elapsedUs the time since the process started, in microseconds
+   * @param mayFinish whether the process may become ready; while false, no requests are sent either
    */
   void advance(long nowUs, long elapsedUs, boolean mayFinish) {
     boolean isEnough = sent >= requestCount || elapsedUs > MAX_DURATION_US || address == null;
@@ -70,6 +75,7 @@
     }
   }
 
+  /** Sends one request. Its id is negative, as no open request's is. */
   private void send(long nowUs) {
     HttpRequest request = HttpRequest.get(path, Map.of(HeaderNames.HOST, address));
     InboundRequest content = new InboundRequest(request, null);
--- a/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
@@ -21,13 +21,14 @@
 import java.util.logging.Logger;
 
 /**
- * The operators' calls, at an address of its own: one a connection. It has memory of its own too,
- * so a crowd of clients can't shut it, and callers that finish no call give way to the next. On the
- * selector thread.
+ * Serves operators' calls at an address of its own, one call on each connection. It has a memory
+ * budget of its own too, so that it can be reached when clients use up theirs. When too many
+ * callers are connected, the one that connected first is disconnected. Belongs to the selector
+ * thread.
  */
 public final class AdminEndpoint implements MessageHandler, Network.ConnectionAcceptor {
-  private static final int MAX_CONNECTIONS = 8; // descriptors set aside for them
-  private static final long MAX_CALL_US = 5_000_000;
+  private static final int MAX_CONNECTIONS = 8; // SidecarServer reserves descriptors for them
+  private static final long CALL_TIMEOUT_US = 5_000_000; // from the connect to the close
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
 
   private final Lifecycle lifecycle;
@@ -38,7 +39,7 @@
   private Optional<MembershipService> membership = Optional.empty();
 
   /**
-   * An admin endpoint that reports and controls {@code lifecycle}; {@code clock} gives
+   * Creates an admin endpoint that reports and controls {@code lifecycle}; {@code clock} gives
    * microseconds.
    */
   public AdminEndpoint(Lifecycle lifecycle, LongSupplier clock) {
@@ -46,8 +47,8 @@
     this.clock = clock;
   }
 
-  /** Serves the view of a membership too. */
-  public void show(MembershipService service) {
+  /** Serves the membership's view of the fleet too; without a membership its path is not found. */
+  public void setMembership(MembershipService service) {
     membership = Optional.of(service);
   }
 
@@ -80,7 +81,10 @@
     respond(connection, HttpResponse.text(status, "malformed call"));
   }
 
-  /** Also where the end of the call has arrived with it: it was made. */
+  /**
+   * Responds and closes. A caller that has ended its output gets a response too, since the call
+   * took effect.
+   */
   private static void respond(Connection connection, HttpResponse response) {
     response.announceClose();
     connection.closeAfterNextMessage();
@@ -127,21 +131,21 @@
 
   private HttpResponse drain() {
     lifecycle.drain(clock.getAsLong());
-    LOG.info("draining: clients are to go elsewhere");
+    LOG.info("draining: the health check fails, so that clients go to other sidecars");
     return HttpResponse.text(HttpStatus.OK, "draining");
   }
 
   private HttpResponse resume() {
     lifecycle.resume();
-    LOG.info("resumed: the drain is over");
+    LOG.info("resumed: the drain has ended");
     return HttpResponse.text(HttpStatus.OK, "resumed");
   }
 
-  /** Closes who has stayed for too long. */
+  /** Closes connections that have been open for too long. */
   public void expire(long nowUs) {
     while (!connections.isEmpty()) {
       Connection oldest = connections.iterator().next();
-      if (nowUs - oldest.activity().idleSinceUs() <= MAX_CALL_US) {
+      if (nowUs - oldest.activity().idleSinceUs() <= CALL_TIMEOUT_US) {
         return;
       }
       connections.remove(oldest);
--- a/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
+++ b/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
@@ -1,16 +1,18 @@
 package dillcross.net.admin;
 
 /**
- * The stage of this process: starting, serving, draining or stopping. Health check, admin endpoint,
- * listener and shutdown all read it here. Times are in microseconds. Belongs to the selector
- * thread.
+ * The stage of this process: starting, serving, draining or stopping. The health check, the admin
+ * endpoint, the listener and the shutdown sequence all read it here. Times are in microseconds.
+ * Belongs to the selector thread.
  */
 public final class Lifecycle {
-  // From the start of a drain until idle connections close: clients' health checks have failed.
+  // From the start of a drain until idle connections close. By then clients' health checks have
+  // failed.
   private static final long DRAIN_NOTICE_US = 1_500_000;
-  // After SIGTERM: it must leave the longest deadline for what arrives until then.
+  // From SIGTERM until idle connections close. A request that arrives at the end of it must still
+  // have the longest timeout before the process is killed.
   private static final long SHUTDOWN_NOTICE_US = 450_000;
-  // Beyond the longest deadline after SIGTERM: by then all requests have their answer.
+  // All requests are answered before the longest timeout and this have passed since SIGTERM.
   private static final long SHUTDOWN_SLACK_US = 600_000;
 
   private enum Stage {
@@ -21,11 +23,14 @@
   }
 
   private Stage stage = Stage.STARTING;
-  private boolean isDrainRequested; // also while starting
-  private long closeIdleFromUs = Long.MAX_VALUE;
-  private long stopUs;
+  private boolean isDrainRequested; // may be set while the process is starting
+  private long closeIdleFromUs = Long.MAX_VALUE; // when idle connections begin to be closed
+  private long stopUs; // when the shutdown began
 
-  /** It is warm, and the listening socket is ours to serve. */
+  /**
+   * Begins serving: the process has warmed up and accepts clients' connections. Begins a drain if
+   * one was requested while the process was starting.
+   */
   public void markReady(long nowUs) {
     if (stage == Stage.STARTING) {
       stage = Stage.SERVING;
@@ -35,7 +40,10 @@
     }
   }
 
-  /** Clients are to go elsewhere. What arrives meanwhile is served; a second call does nothing. */
+  /**
+   * Begins a drain: the health check fails, so that clients go to other sidecars. Requests that
+   * arrive meanwhile are served. A second call has no effect.
+   */
   void drain(long nowUs) {
     isDrainRequested = true;
     if (stage == Stage.SERVING) {
@@ -44,7 +52,7 @@
     }
   }
 
-  /** Ends a drain, if there was one. */
+  /** Ends a drain, or cancels one that was requested while the process was starting. */
   void resume() {
     isDrainRequested = false;
     if (stage == Stage.DRAINING) {
@@ -53,7 +61,7 @@
     }
   }
 
-  /** Begins the graceful shutdown; nothing leads back from here. */
+  /** Begins the graceful shutdown, which can't be cancelled. */
   public void stop(long nowUs) {
     if (stage != Stage.STOPPING) {
       stage = Stage.STOPPING;
@@ -62,33 +70,34 @@
     }
   }
 
-  /** Whether new clients are wanted: what the health check says. */
+  /** The result of the health check: whether new clients are wanted. */
   public boolean isHealthy() {
     return stage == Stage.SERVING;
   }
 
-  /** Whether this process can serve: what the admin endpoint reports as ready. */
+  /** The readiness that the admin endpoint reports: whether this process serves requests. */
   public boolean isReady() {
     return stage == Stage.SERVING || stage == Stage.DRAINING;
   }
 
-  /** Whether each response closes its connection. */
+  /** Whether connections are closed after their next response. */
   public boolean closesConnections() {
     return stage == Stage.DRAINING || stage == Stage.STOPPING;
   }
 
-  /** Whether the process stops and takes no new requests. */
+  /** Whether the graceful shutdown has begun. */
   public boolean isStopping() {
     return stage == Stage.STOPPING;
   }
 
-  /** Whether idle connections are closed at once. */
+  /** Whether idle connections are to be closed at once. */
   public boolean closesIdleConnections(long nowUs) {
     return nowUs >= closeIdleFromUs;
   }
 
   /**
-   * Limits a request's timeout during shutdown, so that it is answered before the process exits.
+   * Limits the timeout of a request that arrives during shutdown, so that it is answered before the
+   * process exits. Before the shutdown the timeout is unchanged.
    */
   public long limitTimeout(long timeoutUs, long maxTimeoutUs, long nowUs) {
     if (!isStopping()) {
@@ -98,7 +107,7 @@
     return Math.max(1, Math.min(timeoutUs, untilEndUs));
   }
 
-  /** Time since the shutdown began, in microseconds. */
+  /** The time since the shutdown began, in microseconds; only valid once it has begun. */
   public long stoppingForUs(long nowUs) {
     return nowUs - stopUs;
   }
--- a/sidecar/src/main/java/dillcross/net/grizzly/ConnectionFilter.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/ConnectionFilter.java
@@ -22,12 +22,12 @@
     this.acceptor = acceptor;
   }
 
-  /** A chain for connections that come in. */
+  /** A chain for incoming connections. */
   static FilterChain accepting(Network.ConnectionAcceptor acceptor) {
     return chain(Optional.of(acceptor));
   }
 
-  /** A chain for connections that we open. */
+  /** A chain for outgoing connections. */
   static FilterChain connecting() {
     return chain(Optional.empty());
   }
@@ -36,7 +36,7 @@
     return FilterChainBuilder.stateless().add(new ConnectionFilter(acceptor)).build();
   }
 
-  /** Sets who handles the events of a connection. */
+  /** Sets the handler of a connection's events. */
   static void setHandler(NIOConnection connection, Network.ConnectionHandler handler) {
     HANDLER.set(connection, handler);
   }
--- a/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyChannel.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyChannel.java
@@ -14,9 +14,9 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** A socket under Grizzly. */
+/** A TCP connection of Grizzly. */
 final class GrizzlyChannel implements TransportChannel {
-  private static final int RESET = 0; // as SO_LINGER
+  private static final int RESET = 0; // the SO_LINGER seconds that make a close a reset
 
   private final NIOConnection connection;
 
@@ -33,7 +33,7 @@
     return socket().read(into);
   }
 
-  /** The transport's queue takes over where the socket is full. */
+  /** Grizzly's asynchronous queue takes the bytes for which the socket has no space. */
   @Override
   public void write(ByteBuffer bytes, WriteCallback callback) {
     TCPNIOTransport transport = (TCPNIOTransport) connection.getTransport();
--- a/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyDatagrams.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyDatagrams.java
@@ -11,10 +11,10 @@
 import java.nio.channels.Selector;
 import java.util.logging.Logger;
 
-/** A datagram socket on the one selector. */
+/** A datagram socket that is registered with the selector of {@link SelectorLoop}. */
 final class GrizzlyDatagrams implements Network.DatagramTransport {
   private static final Logger LOG = Logger.getLogger(GrizzlyDatagrams.class.getName());
-  private static final int MAX_PER_READ = 128; // the requests' connections wait meanwhile
+  private static final int MAX_PER_READ = 128; // datagrams; requests wait meanwhile
   private static final int RECEIVE_BUFFER_BYTES = 1 << 18;
 
   private final DatagramChannel channel;
@@ -32,7 +32,8 @@
       channel.bind(address);
     } catch (IOException e) {
       channel.close();
-      throw new IOException("datagrams at " + address + ": " + e.getMessage(), e);
+      throw new IOException(
+          "can't open the datagram socket at " + address + ": " + e.getMessage(), e);
     }
   }
 
@@ -51,7 +52,8 @@
         handler.onDatagram(sender, buffer.flip());
       }
     } catch (IOException e) {
-      LOG.fine(() -> "datagram not read: " + e); // the port of an earlier receiver was unreachable
+      LOG.fine(
+          () -> "datagram not received: " + e); // such as an ICMP error for a datagram sent earlier
     }
   }
 
@@ -65,7 +67,7 @@
     try {
       channel.send(ByteBuffer.wrap(bytes), receiver);
     } catch (IOException e) {
-      LOG.fine(() -> "datagram not sent: " + e); // as lost as any other
+      LOG.fine(() -> "datagram not sent: " + e); // the same as a loss on the way
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyNetwork.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyNetwork.java
@@ -18,7 +18,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
-/** Sockets of this machine, on one selector thread. */
+/** The network on real sockets, with one selector thread. */
 public final class GrizzlyNetwork implements Network {
   private static final int BACKLOG = 1024;
   private static final Logger LOG = Logger.getLogger(GrizzlyNetwork.class.getName());
@@ -83,7 +83,7 @@
     new OutgoingConnector(transport, callback).connectTo(address);
   }
 
-  /** Counts the connections that were accepted. */
+  /** Counts accepted connections, so that a close can tell when the backlog is empty. */
   private static final class AcceptCounter implements ConnectionAcceptor {
     private final ConnectionAcceptor acceptor;
     private int accepted;
@@ -99,7 +99,7 @@
     }
   }
 
-  /** A listening socket under Grizzly. */
+  /** A listening socket of Grizzly. */
   private static final class ServerSocket implements ListeningSocket {
     private final TCPNIOServerConnection server;
     private final AcceptCounter counter;
@@ -138,21 +138,21 @@
           acceptWaiting();
         }
       } catch (IOException e) {
-        LOG.warning("waiting connections can't be accepted before the close: " + e);
+        LOG.warning("connections in the backlog are reset, because accepting them failed: " + e);
       }
       server.closeSilently();
     }
 
     private void acceptWaiting() throws IOException {
       int before;
-      do { // each call accepts one at the most
+      do { // each call accepts at most one
         before = counter.accepted;
         server.onAccept();
       } while (before != counter.accepted);
     }
   }
 
-  /** One call to connect: its callback learns of the connection before it is up. */
+  /** Opens one connection. The callback receives the channel before it is connected. */
   private static final class OutgoingConnector extends TCPNIOConnectorHandler {
     private final ConnectCallback callback;
 
--- a/sidecar/src/main/java/dillcross/net/grizzly/SelectorLoop.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/SelectorLoop.java
@@ -11,8 +11,8 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * The event loop of the one selector thread. Ready events are gathered first: the filters note
- * them. Then, before the next select, the task acts on all of them in one go.
+ * The event loop of the one selector thread. In each iteration the filters first pass on all ready
+ * events; then, before the next select, the task acts on all of them together.
  */
 final class SelectorLoop extends DefaultSelectorHandler {
   private static final int MICROS_PER_MILLI = 1000;
@@ -26,7 +26,7 @@
     this.task = task;
   }
 
-  /** Has an iteration made now. From any thread. */
+  /** Ends the current select, so that an iteration runs now. May be called from any thread. */
   void wakeUp() {
     Selector current = selector;
     if (current != null) {
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Has a datagram socket selected too, from the next select on; Grizzly's own transport for them
-   * would bring a second thread. From any thread.
+   * Registers a datagram socket before the next select. It is read here, because Grizzly's own
+   * datagram transport would need a second thread. May be called from any thread.
    */
   void register(GrizzlyDatagrams socket) {
     toRegister.add(socket);
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Grizzly knows nothing of these keys: they are handled here and taken out. */
+  /** Reads ready datagram sockets and removes their keys, which Grizzly can't handle. */
   private void readDatagrams(Set<SelectionKey> keys) {
     if (hasDatagrams && !keys.isEmpty()) {
       keys.removeIf(SelectorLoop::readIfDatagrams);
--- a/sidecar/src/main/java/dillcross/net/grizzly/package-info.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The network on real sockets, on top of Grizzly: one selector thread for all of them. Nothing else
- * in the program knows Grizzly, but for the command line that starts it.
+ * The network on real sockets, on top of Grizzly, with one selector thread for all of them. Only
+ * this package and the command line that creates it depend on Grizzly.
  */
 package dillcross.net.grizzly;
--- a/sidecar/src/main/java/dillcross/net/package-info.java
+++ b/sidecar/src/main/java/dillcross/net/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Assembles the network code of a sidecar and runs its event loop on the one selector thread; other
- * threads hand changes over through one queue. Reads no configuration, and makes no decision about
- * requests.
+ * threads submit changes through one queue. The package reads no configuration, and makes no
+ * decisions about requests.
  */
 package dillcross.net;
