--- a/sidecar/src/test/java/dillcross/net/FakeNetwork.java
+++ b/sidecar/src/test/java/dillcross/net/FakeNetwork.java
@@ -9,16 +9,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A network whose other side is the test: each connection is a channel that it moves. */
+/**
+ * A network whose peers are played by the test: each connect adds a channel, which the test drives.
+ */
 public final class FakeNetwork implements Network {
   public final List<FakeChannel> channels = new ArrayList<>();
 
-  /** A channel whose other side is the test. */
+  /** A channel to an address; the test plays the peer. */
   public static final class FakeChannel implements TransportChannel {
-    private final StringBuilder received = new StringBuilder();
-    private final StringBuilder written = new StringBuilder();
+    private final StringBuilder received = new StringBuilder(); // has arrived and is not read yet
+    private final StringBuilder written = new StringBuilder(); // was sent and is not taken yet
     public final String address;
-    public Network.ConnectCallback callback;
+    public Network.ConnectCallback callback; // a test may set it to null once it was called
     private Network.ConnectionHandler handler;
     private boolean isOpen = true;
 
@@ -26,26 +28,30 @@
       this.address = address;
     }
 
+    /** Makes the connect succeed. */
     public void connect() {
       callback.onConnected();
     }
 
+    /** Makes the text arrive from the peer. */
     public void receive(String text) {
       received.append(text);
       handler.onReadable();
     }
 
+    /** Makes the connection fail. */
     public void fail() {
       close();
     }
 
-    /** The request that has arrived, if one has; it is taken. */
+    /** Returns what was written since the last call; empty if nothing was. */
     public String takeRequest() {
       String request = written.toString();
       written.setLength(0);
       return request;
     }
 
+    /** The number of requests that were written since {@link #takeRequest} was last called. */
     public int requests() {
       return written.toString().split("HTTP/1.1\r\n", -1).length - 1;
     }
@@ -66,22 +72,22 @@
 
     @Override
     public void setReadInterest(boolean interested) {
-      // the test reports all
+      // receive() always calls the handler
     }
 
     @Override
     public void scheduleRead() {
-      // the test reports all
+      // receive() always calls the handler
     }
 
     @Override
     public void shutdownOutput() {
-      // no test needs it
+      // no test needs the end of the output
     }
 
     @Override
     public void resetOnClose() {
-      // nothing is in transit
+      // no bytes are in transit that a reset could discard
     }
 
     @Override
@@ -134,6 +140,6 @@
   @Override
   public DatagramTransport bindDatagrams(
       InetSocketAddress address, int maxBytes, DatagramHandler handler) throws IOException {
-    throw new IOException("none here");
+    throw new IOException("datagrams are not supported");
   }
 }
--- a/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
+++ b/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
@@ -8,29 +8,40 @@
 
 class LifecycleTest {
   /**
-   * After those calls: whether it is healthy, ready, closing connections with responses, and
-   * closing idle connections 1 s and 2 s later.
+   * The state after a sequence of calls, all at one time. The last two columns tell whether idle
+   * connections are closed 1 s and 2 s after that time.
    */
   @ParameterizedTest
-  @CsvSource({
-    "'',no no no no no",
-    "ready,yes yes no no no",
-    "drain,no no no no no",
-    "drain ready,no yes yes no yes",
-    "drain resume ready,yes yes no no no",
-    "ready drain,no yes yes no yes",
-    "ready drain drain,no yes yes no yes",
-    "ready resume,yes yes no no no",
-    "ready drain resume,yes yes no no no",
-    "ready drain resume resume drain,no yes yes no yes",
-    "stop,no no yes yes yes",
-    "ready stop,no no yes yes yes",
-    "ready drain stop,no no yes yes yes",
-    "ready stop resume,no no yes yes yes",
-    "ready stop drain resume,no no yes yes yes",
-    "stop ready,no no yes yes yes"
-  })
-  void followsOneLifecycle(String calls, String expected) {
+  @CsvSource(
+      delimiter = '|',
+      useHeadersInDisplayName = true,
+      textBlock =
+          """
+          calls                           | healthy | ready | after response | idle, 1 s | idle, 2 s
+          ''                              | false   | false | false          | false     | false
+          ready                           | true    | true  | false          | false     | false
+          drain                           | false   | false | false          | false     | false
+          drain ready                     | false   | true  | true           | false     | true
+          drain resume ready              | true    | true  | false          | false     | false
+          ready drain                     | false   | true  | true           | false     | true
+          ready drain drain               | false   | true  | true           | false     | true
+          ready resume                    | true    | true  | false          | false     | false
+          ready drain resume              | true    | true  | false          | false     | false
+          ready drain resume resume drain | false   | true  | true           | false     | true
+          stop                            | false   | false | true           | true      | true
+          ready stop                      | false   | false | true           | true      | true
+          ready drain stop                | false   | false | true           | true      | true
+          ready stop resume               | false   | false | true           | true      | true
+          ready stop drain resume         | false   | false | true           | true      | true
+          stop ready                      | false   | false | true           | true      | true
+          """)
+  void reportsTheStateAfterCalls(
+      String calls,
+      boolean isHealthy,
+      boolean isReady,
+      boolean closesConnections,
+      boolean closesIdleAfterOneSecond,
+      boolean closesIdleAfterTwoSeconds) {
     Lifecycle lifecycle = new Lifecycle();
     long now = 1_000_000;
     for (String call : calls.split(" ")) {
@@ -42,26 +53,25 @@
         default -> {}
       }
     }
-    StringBuilder states = new StringBuilder();
-    for (boolean yes :
-        new boolean[] {
-          lifecycle.isHealthy(),
-          lifecycle.isReady(),
-          lifecycle.closesConnections(),
-          lifecycle.closesIdleConnections(now + 1_000_000),
-          lifecycle.closesIdleConnections(now + 2_000_000)
-        }) {
-      states.append(yes ? "yes " : "no ");
-    }
-    assertEquals(expected, states.toString().trim());
+    assertEquals(isHealthy, lifecycle.isHealthy(), "healthy");
+    assertEquals(isReady, lifecycle.isReady(), "ready");
+    assertEquals(closesConnections, lifecycle.closesConnections(), "closes after responses");
+    assertEquals(
+        closesIdleAfterOneSecond,
+        lifecycle.closesIdleConnections(now + 1_000_000),
+        "closes idle connections 1 s later");
+    assertEquals(
+        closesIdleAfterTwoSeconds,
+        lifecycle.closesIdleConnections(now + 2_000_000),
+        "closes idle connections 2 s later");
   }
 
   /**
-   * A request late in a shutdown is answered before the process may be killed, the longest deadline
-   * and 0.7 s after the shutdown began.
+   * A request that arrives late in a shutdown is answered before the process may be killed, which
+   * is the longest timeout and 0.7 s after the shutdown began.
    */
   @Test
-  void aTimeoutEndsWithTheShutdown() {
+  void limitsTimeoutsDuringShutdown() {
     Lifecycle lifecycle = new Lifecycle();
     lifecycle.markReady(0);
     assertEquals(3_000_000, lifecycle.limitTimeout(3_000_000, 3_000_000, 500));
--- a/sidecar/src/test/java/dillcross/net/buffer/RingBufferTest.java
+++ b/sidecar/src/test/java/dillcross/net/buffer/RingBufferTest.java
@@ -10,28 +10,29 @@
 
 class RingBufferTest {
   /**
-   * A response for a client that closed in the same iteration is still added to its buffer, which
-   * must not take memory again.
+   * If a client disconnects in the iteration in which its response is written, the response is
+   * added to a buffer that was released already. The buffer must not take memory from the budget
+   * then, because nothing would return it.
    */
   @Test
-  void aReleasedBufferTakesNoMemoryAgain() {
+  void takesNoMemoryAfterItsRelease() {
     MemoryBudget budget = new MemoryBudget(1 << 20);
     RingBuffer buffer = new RingBuffer(1 << 17, budget);
     assertTrue(buffer.add(new byte[50_000]));
     assertTrue(budget.taken() > 0);
     buffer.release();
     assertEquals(0, budget.taken());
-    assertFalse(buffer.add(new byte[50_000]), "there is no room in it any more");
+    assertFalse(buffer.add(new byte[50_000]), "the buffer does not grow after its release");
     RingBuffer from = new RingBuffer(1 << 17, budget);
     assertTrue(from.add(new byte[100]));
     int free = buffer.freeBytes(1 << 16);
-    buffer.moveFrom(from, Math.min(100, free)); // a streamed body still moves
+    buffer.moveFrom(from, Math.min(100, free)); // the relay of a streamed body still adds bytes
     from.release();
     assertEquals(0, budget.taken());
   }
 
   @Test
-  void anEmptiedBufferGivesItsMemoryBack() {
+  void returnsMemoryWhenItIsEmptied() {
     MemoryBudget budget = new MemoryBudget(1 << 20);
     RingBuffer buffer = new RingBuffer(1 << 17, budget);
     for (int i = 0; i < 3; i++) {
@@ -41,7 +42,10 @@
     }
   }
 
-  /** A buffer returns what was added, in whatever pieces, up to its limit. */
+  /**
+   * Bytes are added and removed in pieces of random sizes; they keep their order, and the limit
+   * holds.
+   */
   @Test
   void keepsOrderAndLimit() {
     Random random = new Random(4);
@@ -70,9 +74,11 @@
     assertFalse(buffer.add(new byte[5000]));
   }
 
-  /** A streamed body goes on with the space that its buffer has while the budget is used up. */
+  /**
+   * While the budget is used up, a streamed body goes on in the space that its buffer already has.
+   */
   @Test
-  void aStarvedBufferGoesOnOnceItIsEmptied() {
+  void acceptsBytesAgainOnceItIsEmptied() {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(0));
     assertTrue(buffer.add(new byte[1024]));
     assertFalse(buffer.add(new byte[1]));
@@ -82,9 +88,11 @@
     assertEquals(1000, buffer.freeBytes(1 << 16));
   }
 
-  /** Large messages are limited by the budget that all buffers share; small ones always fit. */
+  /**
+   * The budget that all buffers share limits large messages; messages of up to 1 KiB always fit.
+   */
   @Test
-  void buffersShareABudget() {
+  void sharesABudgetWithOtherBuffers() {
     MemoryBudget budget = new MemoryBudget(100_000);
     RingBuffer first = new RingBuffer(1 << 17, budget);
     RingBuffer second = new RingBuffer(1 << 17, budget);
@@ -92,11 +100,12 @@
     assertFalse(second.add(new byte[60_000]));
     assertTrue(second.isStarved());
     assertTrue(second.add(new byte[1000]));
-    assertFalse(second.isStarved(), "or a small request after it would be turned away");
+    assertFalse(
+        second.isStarved(), "a small request after a large one would be rejected otherwise");
     first.skip(60_000);
     assertTrue(second.add(new byte[60_000]));
     second.release();
     first.release();
-    assertTrue(budget.tryTake(100_000), "all given back");
+    assertTrue(budget.tryTake(100_000), "all memory was returned");
   }
 }
--- a/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
@@ -25,68 +25,93 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Calls to a list that fails in every way, one after another, on a clock that the test moves. */
+/**
+ * Covers the watch of the endpoint list while discovery fails, in every pair of ways. The test
+ * controls the clock.
+ */
 class DiscoveryClientTest {
   private static final long STEP_US = 20_000;
-  private static final long NOTIFIED_WITHIN_US = 6_000_000; // the protocol's
+  private static final long NOTIFIED_WITHIN_US = 6_000_000; // the protocol's deadline
   private static final String FIRST = "127.0.0.1:1";
   private static final String SECOND = "127.0.0.1:2";
 
   /**
-   * What can happen to the service; the last four take a while, and it is unreachable during three
-   * of them.
+   * What can happen to the discovery service or to the client. The events from REFUSES on last for
+   * some time. Discovery counts as unreachable during them, except during IS_SLOW.
    */
   private enum Event {
     NOTHING,
-    OPEN_CALLS_FALL_SILENT,
-    LOSES_NEXT_CALL,
-    FAILS_NEXT_CALL,
+    /** The calls that are open get no response. */
+    DROPS_OPEN_CALLS,
+    /** The next call gets no response. */
+    DROPS_NEXT_CALL,
+    /** The next call gets a 503 response. */
+    REJECTS_NEXT_CALL,
+    /** Discovery has another address from now on. */
     MOVES,
+    /** The client's process restarts. */
     RESTARTS,
+    /** Connections break, and connects fail. */
     REFUSES,
+    /** Connects do not succeed. Neither calls that are open nor later ones get a response. */
     HANGS,
-    SAYS_NO,
+    /** All calls get a 503 response. */
+    REJECTS_CALLS,
+    /** Responses are late. */
     IS_SLOW
   }
 
-  /** The service, as each connection to it sees it. */
+  /** The discovery service, which responds on the channels of the fake network. */
   private final class Service {
+    /**
+     * A watch call that has no response yet.
+     *
+     * @param since the version of the list that the client has
+     * @param atUs when the call arrived
+     * @param untilUs when the response is due even if there is no update
+     */
     private record Call(long since, long atUs, long untilUs) {}
 
     private final Map<FakeNetwork.FakeChannel, Call> calls = new HashMap<>();
-    private final List<FakeNetwork.FakeChannel> silent = new ArrayList<>();
-    private Event current = Event.NOTHING;
-    private long endsUs;
-    private long slowUs = 2_000_000;
-    private long version = 1;
-    private int lost; // of the next calls, so many get no answer
-    private int failed; // ... or a 503
-    private int maxCalls; // calls in progress at a time
-    private String only; // the address that it concerns; null where both
+    private final List<FakeNetwork.FakeChannel> unanswered =
+        new ArrayList<>(); // their calls get no response
+    private Event current = Event.NOTHING; // the event that lasts now
+    private long endsUs; // when the current event ends
+    private long slowResponseUs = 2_000_000; // the delay of responses during IS_SLOW
+    private long version = 1; // of the list; the endpoint is in service in 1, then terminating
+    private int toDrop; // the number of next calls that get no response
+    private int toReject; // the number of next calls that get a 503 response
+    private int maxOpenCalls; // the largest number of calls that were open at a time
+    private String affectedAddress; // the only address to which events apply; null for both
 
-    void begin(Event event, long forUs) {
-      lost += event == Event.LOSES_NEXT_CALL ? 1 : 0;
-      failed += event == Event.FAILS_NEXT_CALL ? 1 : 0;
-      if (event == Event.OPEN_CALLS_FALL_SILENT || event == Event.HANGS) {
-        silent.addAll(calls.keySet());
+    void begin(Event event, long durationUs) {
+      toDrop += event == Event.DROPS_NEXT_CALL ? 1 : 0;
+      toReject += event == Event.REJECTS_NEXT_CALL ? 1 : 0;
+      if (event == Event.DROPS_OPEN_CALLS || event == Event.HANGS) {
+        unanswered.addAll(calls.keySet());
       } else if (event == Event.REFUSES) {
         List.copyOf(calls.keySet()).forEach(FakeNetwork.FakeChannel::fail);
       }
       if (event.compareTo(Event.REFUSES) >= 0) {
         current = event;
-        endsUs = now + forUs;
+        endsUs = now + durationUs;
       }
     }
 
+    /** Whether the event that lasts now keeps the service from returning updates. */
     boolean isUnreachable() {
       return current != Event.NOTHING && current != Event.IS_SLOW;
     }
 
+    /** Handles the connects and calls that have arrived, and sends the responses that are due. */
     void step() {
       current = now >= endsUs ? Event.NOTHING : current;
-      Event both = current;
+      Event currentEvent = current;
       for (FakeNetwork.FakeChannel channel : List.copyOf(network.channels)) {
-        current = only == null || only.equals(channel.address) ? both : Event.NOTHING;
+        current =
+            affectedAddress == null || affectedAddress.equals(channel.address)
+                ? currentEvent
+                : Event.NOTHING;
         if (!channel.isOpen()) {
           network.channels.remove(channel);
           calls.remove(channel);
@@ -106,32 +131,33 @@
               channel,
               new Call(
                   number(request, "since="), now, now + 1000 * number(request, "timeout_ms=")));
-          if (current == Event.HANGS || (lost > 0 && !isUnreachable())) {
-            silent.add(channel);
-            lost -= current == Event.HANGS ? 0 : 1;
+          if (current == Event.HANGS || (toDrop > 0 && !isUnreachable())) {
+            unanswered.add(channel);
+            toDrop -= current == Event.HANGS ? 0 : 1;
           }
         }
-        answer(channel, calls.get(channel));
+        respond(channel, calls.get(channel));
       }
-      current = both;
-      maxCalls =
+      current = currentEvent;
+      maxOpenCalls =
           (int)
               Math.max(
-                  maxCalls,
+                  maxOpenCalls,
                   calls.keySet().stream().filter(FakeNetwork.FakeChannel::isOpen).count());
     }
 
-    private void answer(FakeNetwork.FakeChannel channel, Call call) {
-      boolean due =
+    /** Sends the response to a call if it is due; {@code call} is null if the channel has none. */
+    private void respond(FakeNetwork.FakeChannel channel, Call call) {
+      boolean isDue =
           call != null
-              && !silent.contains(channel)
-              && now >= call.atUs + (current == Event.IS_SLOW ? slowUs : STEP_US);
-      boolean fails = due && failed > 0 && !isUnreachable();
-      failed -= fails ? 1 : 0;
-      if ((due && current == Event.SAYS_NO) || fails) {
+              && !unanswered.contains(channel)
+              && now >= call.atUs + (current == Event.IS_SLOW ? slowResponseUs : STEP_US);
+      boolean isRejected = isDue && toReject > 0 && !isUnreachable();
+      toReject -= isRejected ? 1 : 0;
+      if ((isDue && current == Event.REJECTS_CALLS) || isRejected) {
         calls.remove(channel);
         channel.receive("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-      } else if (due && (call.since < version || now >= call.untilUs)) {
+      } else if (isDue && (call.since < version || now >= call.untilUs)) {
         calls.remove(channel);
         String entries =
             call.since < version
@@ -156,28 +182,34 @@
     }
   }
 
+  // Kept in a field, because a logger that is garbage collected loses its level.
   private static final java.util.logging.Logger LOG =
-      java.util.logging.Logger.getLogger(
-          DiscoveryClient.class.getName()); // held, or its level is forgotten
+      java.util.logging.Logger.getLogger(DiscoveryClient.class.getName());
 
   private final FakeNetwork network = new FakeNetwork();
-  private long now;
+  private long now; // in microseconds
   private LoadBalancer balancer;
   private RequestCoordinator coordinator;
   private DiscoveryClient discovery;
   private Service service;
 
   @BeforeAll
-  static void saysNothing() {
-    LOG.setLevel(java.util.logging.Level.OFF); // thousands of failures
+  static void switchLogOff() {
+    LOG.setLevel(java.util.logging.Level.OFF); // thousands of failures would be logged
   }
 
   @AfterAll
-  static void saysAll() {
+  static void restoreLogLevel() {
     LOG.setLevel(null);
   }
 
-  /** A process starts, with a list that has the endpoint in service. */
+  /**
+   * Starts a sidecar process with an endpoint list in which the endpoint is in service.
+   *
+   * @param seed seeds the load balancer's random numbers, such as the jitter of backoffs
+   * @param sidecars the size of the fleet, which spreads the first calls
+   * @param pushed whether discovery pushes updates, so that the list is requested at once
+   */
   private void start(long seed, int sidecars, boolean pushed) {
     balancer =
         new LoadBalancer(
@@ -205,6 +237,7 @@
     }
   }
 
+  /** Moves the clock by one step; lets the service and then the client handle what is due. */
   private void step() {
     now += STEP_US;
     service.step();
@@ -216,7 +249,7 @@
     }
   }
 
-  private void play(Event event, long forUs, long seed, int sidecars, boolean pushed) {
+  private void apply(Event event, long durationUs, long seed, int sidecars, boolean pushed) {
     if (event == Event.MOVES) {
       discovery.moveTo(SECOND);
       coordinator.onDiscoveryMoved(now);
@@ -224,49 +257,57 @@
       List.copyOf(network.channels).forEach(FakeNetwork.FakeChannel::close);
       start(seed + 1, sidecars, pushed);
     } else {
-      service.begin(event, forUs);
+      service.begin(event, durationUs);
     }
   }
 
   /**
-   * The longest time over every pair of events from when the service has an update and is reachable
-   * until the client has it.
+   * Applies every pair of events, and returns the longest delay of an update: the time from when
+   * discovery has the update and is reachable until the client has applied it.
    */
   private long worstDelayUs(int sidecars, boolean pushed) {
     long worst = 0;
     long seed = 0;
     for (Event first : Event.values()) {
       for (Event second : Event.values()) {
-        for (long lastsUs : new long[] {700_000, 3_100_000, 9_300_000}) {
-          for (long apartUs :
+        for (long durationUs : new long[] {700_000, 3_100_000, 9_300_000}) {
+          for (long intervalUs :
               new long[] {
                 0,
                 1_000_000,
                 2_500_000,
                 4_000_000,
-                lastsUs - 700_000,
-                lastsUs,
-                lastsUs + 1_000_000,
-                lastsUs + 2_000_000
+                durationUs - 700_000,
+                durationUs,
+                durationUs + 1_000_000,
+                durationUs + 2_000_000
               }) {
-            for (long changeUs : new long[] {0, 1_100_000}) {
-              long took =
-                  playPair(++seed, sidecars, pushed, first, second, apartUs, lastsUs, changeUs);
+            for (long updateDelayUs : new long[] {0, 1_100_000}) {
+              long delayUs =
+                  applyPair(
+                      ++seed,
+                      sidecars,
+                      pushed,
+                      first,
+                      second,
+                      intervalUs,
+                      durationUs,
+                      updateDelayUs);
               assertTrue(
-                  took <= NOTIFIED_WITHIN_US,
+                  delayUs <= NOTIFIED_WITHIN_US,
                   first
                       + ", "
-                      + apartUs
+                      + intervalUs
                       + " us later "
                       + second
                       + ", each for "
-                      + lastsUs
-                      + " us, news "
-                      + changeUs
-                      + " us later: had "
-                      + took
-                      + " us late");
-              worst = Math.max(worst, took);
+                      + durationUs
+                      + " us, update "
+                      + updateDelayUs
+                      + " us later: applied after "
+                      + delayUs
+                      + " us");
+              worst = Math.max(worst, delayUs);
             }
           }
         }
@@ -275,82 +316,90 @@
     return worst;
   }
 
-  private long playPair(
+  /**
+   * Applies two events, the second {@code intervalUs} after the first, and publishes an update
+   * {@code updateDelayUs} after the second. Returns the delay of the update; gives up after 30 s if
+   * it is not applied.
+   */
+  private long applyPair(
       long seed,
       int sidecars,
       boolean pushed,
       Event first,
       Event second,
-      long apartUs,
-      long lastsUs,
-      long changeUs) {
+      long intervalUs,
+      long durationUs,
+      long updateDelayUs) {
     network.channels.clear();
     service = new Service();
     now = 1_000_000_000;
     start(seed, sidecars, pushed);
     long firstUs = now + 3_000_000 + seed % 100 * STEP_US;
-    long changedUs = firstUs + apartUs + changeUs;
-    long from = changedUs;
-    boolean begun = false;
-    boolean followed = false;
+    long updateUs = firstUs + intervalUs + updateDelayUs;
+    long reachableSinceUs = updateUs;
+    boolean isFirstApplied = false;
+    boolean isSecondApplied = false;
     while (balancer.isListed("a")) {
-      if (!begun && now >= firstUs) {
-        begun = true;
-        play(first, lastsUs, seed, sidecars, pushed);
+      if (!isFirstApplied && now >= firstUs) {
+        isFirstApplied = true;
+        apply(first, durationUs, seed, sidecars, pushed);
       }
-      if (!followed && now >= firstUs + apartUs) {
-        followed = true;
-        play(second, lastsUs, seed, sidecars, pushed);
+      if (!isSecondApplied && now >= firstUs + intervalUs) {
+        isSecondApplied = true;
+        apply(second, durationUs, seed, sidecars, pushed);
       }
-      service.version = now >= changedUs ? 2 : 1;
+      service.version = now >= updateUs ? 2 : 1;
       step();
-      from = service.isUnreachable() ? Math.max(from, now) : from;
-      if (now > changedUs + 30_000_000) {
-        return now - from;
+      reachableSinceUs =
+          service.isUnreachable() ? Math.max(reachableSinceUs, now) : reachableSinceUs;
+      if (now > updateUs + 30_000_000) {
+        return now - reachableSinceUs;
       }
     }
     assertTrue(
-        service.maxCalls <= 3,
-        "two calls at a time and one where it was before, and not " + service.maxCalls);
-    return now - from;
+        service.maxOpenCalls <= 3,
+        "at most two calls, and one to the former address: " + service.maxOpenCalls);
+    return now - reachableSinceUs;
   }
 
   /**
-   * Whatever became of earlier calls, an update arrives within six seconds after the service has it
-   * and is reachable, in fleets of every size.
+   * An update arrives within the protocol's 6 s after discovery has it and is reachable, whatever
+   * the outcome of earlier calls, in fleets of every size. The worst delay exceeds 2 s in this
+   * test, because a watch that gets no response fails only after that; a smaller one would mean
+   * that the test does not cover the slow cases.
    */
   @ParameterizedTest
   @CsvSource({"5,false", "100,false", "1000,false", "5,true", "100,true", "1000,true"})
-  void updatesArriveBeforeTheyCountAsNotified(int sidecars, boolean pushed) {
+  void receivesUpdatesWithinTheDeadlineDespiteFailures(int sidecars, boolean pushed) {
     long worst = worstDelayUs(sidecars, pushed);
-    assertTrue(worst > 2_000_000, "a watch that falls silent is not noticed sooner: " + worst);
+    assertTrue(worst > 2_000_000, "a watch without a response fails only after that: " + worst);
   }
 
   /**
-   * Discovery moves, and the new address does not answer yet, for whatever reason: updates from the
-   * former address are applied until it does.
+   * Discovery moves, and the new address does not respond at first. Updates from the former address
+   * are applied until it does; then only the connection to the new address stays open.
    */
   @ParameterizedTest
   @EnumSource(
       value = Event.class,
-      names = {"REFUSES", "HANGS", "SAYS_NO", "IS_SLOW"})
-  void theFormerAddressCountsUntilTheNewOneAnswers(Event event) {
+      names = {"REFUSES", "HANGS", "REJECTS_CALLS", "IS_SLOW"})
+  void appliesUpdatesFromTheFormerAddressUntilTheNewOneResponds(Event event) {
     service = new Service();
     now = 1_000_000_000;
     start(1, 100, false);
     while (!coordinator.hasReceivedWatchEvent()) {
       step();
     }
-    service.only = SECOND;
+    service.affectedAddress = SECOND;
     service.begin(event, 8_000_000);
-    play(Event.MOVES, 0, 1, 100, false);
+    apply(Event.MOVES, 0, 1, 100, false);
     for (long untilUs = now + 1_900_000; now < untilUs; ) {
       step();
     }
     service.version = 2;
     step();
     step();
-    assertFalse(balancer.isListed("a"), "its watch was open");
+    assertFalse(balancer.isListed("a"), "the watch at the former address was open");
     for (long untilUs = now + 12_000_000; now < untilUs; ) {
       step();
     }
@@ -358,28 +407,31 @@
         List.of(SECOND),
         network.channels.stream()
             .filter(FakeNetwork.FakeChannel::isOpen)
-            .map(l -> l.address)
+            .map(channel -> channel.address)
             .toList(),
-        "once it has answered");
+        "addresses of open connections");
   }
 
-  /** A late response is applied even if the next call has begun, which is then closed. */
+  /**
+   * A response that is late is applied although the next call has begun. The connection of that
+   * call is closed then.
+   */
   @Test
-  void aSlowResponseIsTaken() {
+  void appliesALateResponse() {
     network.channels.clear();
     service = new Service();
     now = 1_000_000_000;
     start(1, 1, true);
-    service.slowUs = 4_000_000; // longer than a call has before the next
+    service.slowResponseUs = 4_000_000; // the next call begins earlier
     service.begin(Event.IS_SLOW, 60_000_000);
     while (!coordinator.hasReceivedWatchEvent() && now < 1_030_000_000) {
       step();
     }
     assertEquals(
         0,
-        (now - 1_000_000_000 - service.slowUs) / 200_000,
-        "with the first answer, " + (now - 1_000_000_000));
-    assertTrue(service.maxCalls > 1, "another was out");
+        (now - 1_000_000_000 - service.slowResponseUs) / 200_000,
+        "applied with the first response, after " + (now - 1_000_000_000) + " us");
+    assertTrue(service.maxOpenCalls > 1, "the next call had begun");
     step();
     assertEquals(1, network.channels.stream().filter(FakeNetwork.FakeChannel::isOpen).count());
   }
--- a/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
+++ b/sidecar/src/test/java/dillcross/net/endpoint/AttemptExecutorTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Connections to endpoints between two channels: a clock and a wire that the test moves, so that
- * each crossing is exact.
+ * Covers what an attempt does when other events happen at the same time. The test controls the
+ * clock and the network, so that the order of events is exact.
  */
 class AttemptExecutorTest {
   private static final String OK = "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok";
@@ -36,7 +36,7 @@
   private final FakeNetwork network = new FakeNetwork();
   private final List<FakeNetwork.FakeChannel> channels = network.channels;
   private long now = 1_000_000;
-  private long lastRequest; // request
+  private long lastRequestId;
   private final RequestCoordinator coordinator =
       new RequestCoordinator(
           new LoadBalancer(
@@ -59,10 +59,12 @@
           1 << 20,
           new MemoryBudget(1 << 20),
           this::readPending);
-  private final List<NetworkCommand> answers = new ArrayList<>();
-  private final List<Object> checkedClients =
-      new ArrayList<>(); // whose ends were looked for before a request went out
-  private Runnable meanwhile = () -> {}; // what arrives after the events were gathered
+  // The commands of the coordinator that are not for the executor.
+  private final List<NetworkCommand> otherCommands = new ArrayList<>();
+  // The clients whose input was read before an attempt was sent, in order.
+  private final List<Object> checkedClients = new ArrayList<>();
+  // An event that arrives while the iteration runs: it is found when pending input is read.
+  private Runnable pendingEvent = () -> {};
 
   AttemptExecutorTest() {
     executor.configure(1_000_000, 10_000_000);
@@ -85,7 +87,7 @@
 
   private void readPending(Object client) {
     checkedClients.add(client);
-    meanwhile.run();
+    pendingEvent.run();
   }
 
   private static RequestClass requestClass(String name, Idempotency idempotency) {
@@ -96,16 +98,16 @@
     return new InboundRequest(HttpRequest.get("/" + requestClass, Map.of("host", "a")), null);
   }
 
-  private void arrive(String requestClass) {
-    lastRequest =
+  private void receiveRequest(String requestClass) {
+    lastRequestId =
         coordinator.onRequest(
             now,
             new IncomingRequest(
                 "client", request(requestClass), null, requestClass, 5_000_000, false, false));
-    iterate();
+    runIteration();
   }
 
-  private void iterate() {
+  private void runIteration() {
     do {
       for (NetworkCommand command; (command = coordinator.next(now)) != null; ) {
         if (command instanceof NetworkCommand.SendAttempt attempt) {
@@ -113,47 +115,54 @@
         } else if (command instanceof NetworkCommand.AbandonAttempt abandon) {
           executor.abandon(abandon);
         } else {
-          answers.add(command);
+          otherCommands.add(command);
         }
       }
     } while (executor.sendConnected());
   }
 
-  private void pass(long us) {
+  private void advanceClock(long us) {
     now += us;
-    iterate();
+    runIteration();
   }
 
   /**
-   * A second, unsolicited response may come milliseconds after the first: no request is sent on the
-   * connection before it would have come.
+   * An endpoint may send a second, unsolicited response some milliseconds after the first. No
+   * request is sent on the connection in that time, because the second response would be taken for
+   * its response.
    */
   @Test
-  void aConnectionIsQuarantinedAfterAResponse() {
-    arrive("read");
+  void doesNotReuseAConnectionRightAfterAResponse() {
+    receiveRequest("read");
     channels.get(0).connect();
-    iterate();
+    runIteration();
     channels.get(0).receive(OK);
-    iterate();
-    pass(4_000);
-    arrive("read");
-    assertEquals(2, channels.size(), "no request goes where a late answer may still come");
+    runIteration();
+    advanceClock(4_000);
+    receiveRequest("read");
+    assertEquals(
+        2,
+        channels.size(),
+        "a new connection, because a late response may still arrive on the first");
     channels.get(0).receive(OK);
-    assertFalse(channels.get(0).isOpen(), "its response belongs to no request");
+    assertFalse(channels.get(0).isOpen(), "closed by a response that belongs to no request");
     channels.get(1).connect();
-    iterate();
+    runIteration();
     channels.get(1).receive(OK);
-    iterate();
-    pass(10_000);
-    arrive("read");
-    assertEquals(2, channels.size(), "one that has rested is used again");
+    runIteration();
+    advanceClock(10_000);
+    receiveRequest("read");
+    assertEquals(2, channels.size(), "the second connection is reused after its quarantine");
     assertEquals(2, channels.get(1).requests());
   }
 
-  /** All events of an iteration count before anything is sent, also those after the connect. */
+  /**
+   * The endpoint starts to drain in the iteration in which the connection to it is established, and
+   * the update is handled after the connect: the attempt is not sent.
+   */
   @Test
-  void nothingIsSentBeforeAllEventsAreHandled() {
-    arrive("read");
+  void handlesAllEventsBeforeItSends() {
+    receiveRequest("read");
     channels.get(0).connect();
     coordinator.onEndpointList(
         now,
@@ -163,26 +172,26 @@
             new EndpointEntry(
                 new Endpoint("a", Endpoint.Health.DRAINING, 0, 1, "east", 1), "127.0.0.1:1")),
         false);
-    iterate();
+    runIteration();
     assertEquals(0, channels.get(0).requests());
   }
 
   /**
-   * An iteration of a starved process takes long: what arrived meanwhile counts before the first
-   * byte, on an idle connection as on a new one.
+   * An iteration takes long in a process that gets little CPU time. Events that arrive during it
+   * apply before the first byte is sent, also on an idle connection, which needs no connect.
    */
   @ParameterizedTest
-  @EnumSource(Meanwhile.class)
-  void nothingIsSentBeforeWhatArrivedMeanwhileIsRead(Meanwhile what) {
-    arrive("read");
+  @EnumSource(PendingEvent.class)
+  void readsPendingInputBeforeItSends(PendingEvent event) {
+    receiveRequest("read");
     channels.get(0).connect();
-    iterate();
+    runIteration();
     channels.get(0).receive(OK);
-    pass(10_000);
+    advanceClock(10_000);
     assertEquals(1, channels.get(0).requests());
-    meanwhile =
+    pendingEvent =
         () -> {
-          if (what == Meanwhile.DRAINS) {
+          if (event == PendingEvent.ENDPOINT_DRAINS) {
             coordinator.onEndpointList(
                 now,
                 2,
@@ -193,67 +202,68 @@
                         "127.0.0.1:1")),
                 false);
           } else {
-            coordinator.onClientDisconnected(now, lastRequest);
+            coordinator.onClientDisconnected(now, lastRequestId);
           }
-          meanwhile = () -> {};
+          pendingEvent = () -> {};
         };
-    arrive("read");
+    receiveRequest("read");
     assertEquals(List.of("client", "client"), checkedClients);
-    assertEquals(1, channels.get(0).requests(), "on the connection that was free");
+    assertEquals(1, channels.get(0).requests(), "no second request on the idle connection");
     assertEquals(0, executor.inFlight());
   }
 
-  private enum Meanwhile {
-    DRAINS,
-    DISCONNECTS
+  private enum PendingEvent {
+    ENDPOINT_DRAINS,
+    CLIENT_DISCONNECTS
   }
 
   /**
-   * The connection breaks, or brings a response, before the request was sent: the request never
-   * ran, so even a non-idempotent one is retried.
+   * The connection breaks, or a response arrives on it, before the request was sent. The request
+   * did not run, so even a non-idempotent one is retried.
    */
   @ParameterizedTest
-  @EnumSource(Early.class)
-  void anAttemptThatWasNotHandedOverNeverRan(Early early) {
+  @EnumSource(EarlyEvent.class)
+  void retriesAnAttemptThatWasNotSent(EarlyEvent event) {
     listEndpoints("b");
-    arrive("once");
+    receiveRequest("once");
     channels.get(0).connect();
-    if (early == Early.BREAKS) {
+    if (event == EarlyEvent.CONNECTION_BREAKS) {
       channels.get(0).fail();
     } else {
       channels.get(0).receive(OK);
     }
-    iterate();
+    runIteration();
     assertEquals(0, channels.get(0).requests());
     assertTrue(
-        answers.stream()
+        otherCommands.stream()
             .noneMatch(
                 o ->
                     o instanceof NetworkCommand.ForwardResponse
                         || o instanceof NetworkCommand.FailRequest),
-        "" + answers);
-    assertEquals(2, channels.size(), "another endpoint is asked");
+        "" + otherCommands);
+    assertEquals(2, channels.size(), "the retry goes to another endpoint");
   }
 
-  private enum Early {
-    BREAKS,
-    SPEAKS
+  private enum EarlyEvent {
+    CONNECTION_BREAKS,
+    RESPONSE_ARRIVES
   }
 
   /**
-   * An iteration that failed after the coordinator started an attempt: its end is reported once it
-   * is abandoned.
+   * An iteration fails after the coordinator has started an attempt and before the executor has
+   * learned of it. The coordinator abandons the attempt later, and the executor reports its end;
+   * the coordinator would otherwise keep the request forever.
    */
   @Test
-  void anUnknownAttemptEndsWhenItIsAbandoned() {
+  void reportsTheEndOfAnUnknownAttemptThatIsAbandoned() {
     coordinator.onRequest(
         now, new IncomingRequest("client", request("read"), null, "read", 5_000_000, false, false));
     while (!(coordinator.next(now) instanceof NetworkCommand.SendAttempt)) {
-      // and that command is lost
+      // the command that starts the attempt is not carried out
     }
-    pass(5_000_000);
-    pass(50_000);
-    assertEquals(0, coordinator.trackedRequests(), "nothing is kept of it");
-    assertEquals(1, answers.size(), "" + answers);
+    advanceClock(5_000_000);
+    advanceClock(50_000);
+    assertEquals(0, coordinator.trackedRequests(), "the request is not tracked any more");
+    assertEquals(1, otherCommands.size(), "" + otherCommands);
   }
 }
--- a/sidecar/src/test/java/dillcross/net/http/HttpMessageParserTest.java
+++ b/sidecar/src/test/java/dillcross/net/http/HttpMessageParserTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Covers the parser's results for valid and malformed messages, however their bytes arrive. */
 class HttpMessageParserTest {
+  /** The bytes of a message that is written with {@code |} for each line end. */
   private static byte[] bytes(String text) {
     return text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1);
   }
@@ -24,6 +26,7 @@
     return new HttpMessageParser(requests, HttpMessageParser.MAX_BUFFERED_BODY_BYTES, 1 << 20);
   }
 
+  /** Parses a text that arrives all at once; null if it contains no message. */
   private static HttpMessage read(HttpMessageParser parser, String text, boolean ended) {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
     assertTrue(buffer.add(bytes(text)));
@@ -39,8 +42,12 @@
   }
 
   /**
-   * What a parser reads from these bytes, in pieces of at most so many: first lines, bodies,
-   * faults.
+   * Parses bytes that arrive in pieces, and describes the messages: the start and body of each,
+   * then "whole" if the body was streamed to its end, and a fault. 500 bytes {@code a} are written
+   * as {@code #}.
+   *
+   * @param piece the size of the pieces; the largest size if there is a random generator
+   * @param random draws the sizes of the pieces; null if all have the same size
    */
   private static String readAll(boolean requests, byte[] all, int piece, Random random) {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
@@ -85,8 +92,9 @@
   }
 
   /**
-   * All forms of a message, each at once, byte by byte and cut at random places, with the same
-   * result.
+   * Parses each form of a message at once, byte by byte, and in pieces of random sizes, with the
+   * same result. LARGE stands for a body of 70,000 bytes, which is streamed, and CHUNKS for the
+   * same body in chunks, without the last chunk.
    */
   @ParameterizedTest
   @CsvSource(
@@ -114,7 +122,7 @@
         "HTTP/1.1 200|Transfer-Encoding: chunked||CHUNKSzz|!HTTP/1.1 200 LARGE fault 400",
         "HTTP/1.1 304 No|Content-Length: 5||HTTP/1.1 200|Content-Length: 1||x!HTTP/1.1 304 HTTP/1.1 200 x"
       })
-  void everyFormIsReadTheSameInAnyPieces(String text, String expected) {
+  void parsesEachFormTheSameInAnyPieces(String text, String expected) {
     String chunks = "4e20;x=y|" + "a".repeat(20_000) + "|1|a|" + "C34F|" + "a".repeat(49_999) + "|";
     byte[] all = bytes(text.replace("LARGE", "a".repeat(70_000)).replace("CHUNKS", chunks));
     String want = expected.trim().replace("LARGE", "#".repeat(140));
@@ -127,6 +135,7 @@
     }
   }
 
+  /** The status is that of the fault; 0 if the text may be the start of a valid request. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '!',
@@ -154,19 +163,20 @@
         "POST /x HTTP/1.1|Host: a|Transfer-Encoding: chunked||1|abc!400",
         "POST /x HTTP/1.0|Transfer-Encoding: chunked||!400"
       })
-  void badRequestsAreFaults(String text, int status) {
+  void reportsFaultsOfRequests(String text, int status) {
     HttpMessageParser parser = parser(true);
     assertNull(read(parser, text, false));
     assertEquals(status, parser.fault());
   }
 
   @Test
-  void aHeadWithoutAnEndIsAFault() {
+  void reportsAHeadThatIsTooLarge() {
     HttpMessageParser parser = parser(true);
     assertNull(read(parser, "GET /x HTTP/1.1|a: " + "b".repeat(17_000), false));
     assertEquals(431, parser.fault());
   }
 
+  /** Returns a response only if all of it has arrived; - stands for none. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '!',
@@ -183,14 +193,16 @@
         "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|0||!false!a",
         "HTTP/1.1 200|Transfer-Encoding: chunked||1|a|!true!-"
       })
-  void responsesAreCompleteOrNone(String text, boolean ended, String body) {
-    HttpMessage answer = read(parser(false), text, ended);
-    assertEquals(body, answer == null ? "-" : new String(answer.body(), StandardCharsets.US_ASCII));
+  void returnsOnlyCompleteResponses(String text, boolean ended, String body) {
+    HttpMessage response = read(parser(false), text, ended);
+    assertEquals(
+        body, response == null ? "-" : new String(response.body(), StandardCharsets.US_ASCII));
   }
 
   /**
-   * A malformed response is a fault at once and not at the deadline, whether or not its end ever
-   * comes.
+   * A malformed response is a fault as soon as it is recognized, even if its end never arrives; the
+   * attempt would wait until its deadline otherwise. The status is 0 if the response may become
+   * valid. Nine interim responses in a row are no fault, but an endless row of them is.
    */
   @ParameterizedTest
   @CsvSource(
@@ -211,14 +223,14 @@
         "HTTP/1.1!0",
         "||HTTP/1.1 2!0"
       })
-  void malformedResponsesAreFaultsAtOnce(String text, int status) {
+  void reportsFaultsOfResponsesAtOnce(String text, int status) {
     HttpMessageParser parser = parser(false);
     assertNull(read(parser, text, false));
     assertEquals(status, parser.fault());
     assertNull(read(parser(false), "HTTP/1.1 100 Go on||".repeat(9), false));
-    HttpMessageParser without = parser(false);
-    assertNull(read(without, "HTTP/1.1 100 Go on||".repeat(99), false));
-    assertEquals(431, without.fault(), "interim answers without end");
+    HttpMessageParser endless = parser(false);
+    assertNull(read(endless, "HTTP/1.1 100 Go on||".repeat(99), false));
+    assertEquals(431, endless.fault(), "too many interim responses");
   }
 
   @ParameterizedTest
@@ -230,12 +242,12 @@
         "GET /x HTTP/1.0||!false",
         "GET /x HTTP/1.0|Connection: keep-alive||!true"
       })
-  void connectionsAreKeptAsAsked(String text, boolean kept) {
+  void keepsConnectionsAliveAsTheSenderAsks(String text, boolean kept) {
     assertEquals(kept, read(parser(true), text, false).keepsAlive());
   }
 
   @Test
-  void expectContinueIsReportedOnce() {
+  void reportsExpectContinueOnce() {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
     HttpMessageParser parser = parser(true);
     buffer.add(bytes("POST /x HTTP/1.1|Host: a|Expect: 100-continue|Content-Length: 2||"));
@@ -247,19 +259,22 @@
   }
 
   @Test
-  void hopByHopFieldsAreNotForwarded() {
-    HttpMessage m =
+  void doesNotForwardHopByHopFields() {
+    HttpMessage request =
         read(
             parser(true),
             "GET /x HTTP/1.1|Host: a|Connection: x-mine|X-Mine: 1|Keep-Alive: 5|X-Other: 2||",
             false);
-    assertEquals("{host=a, x-other=2}", m.forwardedFields().toString());
+    assertEquals("{host=a, x-other=2}", request.forwardedFields().toString());
   }
 
-  /** Any input, in any pieces, is a message, a fault or incomplete, and never an exception. */
+  /**
+   * Input with random errors, in two pieces, is a message, a fault or incomplete, but never causes
+   * an exception.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void garbageIsAFaultAndNoMore(boolean requests) {
+  void neverThrowsForMalformedInput(boolean requests) {
     String[] seeds = {
       "POST /buy HTTP/1.1|Host: a|Content-Length: 5||hello",
       "GET /x?y HTTP/1.1|Host: a|Expect: 100-continue||",
@@ -286,7 +301,10 @@
     }
   }
 
-  /** A client's timeout starts at its last byte, even while that waits in the buffer. */
+  /**
+   * The arrival of a large body's last byte is known while that byte waits in the buffer, because
+   * the request's timeout starts then. It is not known in advance for a chunked body.
+   */
   @ParameterizedTest
   @CsvSource({
     "100, true, false",
@@ -295,12 +313,12 @@
     "100, false, false",
     "70000, false, false"
   })
-  void theLastByteOfALargeBodyIsKnownToHaveArrived(int arrived, boolean measured, boolean known) {
+  void knowsWhenTheLastByteHasArrived(int arrived, boolean hasLength, boolean isKnown) {
     RingBuffer buffer = new RingBuffer(1 << 17, new MemoryBudget(1 << 20));
     HttpMessageParser parser = new HttpMessageParser(true, 1 << 10, 1 << 20);
     String head =
         "POST /b HTTP/1.1\r\nHost: a\r\n"
-            + (measured
+            + (hasLength
                 ? "Content-Length: 70000\r\n\r\n"
                 : "Transfer-Encoding: chunked\r\n\r\n11170\r\n");
     buffer.add(head.getBytes(StandardCharsets.US_ASCII));
@@ -308,6 +326,6 @@
     HttpMessage message = parser.parse(buffer, false).orElse(null);
     assertEquals(arrived > 1024, message != null && message.isStreaming());
     buffer.add(new byte[arrived - Math.min(arrived, 2000)]);
-    assertEquals(known, parser.hasRestArrived(buffer));
+    assertEquals(isKnown, parser.hasRestArrived(buffer));
   }
 }
