--- a/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
@@ -120,12 +120,12 @@
         Simulation.Result day = days.get(i).get();
         digest.update(day.digest().getBytes(StandardCharsets.US_ASCII));
         played++;
-        violations += day.broken();
+        violations += day.violationCount();
         if (!day.clean()) {
           say.println(
               cases.get(i).name()
                   + "  violations "
-                  + day.broken()
+                  + day.violationCount()
                   + "  "
                   + day.violations().get(0).toString().strip());
           replay(file, cases.get(i), say);
--- a/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -79,7 +79,7 @@
               ? OutputStream.nullOutputStream()
               : new BufferedOutputStream(Files.newOutputStream(trace))) {
         day =
-            Simulation.play(
+            Simulation.run(
                 scenario, seed, FaultInjector.draw(scenario, RandomStream.of(seed)), lines, null);
       } catch (IOException e) {
         System.err.println("dillcross: the trace can't be written: " + e);
@@ -125,7 +125,7 @@
                           "seed "
                               + day.seed()
                               + "  violations "
-                              + day.broken()
+                              + day.violationCount()
                               + "  "
                               + day.violations().get(0).toString().strip());
                     }
@@ -328,7 +328,7 @@
         day.seed(),
         day.simulatedUs() / 1e6,
         day.steps(),
-        day.turns(),
+        day.iterations(),
         scenario.sidecars().count());
     for (Drawn drawn : day.faults()) {
       out.printf(
@@ -347,8 +347,8 @@
         day.inTime(),
         day.rejected(),
         day.failed(),
-        day.left(),
-        day.notTaken(),
+        day.excused(),
+        day.notAccepted(),
         day.retries(),
         day.attempts(),
         day.restarts());
@@ -358,6 +358,6 @@
         day.earnedValue() / Math.max(1e-9, day.possibleValue()));
     day.violations().forEach(out::println);
     out.println(day.digest());
-    out.println("violations " + day.broken());
+    out.println("violations " + day.violationCount());
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -13,7 +13,7 @@
  * @param requestClasses the request classes, at least one
  * @param clients the clients of each sidecar
  * @param endpoints the endpoints
- * @param list the discovery service
+ * @param discovery the discovery service
  * @param network delays of the network
  * @param rules tolerances of the oracle
  * @param faults the faults, in the order of the file
@@ -26,7 +26,7 @@
     List<RequestClass> requestClasses,
     ClientSettings clients,
     EndpointSettings endpoints,
-    DiscoverySettings list,
+    DiscoverySettings discovery,
     NetworkSettings network,
     Rules rules,
     List<Fault> faults) {
@@ -36,7 +36,7 @@
    *
    * @param count number of sidecars
    * @param zones names of the zones
-   * @param turnUs duration of an event loop iteration in µs
+   * @param iterationUs duration of an event loop iteration in µs
    * @param startMs start-up time in milliseconds
    * @param descriptors limit on file descriptors
    * @param memoryMb memory limit in MiB
@@ -45,7 +45,7 @@
   public record SidecarGroup(
       int count,
       List<String> zones,
-      long turnUs,
+      long iterationUs,
       Range startMs,
       int descriptors,
       int memoryMb,
--- a/emulator/src/main/java/dillcross/emulator/search/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Crossings.java
@@ -58,7 +58,7 @@
         new LinkedHashMap<>(); // by request, where its first attempt went
     MOMENTS.forEach(m -> moments.put(m, new ArrayList<>()));
     List<Object[]> events = new ArrayList<>();
-    Simulation.play(
+    Simulation.run(
         scenario,
         seed,
         List.of(),
@@ -149,7 +149,7 @@
     long atUs = at.atUs;
     for (int i = 0; i < events.size(); i++) {
       if (i > 0) {
-        long turnUs = scenario.sidecars().turnUs();
+        long turnUs = scenario.sidecars().iterationUs();
         atUs +=
             switch (aparts.get(i - 1)) {
               case SAME -> 0;
@@ -200,6 +200,6 @@
 
   /** Plays it. */
   public Simulation.Result play(Case of) {
-    return Simulation.play(scenario, of.seed, of.faults, OutputStream.nullOutputStream(), null);
+    return Simulation.run(scenario, of.seed, of.faults, OutputStream.nullOutputStream(), null);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/search/Explain.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Explain.java
@@ -53,7 +53,7 @@
   public static List<String> of(Scenario scenario, long seed, String request) {
     List<Event> events = new ArrayList<>();
     Simulation.Result day =
-        Simulation.play(
+        Simulation.run(
             scenario,
             seed,
             FaultInjector.draw(scenario, RandomStream.of(seed)),
--- a/emulator/src/main/java/dillcross/emulator/search/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Shrink.java
@@ -41,7 +41,7 @@
 
   /** Null where the day breaks no rule. */
   public static Result of(Scenario scenario, long seed, Consumer<String> progress) {
-    Simulation.Result first = Simulation.play(scenario, seed);
+    Simulation.Result first = Simulation.run(scenario, seed);
     if (first.clean()) {
       return null;
     }
@@ -62,7 +62,7 @@
         s.requestClasses(),
         s.clients(),
         s.endpoints(),
-        s.list(),
+        s.discovery(),
         s.network(),
         s.rules(),
         s.faults());
@@ -86,7 +86,7 @@
   }
 
   private boolean fails(Scenario of, long with, List<Drawn> faults) {
-    return Simulation.play(of, with, faults, OutputStream.nullOutputStream(), null)
+    return Simulation.run(of, with, faults, OutputStream.nullOutputStream(), null)
         .violations()
         .stream()
         .anyMatch(v -> v.rule() == rule);
--- a/emulator/src/main/java/dillcross/emulator/search/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Sweep.java
@@ -67,7 +67,7 @@
                           () -> {
                             ahead.acquire();
                             for (long s; (s = seed.getAndIncrement()) <= to; ) {
-                              ahead.release(done(Simulation.play(scenario, s)));
+                              ahead.release(done(Simulation.run(scenario, s)));
                               ahead.acquire();
                             }
                             ahead.release(1); // what it holds goes to those that still play
@@ -100,10 +100,10 @@
     for (Simulation.Result one; (one = early.remove(next)) != null; next++, reported++) {
       digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
       seeds++;
-      broken += one.broken();
+      broken += one.violationCount();
       steps += one.steps();
       requests += one.requests();
-      turns += one.turns();
+      turns += one.iterations();
       simulatedUs += one.simulatedUs();
       each.accept(one);
     }
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -111,7 +111,7 @@
     }
     isNotificationScheduled = true;
     context.after(
-        TimeUnits.toMicros(context.scenario().list().tellMs()),
+        TimeUnits.toMicros(context.scenario().discovery().tellMs()),
         () -> {
           isNotificationScheduled = false;
           List.copyOf(watches).forEach(DiscoveryCall::answerIfChanged);
@@ -183,7 +183,7 @@
   double drawDelayMs(VirtualMachine caller) {
     int callNumber = callCounts.merge(caller.toString(), 1, Integer::sum);
     RandomStream draws = random.named(caller + " " + callNumber);
-    return context.scenario().list().delayMs().draw(draws) + extraDelayMs;
+    return context.scenario().discovery().delayMs().draw(draws) + extraDelayMs;
   }
 
   boolean isOpen(DiscoveryCall call) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -137,7 +137,12 @@
     context.oracle().processStarted(processName());
     network =
         new EmulatedNetwork(
-            context.clock(), context.network(), host, ip, group.turnUs(), this::onIterationEnd);
+            context.clock(),
+            context.network(),
+            host,
+            ip,
+            group.iterationUs(),
+            this::onIterationEnd);
     server =
         new SidecarServer(
             network,
--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -46,18 +46,18 @@
       long seed,
       List<Drawn> faults,
       List<Violation> violations,
-      long broken,
+      long violationCount,
       String digest,
       long steps,
-      long turns,
+      long iterations,
       long simulatedUs,
       long requests,
       long succeeded,
       long inTime,
       long rejected,
       long failed,
-      long left,
-      long notTaken,
+      long excused,
+      long notAccepted,
       long retries,
       long attempts,
       double earnedValue,
@@ -65,7 +65,7 @@
       int restarts) {
     /** Whether no rule was broken. */
     public boolean clean() {
-      return broken == 0;
+      return violationCount == 0;
     }
   }
 
@@ -114,28 +114,28 @@
         Math.round(settings.jitterUs()));
   }
 
-  /** Plays a run with the faults that its seed draws. */
-  public static Result play(Scenario scenario, long seed) {
+  /** Runs the scenario with the faults drawn from the seed. */
+  public static Result run(Scenario scenario, long seed) {
     List<Drawn> drawn = FaultInjector.draw(scenario, RandomStream.of(seed));
-    return play(scenario, seed, drawn, OutputStream.nullOutputStream(), null);
+    return run(scenario, seed, drawn, OutputStream.nullOutputStream(), null);
   }
 
   /**
-   * Plays a run with the given faults in place of drawn ones.
+   * Runs the scenario with the given faults instead of drawn ones.
    *
    * @param lines receives the trace
    * @param listener receives each event of the trace as it happens; null for none
    */
-  public static Result play(
+  public static Result run(
       Scenario scenario,
       long seed,
       List<Drawn> drawn,
       OutputStream lines,
       Trace.Listener listener) {
-    return new Simulation(scenario, seed, drawn, lines, listener).play();
+    return new Simulation(scenario, seed, drawn, lines, listener).execute();
   }
 
-  private Result play() {
+  private Result execute() {
     context.note("day", "scenario", scenario.name(), "seed", seed);
     sidecars.all().forEach(SidecarProcess::boot);
     runUntil(SimulationContext.START_US + WARM_UP_US);
--- a/emulator/src/test/java/dillcross/emulator/FaultSearch.java
+++ b/emulator/src/test/java/dillcross/emulator/FaultSearch.java
@@ -27,7 +27,7 @@
         String first =
             LongStream.range(from, Math.min(max + 1, from + AT_A_TIME))
                 .parallel()
-                .mapToObj(seed -> Simulation.play(scenario, seed))
+                .mapToObj(seed -> Simulation.run(scenario, seed))
                 .filter(day -> !day.clean())
                 .min(java.util.Comparator.comparingLong(Simulation.Result::seed))
                 .map(
--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -60,7 +60,7 @@
   private Simulation.Result play(Scenario scenario, long seed, Drawn... faults) {
     events.clear();
     Simulation.Result day =
-        Simulation.play(
+        Simulation.run(
             scenario,
             seed,
             List.of(faults),
@@ -184,7 +184,7 @@
             "like = \"../scenarios/mixed.toml\"\nseconds = 5\n[sidecars]\ncount = 3\nturn_us = 0\nstart_ms = 0\n[network]\nnear_us = 0\nfar_us = 0\njitter_us = 0\n"
                 + "[list]\ndelay_ms = 0\ntell_ms = 0\n[[category]]\nname = \"read\"\neffect = \"idempotent\"\nwork_ms = 0.001\nspread = 0\n");
     for (long seed = 1; seed <= 10; seed++) {
-      Simulation.Result day = Simulation.play(still, seed);
+      Simulation.Result day = Simulation.run(still, seed);
       assertEquals(List.of(), day.violations());
       assertTrue(day.succeeded() > 100);
     }
@@ -205,7 +205,7 @@
             mixed.requestClasses(),
             mixed.clients(),
             mixed.endpoints(),
-            mixed.list(),
+            mixed.discovery(),
             mixed.network(),
             mixed.rules(),
             mixed.faults().subList(5, mixed.faults().size()));
--- a/emulator/src/test/java/dillcross/emulator/SweepTest.java
+++ b/emulator/src/test/java/dillcross/emulator/SweepTest.java
@@ -79,8 +79,7 @@
             "pauses")) {
       clean(SCENARIOS.resolve(name + ".toml"), 40);
     }
-    Simulation.Result calm =
-        Simulation.play(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1);
+    Simulation.Result calm = Simulation.run(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1);
     assertEquals(calm.requests(), calm.succeeded(), "nothing is lost where nothing goes wrong");
   }
 
@@ -93,7 +92,7 @@
         assertTrue(seed.find(), file + " names no seed");
         assertEquals(
             List.of(),
-            Simulation.play(ScenarioReader.read(file), Long.parseLong(seed.group(1))).violations(),
+            Simulation.run(ScenarioReader.read(file), Long.parseLong(seed.group(1))).violations(),
             file.toString());
       }
     }
@@ -107,12 +106,12 @@
             mixed, dillcross.emulator.random.RandomStream.of(3));
     ByteArrayOutputStream one = new ByteArrayOutputStream();
     ByteArrayOutputStream two = new ByteArrayOutputStream();
-    Simulation.Result first = Simulation.play(mixed, 3, drawn, one, null);
-    Simulation.Result again = Simulation.play(mixed, 3, drawn, two, (us, what, pairs) -> {});
+    Simulation.Result first = Simulation.run(mixed, 3, drawn, one, null);
+    Simulation.Result again = Simulation.run(mixed, 3, drawn, two, (us, what, pairs) -> {});
     assertEquals(one.toString(StandardCharsets.UTF_8), two.toString(StandardCharsets.UTF_8));
     assertEquals(first.digest(), again.digest());
-    assertEquals(first.digest(), Simulation.play(mixed, 3).digest());
-    assertNotEquals(first.digest(), Simulation.play(mixed, 4).digest());
+    assertEquals(first.digest(), Simulation.run(mixed, 3).digest());
+    assertNotEquals(first.digest(), Simulation.run(mixed, 4).digest());
     assertTrue(
         one.toString(StandardCharsets.UTF_8)
             .lines()
@@ -142,13 +141,13 @@
             .replaceFirst("\n\\[\\[trouble", "\n[rules]\nanswer_slack_ms = 0\n\n[[trouble");
     Scenario strict = ScenarioReader.parse("strict", text);
     long seed = 1;
-    while (Simulation.play(strict, seed).clean()) {
+    while (Simulation.run(strict, seed).clean()) {
       seed++;
     }
     Shrink.Result few = Shrink.of(strict, seed, said -> {});
     assertTrue(few.faults().size() < few.before() / 2, few.faults().size() + " of " + few.before());
     Scenario back = ScenarioReader.parse("cut", Shrink.write(text, few));
-    Simulation.Result again = Simulation.play(back, few.seed());
+    Simulation.Result again = Simulation.run(back, few.seed());
     assertTrue(
         again.violations().stream().anyMatch(v -> v.rule() == few.rule()),
         again.violations().toString());
