--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedListeningSocket.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedListeningSocket.java
@@ -3,7 +3,10 @@
 import dillcross.net.transport.Network;
 import java.util.ArrayDeque;
 
-/** A listening socket; connections that arrive while it does not accept wait in its backlog. */
+/**
+ * A listening socket of a sidecar process. Connections stay in its backlog until the event loop of
+ * the process accepts them.
+ */
 final class EmulatedListeningSocket implements Network.ListeningSocket, VirtualNetwork.Acceptor {
   private final EmulatedNetwork network;
   private final String address;
@@ -12,7 +15,7 @@
   private boolean isAccepting = true;
   private boolean isOpen = true;
 
-  /** A socket for {@code ip:port}, which is not registered in the virtual network yet. */
+  /** Creates a socket for {@code ip:port}; the caller registers it in the virtual network. */
   EmulatedListeningSocket(
       EmulatedNetwork network, String address, Network.ConnectionAcceptor acceptor) {
     this.network = network;
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Takes the connection out of the backlog. */
+  /** Removes a connection that is being accepted. */
   void removeFromBacklog(EmulatedSocket socket) {
     backlog.remove(socket);
   }
--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 
 /**
- * The network interface of one sidecar process on the emulated network, with its event loop. The
- * loop waits, as at a selector, for a socket that is ready or a time that is due, runs one
- * iteration, and waits again. An iteration takes virtual time, in which more may become ready.
+ * The {@link Network} of one sidecar process on the emulated network, with the event loop of the
+ * process. As with a selector, the loop waits until a socket is ready or a timeout has passed, runs
+ * one iteration, and waits again. An iteration takes virtual time, during which further sockets may
+ * become ready.
  */
 public final class EmulatedNetwork implements Network {
-  /** More iterations than this within a millisecond mean that the loop spins. */
+  /** More iterations than this within a millisecond of virtual time mean that the loop spins. */
   private static final int MAX_ITERATIONS_PER_MILLI = 20_000;
 
   private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -28,20 +29,20 @@
   private final Set<EmulatedSocket> ready = new LinkedHashSet<>();
   private final Set<EmulatedListeningSocket> listeningSockets = new LinkedHashSet<>();
   private EventLoopTask task;
-  private long wakeUpNumber; // of the latest wake-up; earlier ones are void
-  private long wakeUpUs = NOT_SCHEDULED;
-  private long busyUntilUs;
+  private long wakeUpNumber; // of the latest scheduled wake-up; earlier ones do nothing
+  private long wakeUpUs = NOT_SCHEDULED; // time of the scheduled wake-up
+  private long busyUntilUs; // end of the latest iteration or suspension
   private boolean isStopped;
   private boolean isSpinning;
   private long iterationCount;
   private long iterationsInMilli;
-  private long milliOfIterations;
+  private long milliOfIterations; // the millisecond of iterationsInMilli
 
   /**
-   * The network of a process on that machine.
+   * Creates the network of a process on the machine.
    *
-   * @param ip the address of its listening sockets
-   * @param iterationUs virtual time that an iteration takes, in µs
+   * @param ip IP address of the listening sockets of the process
+   * @param iterationUs virtual time in µs that an iteration takes
    * @param onIterationEnd called after each iteration
    */
   public EmulatedNetwork(
@@ -59,12 +60,12 @@
     this.onIterationEnd = onIterationEnd;
   }
 
-  /** Whether the event loop iterates without end while time stands still. */
+  /** Whether the event loop has iterated many times without virtual time advancing. */
   public boolean isSpinning() {
     return isSpinning;
   }
 
-  /** Number of iterations so far. */
+  /** Number of event loop iterations so far. */
   public long iterationCount() {
     return iterationCount;
   }
@@ -74,7 +75,10 @@
     busyUntilUs = Math.max(busyUntilUs, untilUs);
   }
 
-  /** Ends the process; its machine closes its connections separately. */
+  /**
+   * Stops the event loop and closes the listening sockets. Connections stay open until the caller
+   * closes or resets them through the {@link VirtualNetwork}.
+   */
   public void stop() {
     isStopped = true;
     listeningSockets.forEach(socket -> network.unlisten(socket.address()));
@@ -147,7 +151,7 @@
     isSpinning |= iterationsInMilli > MAX_ITERATIONS_PER_MILLI;
   }
 
-  /** A selector waits for whole milliseconds, rounded up here. */
+  /** Rounds up to whole milliseconds, the unit of a selector's timeout. */
   private static long selectTimeoutUs(long maxWaitUs) {
     if (maxWaitUs <= 0) {
       return 0;
@@ -156,13 +160,13 @@
     return millis * TimeUnits.MICROS_PER_MILLI;
   }
 
-  /** Has the event loop dispatch the socket in its next iteration, and wakes it up. */
+  /** Marks the socket for dispatch in the next iteration and wakes up the event loop. */
   void markReady(EmulatedSocket socket) {
     ready.add(socket);
     wakeUp();
   }
 
-  /** Has the next iteration dispatch the socket again, as a level-triggered selector does. */
+  /** Marks the socket for dispatch in the next iteration, as a level-triggered selector does. */
   void keepReady(EmulatedSocket socket) {
     ready.add(socket);
   }
@@ -187,18 +191,18 @@
   }
 
   /**
-   * Always fails: simulation runs exchange no datagrams. {@code dillcross.emulator.membership}
-   * carries them between members.
+   * Always throws an exception, because simulation runs exchange no datagrams. The datagrams of the
+   * membership protocol are emulated by {@code dillcross.emulator.membership}.
    */
   @Override
   public DatagramTransport bindDatagrams(
       InetSocketAddress address, int maxBytes, DatagramHandler handler) throws IOException {
-    throw new IOException("no datagrams on the emulated network");
+    throw new IOException("the emulated network does not support datagrams");
   }
 
   @Override
   public ListeningSocket bindInherited(ConnectionAcceptor acceptor) throws IOException {
-    throw new IOException("no inherited socket on the emulated network");
+    throw new IOException("the emulated network does not support inherited sockets");
   }
 
   @Override
--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedSocket.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedSocket.java
@@ -6,18 +6,18 @@
 import java.nio.ByteBuffer;
 
 /**
- * One connection of a sidecar process. Events of the network only mark it as ready; the process
- * learns of them in {@link #dispatch}, within an iteration of its event loop.
+ * One connection of a sidecar process. Events of the network only mark it as ready; {@link
+ * #dispatch} then calls the handlers of the process, within an iteration of its event loop.
  */
 final class EmulatedSocket implements TransportChannel, SocketEndpoint.Owner {
   private final EmulatedNetwork network;
   private SocketEndpoint end;
-  private Network.ConnectionHandler handler;
-  private Network.ConnectCallback connectCallback; // null once connected
-  private EmulatedListeningSocket listeningSocket; // null once accepted
+  private Network.ConnectionHandler handler; // null until accepted
+  private Network.ConnectCallback connectCallback; // null when notified, or if incoming
+  private EmulatedListeningSocket listeningSocket; // null once accepted, or if outgoing
   private WriteCallback writeCallback; // null unless a write is in progress
-  private boolean isUp;
-  private boolean hasFailed;
+  private boolean isConnected;
+  private boolean hasConnectFailed;
   private boolean isWriteDone;
   private boolean hasReadInterest = true;
   private boolean isReadScheduled;
@@ -27,7 +27,7 @@
     this.network = network;
   }
 
-  /** A connection that waits in the backlog of a listening socket. */
+  /** Creates the socket of an incoming connection, which the listening socket has to accept. */
   static EmulatedSocket arriving(
       EmulatedNetwork network, EmulatedListeningSocket listeningSocket, SocketEndpoint end) {
     EmulatedSocket socket = new EmulatedSocket(network);
@@ -37,7 +37,7 @@
     return socket;
   }
 
-  /** A connection that the process asks for. */
+  /** Creates the socket of an outgoing connection and starts to connect to {@code ip:port}. */
   static EmulatedSocket connecting(
       EmulatedNetwork network, String address, Network.ConnectCallback callback) {
     EmulatedSocket socket = new EmulatedSocket(network);
@@ -47,7 +47,7 @@
     return socket;
   }
 
-  /** Hands the connection, which has left the backlog, to the process. */
+  /** Passes the connection, which was removed from the backlog, to the process. */
   void accept() {
     Network.ConnectionAcceptor acceptor = listeningSocket.acceptor();
     listeningSocket = null;
@@ -63,13 +63,13 @@
 
   @Override
   public void onConnected(SocketEndpoint same) {
-    isUp = true;
+    isConnected = true;
     network.markReady(this);
   }
 
   @Override
   public void onConnectFailed(SocketEndpoint same) {
-    hasFailed = true;
+    hasConnectFailed = true;
     network.markReady(this);
   }
 
@@ -90,7 +90,7 @@
 
   // ---- Dispatch to the process
 
-  /** Tells the process what has become ready. */
+  /** Calls the handlers of the process for everything that has become ready. */
   void dispatch() {
     if (isClosed || !dispatchAccept() || !dispatchConnect()) {
       return;
@@ -99,7 +99,7 @@
     dispatchRead();
   }
 
-  /** False if the connection still waits in the backlog. */
+  /** Accepts the connection if that is due; false if it has to stay in the backlog. */
   private boolean dispatchAccept() {
     if (listeningSocket == null) {
       return true;
@@ -112,17 +112,17 @@
     return true;
   }
 
-  /** False if the connection is not up. */
+  /** Reports the result of connecting if it is known; false if there is no connection. */
   private boolean dispatchConnect() {
     if (connectCallback == null) {
       return true;
     }
-    if (!hasFailed && !isUp) {
+    if (!hasConnectFailed && !isConnected) {
       return false;
     }
     Network.ConnectCallback callback = connectCallback;
     connectCallback = null;
-    if (hasFailed) {
+    if (hasConnectFailed) {
       isClosed = true;
       callback.onConnectFailed();
       return false;
@@ -161,7 +161,7 @@
   @Override
   public int read(ByteBuffer into) throws IOException {
     if (isClosed) {
-      throw new IOException("closed");
+      throw new IOException("connection is closed");
     }
     int count = end.read(into);
     if (count == SocketEndpoint.RESET) {
@@ -218,7 +218,7 @@
       return;
     }
     isClosed = true;
-    boolean isKnownToHandler = end.isUp() && connectCallback == null && handler != null;
+    boolean isKnownToHandler = end.isEstablished() && connectCallback == null && handler != null;
     end.close();
     if (isKnownToHandler) {
       handler.onClosed();
--- a/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
@@ -4,23 +4,23 @@
 import java.util.ArrayDeque;
 
 /**
- * One side of a connection, which behaves as a TCP socket does as far as the program above can
- * tell: a bounded window, half close, and resets. Owned by the thread of the simulation run.
+ * One side of an emulated TCP connection, with a bounded receive window, half-close and resets.
+ * Used only by the thread of the simulation run.
  */
 public final class SocketEndpoint {
-  /** Receives the events of one side of a connection, each from an event of the clock. */
+  /** Receives the events of one side of a connection. Called by events of the virtual clock. */
   public interface Owner {
-    /** The connection that this side asked for is up. */
+    /** The connection that this side initiated is established. */
     default void onConnected(SocketEndpoint end) {
-      throw new IllegalStateException("this side did not connect");
+      throw new IllegalStateException("onConnected called on the accepting side");
     }
 
-    /** The connection that this side asked for was refused. */
+    /** The connection that this side initiated was refused. */
     default void onConnectFailed(SocketEndpoint end) {
       // Ignored by owners that do not retry.
     }
 
-    /** Bytes, the end of input or a reset can be read. */
+    /** Bytes, the end of input or a reset have arrived and can be read. */
     void onReadable(SocketEndpoint end);
 
     /** All bytes of the latest {@link SocketEndpoint#send(ByteBuffer)} were sent or discarded. */
@@ -37,31 +37,32 @@
 
   private static final int WINDOW_BYTES = 256 << 10;
 
-  private record Piece(byte[] bytes, long sentUs, Runnable onRead) {}
+  /** Data that has arrived; {@code onRead} runs when it has been read and is null for nothing. */
+  private record Segment(byte[] bytes, long sentUs, Runnable onRead) {}
 
   private final VirtualNetwork network;
   private final VirtualMachine host;
   private final long connectionId;
   private final boolean isInitiator;
-  private final ArrayDeque<Piece> received = new ArrayDeque<>();
+  private final ArrayDeque<Segment> received = new ArrayDeque<>();
   private SocketEndpoint peer;
-  private Owner owner; // null until accepted
+  private Owner owner; // null on the accepting side until the connection is accepted
   private long transmissionCount;
   private long lastArrivalUs;
-  private int firstPieceReadBytes;
+  private int firstSegmentReadBytes; // bytes of the first received segment that were read
   private long unreadBytes;
-  private long unacknowledgedBytes; // sent and not read by the peer
-  private ByteBuffer pendingOutput; // null if none waits for the window
-  private boolean isUp;
+  private long unacknowledgedBytes; // bytes sent that the peer has not read
+  private ByteBuffer pendingOutput; // bytes that wait for window space; null if none do
+  private boolean isEstablished;
   private boolean isOpen = true;
   private boolean hasInputEnded;
-  private boolean isReset;
+  private boolean isReset; // by the peer
   private boolean hasOutputEnded;
   private boolean resetsOnClose;
   private boolean wasClosedWithReset;
   private long firstSentUs;
 
-  /** One side of the connection with that id, which both sides share. */
+  /** Creates one side of a connection; both sides have the same {@code connectionId}. */
   SocketEndpoint(
       VirtualNetwork network, VirtualMachine host, long connectionId, boolean isInitiator) {
     this.network = network;
@@ -70,7 +71,7 @@
     this.isInitiator = isInitiator;
   }
 
-  /** Sets who receives its events from now on. */
+  /** Sets the receiver of this side's events. */
   public void setOwner(Owner newOwner) {
     owner = newOwner;
   }
@@ -101,40 +102,43 @@
     return connectionId;
   }
 
-  /** Whether this side asked for the connection. */
+  /** Whether this side initiated the connection. */
   boolean isInitiator() {
     return isInitiator;
   }
 
-  /** Number of this transmission from this side, from 0 on. */
+  /** Returns the number of the next transmission from this side, from 0, and increments it. */
   long nextTransmissionNumber() {
     long number = transmissionCount;
     transmissionCount++;
     return number;
   }
 
-  /** Arrival of a transmission in order: not before any that was sent earlier. */
+  /**
+   * Arrival time in µs of the next transmission from this side: {@code earliestUs}, or the arrival
+   * time of the previous transmission if that is later.
+   */
   long arrivalInOrderUs(long earliestUs) {
     lastArrivalUs = Math.max(lastArrivalUs, earliestUs);
     return lastArrivalUs;
   }
 
-  /** Whether this side has not closed it. */
+  /** Whether this side has neither closed the connection nor been refused. */
   public boolean isOpen() {
     return isOpen;
   }
 
-  /** Whether the connection has come up. */
-  public boolean isUp() {
-    return isUp;
+  /** Whether the connection has been established; stays true after it is closed. */
+  public boolean isEstablished() {
+    return isEstablished;
   }
 
-  /** Whether the other side has reset it. */
+  /** Whether a reset from the peer has arrived. */
   public boolean wasReset() {
     return isReset;
   }
 
-  /** Whether the peer has read none of the last {@code byteCount} bytes sent. */
+  /** Whether the peer has read none of the last {@code byteCount} bytes that this side sent. */
   public boolean isUnreadByPeer(long byteCount) {
     return unacknowledgedBytes >= byteCount;
   }
@@ -144,12 +148,12 @@
     return unreadBytes > 0 || hasInputEnded || isReset;
   }
 
-  /** Whether everything was read and nothing more can arrive. */
+  /** Whether the connection was reset, or all input up to its end was read. */
   public boolean isInputOver() {
     return isReset || (hasInputEnded && unreadBytes == 0);
   }
 
-  /** When the first byte of the last read was sent, in µs. */
+  /** Time in µs at which the peer sent the first byte of the latest read. */
   public long firstSentUs() {
     return firstSentUs;
   }
@@ -157,7 +161,7 @@
   // ---- Reading
 
   /**
-   * Reads without waiting: the number of bytes, 0 if there are none at present, {@link
+   * Reads without blocking. Returns the number of bytes read, 0 if none are available, {@link
    * #END_OF_INPUT} or {@link #RESET}.
    */
   public int read(ByteBuffer into) {
@@ -166,15 +170,15 @@
     }
     int total = 0;
     while (into.hasRemaining() && !received.isEmpty()) {
-      Piece first = received.peekFirst();
-      int count = Math.min(into.remaining(), first.bytes.length - firstPieceReadBytes);
-      into.put(first.bytes, firstPieceReadBytes, count);
+      Segment first = received.peekFirst();
+      int count = Math.min(into.remaining(), first.bytes.length - firstSegmentReadBytes);
+      into.put(first.bytes, firstSegmentReadBytes, count);
       firstSentUs = total == 0 ? first.sentUs : firstSentUs;
-      firstPieceReadBytes += count;
+      firstSegmentReadBytes += count;
       total += count;
-      if (firstPieceReadBytes == first.bytes.length) {
+      if (firstSegmentReadBytes == first.bytes.length) {
         received.pollFirst();
-        firstPieceReadBytes = 0;
+        firstSegmentReadBytes = 0;
         if (first.onRead != null) {
           first.onRead.run();
         }
@@ -188,7 +192,7 @@
     return hasInputEnded ? END_OF_INPUT : 0;
   }
 
-  /** Reads all bytes that have arrived; empty if there are none. */
+  /** Reads all bytes that have arrived; an empty array if there are none. */
   public byte[] readAll() {
     ByteBuffer into = ByteBuffer.allocate((int) unreadBytes);
     int count = read(into);
@@ -198,7 +202,7 @@
   private void onReadByPeer(long byteCount) {
     unacknowledgedBytes -= byteCount;
     if (pendingOutput != null) {
-      network.after(this, host, peer.host, this::onWindowUpdate);
+      network.transmit(this, host, peer.host, this::onWindowUpdate);
     }
   }
 
@@ -213,7 +217,10 @@
 
   // ---- Sending
 
-  /** Sends within the window; true if bytes remain, and {@link Owner#onWritten} follows. */
+  /**
+   * Sends as many bytes as the window allows. Returns true if some remain: they are sent as the
+   * peer reads, and {@link Owner#onWritten} is called after the last one.
+   */
   public boolean send(ByteBuffer bytes) {
     pendingOutput = bytes;
     sendPending();
@@ -221,14 +228,15 @@
   }
 
   /**
-   * Sends all bytes regardless of the window, or none if output has ended.
+   * Sends all bytes regardless of the window, or none if the socket is closed, was reset or has
+   * ended its output.
    *
    * @param onRead runs when the peer has read the last byte; null for nothing
    */
   public void send(byte[] bytes, Runnable onRead) {
     if (isOpen && !isReset && !hasOutputEnded) {
       unacknowledgedBytes += bytes.length;
-      network.carry(this, bytes, onRead);
+      network.transmitData(this, bytes, onRead);
     }
   }
 
@@ -239,22 +247,24 @@
       byte[] bytes = new byte[count];
       pendingOutput.get(bytes);
       unacknowledgedBytes += count;
-      network.carry(this, bytes, null);
+      network.transmitData(this, bytes, null);
     }
     pendingOutput = pendingOutput.hasRemaining() ? pendingOutput : null;
   }
 
-  /** Ends output; input goes on. */
+  /** Ends the output of this side (half-close); input can still be read. */
   public void shutdownOutput() {
     if (isOpen && !hasOutputEnded) {
       hasOutputEnded = true;
-      network.carryEnd(this);
+      network.transmitEnd(this);
     }
   }
 
   // ---- Closing
 
-  /** Whether it was closed with a reset, so that its data is not retransmitted. */
+  /**
+   * Whether this side closed the connection with a reset, so that its data is not retransmitted.
+   */
   boolean wasClosedWithReset() {
     return wasClosedWithReset;
   }
@@ -265,18 +275,18 @@
   }
 
   /**
-   * Closes it. With unread bytes here, the peer receives the end of input and then a reset, as with
-   * sockets of a running system.
+   * Closes the connection. If this side has unread bytes, the peer receives the end of input and
+   * then a reset, as from a Java channel.
    */
   public void close() {
     boolean isResetToFollow = unreadBytes > 0 && !resetsOnClose && isOpen;
     close(resetsOnClose);
     if (isResetToFollow) {
-      network.afterNextSelect(() -> network.carryReset(this));
+      network.afterNextSelect(() -> network.transmitReset(this));
     }
   }
 
-  /** Closes it with a reset. */
+  /** Closes the connection with a reset. */
   public void reset() {
     close(true);
   }
@@ -289,13 +299,13 @@
     discard();
     wasClosedWithReset = withReset;
     if (withReset) {
-      network.carryReset(this);
+      network.transmitReset(this);
     } else if (!hasOutputEnded) {
-      network.carryEnd(this);
+      network.transmitEnd(this);
     }
   }
 
-  /** Drops it without a word to the peer, as a machine does that was turned off. */
+  /** Closes this side without notifying the peer, as when its machine is turned off. */
   void discard() {
     isOpen = false;
     received.clear();
@@ -304,28 +314,28 @@
 
   // ---- Calls from the network
 
-  void markUp() {
-    isUp = true;
+  void markEstablished() {
+    isEstablished = true;
   }
 
-  void arrive(byte[] bytes, long sentUs, Runnable onRead) {
+  void receive(byte[] bytes, long sentUs, Runnable onRead) {
     if (!isOpen) {
-      network.carryReset(this); // as a system answers for a socket that it no longer has
+      network.transmitReset(this); // TCP answers data for a closed socket with a reset
     } else if (!isReset) {
-      received.addLast(new Piece(bytes, sentUs, onRead));
+      received.addLast(new Segment(bytes, sentUs, onRead));
       unreadBytes += bytes.length;
       owner.onReadable(this);
     }
   }
 
-  void arriveEnd() {
+  void receiveEnd() {
     if (isOpen && !hasInputEnded && owner != null) {
       hasInputEnded = true;
       owner.onReadable(this);
     }
   }
 
-  void arriveReset() {
+  void receiveReset() {
     if (!isOpen || isReset || owner == null) {
       return;
     }
--- a/emulator/src/main/java/dillcross/emulator/network/TrafficChecksum.java
+++ b/emulator/src/main/java/dillcross/emulator/network/TrafficChecksum.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * CRC-32C over every byte carried, when it arrived, and on which connection and in which direction.
- * Two runs whose traffic differs anywhere differ in it.
+ * CRC-32C over all bytes that arrived, with their arrival times, connections and directions. Used
+ * to detect that the traffic of two runs differs.
  */
 final class TrafficChecksum {
   private static final int HEADER_BYTES = 2 * Long.BYTES + 1;
--- a/emulator/src/main/java/dillcross/emulator/network/VirtualMachine.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualMachine.java
@@ -5,35 +5,36 @@
 import java.util.Set;
 
 /**
- * A machine on the emulated network, or one of several process slots on it. Processes follow each
- * other in a slot; the slot holds the sockets of the one that runs.
+ * A machine on the emulated network, with the sockets of the process that runs on it. A process
+ * that is restarted uses the same instance again. A further instance represents a second process on
+ * the same machine.
  */
 public final class VirtualMachine {
   private final String name;
   private final String zone;
-  private final VirtualMachine machine; // itself, or the machine that it is a further slot of
+  private final VirtualMachine machine; // this, or the instance whose machine it shares
   private final Set<SocketEndpoint> sockets = new LinkedHashSet<>();
-  private boolean isSilent;
+  private boolean isOff;
 
-  /** A machine of its own in that zone. */
+  /** Creates a machine in the zone. */
   public VirtualMachine(String name, String zone) {
     this.name = name;
     this.zone = zone;
     machine = this;
   }
 
-  /** A further process slot on the same machine as another. */
-  public VirtualMachine(String name, VirtualMachine beside) {
+  /** Creates an instance for a second process on the machine of {@code other}. */
+  public VirtualMachine(String name, VirtualMachine other) {
     this.name = name;
-    zone = beside.zone;
-    machine = beside.machine;
+    zone = other.zone;
+    machine = other.machine;
   }
 
   String name() {
     return name;
   }
 
-  /** The zone that it is in; empty for none. */
+  /** Name of the zone that the machine is in; empty if it is in none. */
   public String zone() {
     return zone;
   }
@@ -42,21 +43,21 @@
     return machine == other.machine;
   }
 
-  /** Whether the machine is off, so that nothing is sent or received. */
-  boolean isSilent() {
-    return isSilent;
+  /** Whether the machine is off, so that it neither sends nor receives anything. */
+  boolean isOff() {
+    return isOff;
   }
 
-  void setSilent(boolean isOff) {
-    isSilent = isOff;
+  void setOff(boolean isNowOff) {
+    isOff = isNowOff;
   }
 
-  /** Number of connections that its process holds. */
+  /** Number of open or pending connections of the machine's process. */
   public int connectionCount() {
     return sockets.size();
   }
 
-  /** The sockets of its process, in the order in which they were opened. */
+  /** The sockets of the machine's process, in the order in which they were opened. */
   List<SocketEndpoint> sockets() {
     return List.copyOf(sockets);
   }
@@ -69,7 +70,7 @@
     sockets.remove(socket);
   }
 
-  /** Forgets all sockets without a word to their peers. */
+  /** Closes all sockets without notifying their peers. */
   void discardSockets() {
     sockets.forEach(SocketEndpoint::discard);
     sockets.clear();
--- a/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * The emulated network between machines: delays by zone, cuts between zones, machines that are off,
- * and data that arrives in several pieces. Data sent into a cut arrives after its end, as TCP
- * retransmits it. Owned by the thread of the simulation run.
+ * The emulated network between the machines of one simulation run. It models delays that depend on
+ * the zones, partitions between zones, machines that are off, and data that arrives in small
+ * segments. Data sent during a partition arrives after the partition has ended, as TCP would
+ * retransmit it. Used only by the thread of the simulation run.
  */
 public final class VirtualNetwork {
   /** Accepts connections at an address. */
@@ -17,13 +18,20 @@
     /** The machine that the address belongs to. */
     VirtualMachine host();
 
-    /** A connection has arrived, which is up; sets its owner. */
+    /**
+     * Called for each established connection.
+     *
+     * @param end the accepting side, whose owner this method has to set
+     */
     void onConnection(SocketEndpoint end);
   }
 
   private static final long SAME_MACHINE_DELAY_US = 15;
 
-  /** Time until the next select, at which a Java channel that was closed is closed for good. */
+  /**
+   * Time from closing a Java channel to the next select, which deregisters the channel and only
+   * then closes its socket.
+   */
   private static final long NEXT_SELECT_US = 50;
 
   private static final int TRANSMISSION_NUMBER_SHIFT = 20;
@@ -36,15 +44,19 @@
   private final long sameZoneDelayUs;
   private final long otherZoneDelayUs;
   private final long jitterUs;
-  private final Map<String, Acceptor> acceptors = new LinkedHashMap<>(); // by address
+  private final Map<String, Acceptor> acceptors = new LinkedHashMap<>(); // by "ip:port"
   private final ZoneLinks links = new ZoneLinks();
   private final TrafficChecksum checksum = new TrafficChecksum();
-  private final Map<String, Long> connectionCounts = new LinkedHashMap<>(); // by route
-  private int maxPieceBytes = Integer.MAX_VALUE;
+
+  /** Number of connections opened so far, by the name of the initiating machine and the address. */
+  private final Map<String, Long> connectionCounts = new LinkedHashMap<>();
+
+  private int maxSegmentBytes = Integer.MAX_VALUE;
 
   /**
-   * A network with the given one-way delays in µs, each with up to {@code jitterUs} more. Draws one
-   * value from {@code random}, at construction.
+   * Creates a network with the given one-way delays in µs. Each transmission between different
+   * machines takes up to {@code jitterUs} longer. Only this constructor draws from {@code random},
+   * one value.
    */
   public VirtualNetwork(
       VirtualClock clock,
@@ -59,73 +71,89 @@
     this.jitterUs = jitterUs;
   }
 
-  /** Checksum over every byte carried so far, when and where; equal for equal runs. */
+  /**
+   * Checksum over all bytes that have arrived so far, each with its time, connection and direction.
+   * It is the same for runs with the same traffic.
+   */
   public long checksum() {
     return checksum.value();
   }
 
-  /** A machine that is off: connects to it neither succeed nor fail. */
-  public static VirtualMachine nowhere() {
-    VirtualMachine nowhere = new VirtualMachine("nowhere", "nowhere");
-    nowhere.setSilent(true);
-    return nowhere;
+  /** Creates a machine that is off: attempts to connect to it neither succeed nor fail. */
+  public static VirtualMachine unreachableMachine() {
+    VirtualMachine machine = new VirtualMachine("nowhere", "nowhere");
+    machine.setOff(true);
+    return machine;
   }
 
   // ---- Addresses
 
-  /** Accepts connections at {@code ip:port}; false if the address is in use. */
+  /**
+   * Starts to accept connections at the address, given as {@code ip:port}. Returns false and
+   * changes nothing if the address is in use.
+   */
   public boolean listen(String address, Acceptor acceptor) {
     return acceptors.putIfAbsent(address, acceptor) == null;
   }
 
-  /** Stops to accept connections at the address. */
+  /** Stops accepting connections at the address; no effect if nothing listens there. */
   public void unlisten(String address) {
     acceptors.remove(address);
   }
 
   // ---- Faults
 
-  /** Starts or ends one cut between two zones; cuts may overlap. */
-  public void cut(String zone, String otherZone, boolean isStarting) {
-    links.cut(zone, otherZone, isStarting);
+  /**
+   * Starts or ends one partition between two zones. Partitions may overlap; the zones can reach
+   * each other again after the last one has ended.
+   */
+  public void partition(String zone, String otherZone, boolean isStarting) {
+    links.partition(zone, otherZone, isStarting);
   }
 
-  /** Adds delay in µs between two zones; a negative value takes it back. */
+  /**
+   * Adds a one-way delay in µs between two zones, in both directions. A negative value removes a
+   * delay that was added before.
+   */
   public void addLag(String zone, String otherZone, long lagUs) {
     links.addLag(zone, otherZone, lagUs);
   }
 
-  /** Sets the largest piece in bytes in which data arrives. */
-  public void setMaxPieceBytes(int maxBytes) {
-    maxPieceBytes = maxBytes;
+  /**
+   * Sets the maximum size in bytes of the segments in which data arrives; {@link Integer#MAX_VALUE}
+   * for no limit.
+   */
+  public void setMaxSegmentBytes(int maxBytes) {
+    maxSegmentBytes = maxBytes;
   }
 
-  /** Ends the process on a machine; its connections are reset. */
-  public void kill(VirtualMachine host) {
+  /** Resets all connections of the machine's process, as when it is killed. */
+  public void resetConnections(VirtualMachine host) {
     host.sockets().forEach(SocketEndpoint::reset);
   }
 
-  /** Ends the process on a machine; its connections are closed, and what was sent arrives. */
-  public void end(VirtualMachine host) {
+  /** Closes all connections of the machine's process, as when it exits; sent data still arrives. */
+  public void closeConnections(VirtualMachine host) {
     host.sockets().forEach(SocketEndpoint::close);
   }
 
-  /** Turns the machine off. */
-  public void vanish(VirtualMachine host) {
-    host.setSilent(true);
+  /** Turns the machine off: it sends and receives nothing, and its peers are not notified. */
+  public void turnOff(VirtualMachine host) {
+    host.setOff(true);
   }
 
-  /** Turns the machine on, with no knowledge of connections that were open. */
-  public void restore(VirtualMachine host) {
+  /** Turns the machine on again. Its earlier connections are lost without notice to their peers. */
+  public void turnOn(VirtualMachine host) {
     host.discardSockets();
-    host.setSilent(false);
+    host.setOff(false);
   }
 
   // ---- Transmission
 
   /**
-   * The jitter is a hash of the connection and the transmission's number on it, not a draw, so that
-   * leaving out one fault does not change unrelated delays.
+   * Delay in µs of the next transmission on the socket. The jitter is a hash of the connection, the
+   * direction and the number of the transmission. It is not a random draw, so that removing a fault
+   * from a run does not change unrelated delays.
    */
   private long delayUs(SocketEndpoint socket, VirtualMachine from, VirtualMachine to) {
     long delayUs = baseDelayUs(from, to) + links.lagUs(from, to);
@@ -150,38 +178,44 @@
     return second ^ second >>> MIX_SHIFT;
   }
 
+  /** Runs the action when a Java channel that is closed now would have its socket closed. */
   void afterNextSelect(Runnable action) {
     clock.after(NEXT_SELECT_US, action);
   }
 
-  /** Runs the action when word of it has come from one machine to the other. */
-  void after(SocketEndpoint socket, VirtualMachine from, VirtualMachine to, Runnable action) {
-    if (from.isSilent() || to.isSilent()) {
+  /**
+   * Runs the action after the one-way delay between two machines, regardless of the order of
+   * earlier transmissions on the socket. A partition postpones the action. The action does not run
+   * if either machine is off now, or the receiving machine is off when the delay has passed.
+   */
+  void transmit(SocketEndpoint socket, VirtualMachine from, VirtualMachine to, Runnable action) {
+    if (from.isOff() || to.isOff()) {
       return;
     }
-    if (links.isCut(from, to)) {
-      links.holdBack(from, to, () -> after(socket, from, to, action));
+    if (links.isPartitioned(from, to)) {
+      links.holdBack(from, to, () -> transmit(socket, from, to, action));
       return;
     }
-    clock.after(delayUs(socket, from, to), () -> runUnlessSilent(to, action));
+    clock.after(delayUs(socket, from, to), () -> runUnlessOff(to, action));
   }
 
   /**
-   * Runs the action after all earlier transmissions from that side have arrived. Data that a cut
-   * holds back is dropped if its side is closed with a reset meanwhile.
+   * Like {@link #transmit}, but runs the action after all earlier transmissions from the same side
+   * have arrived. Data held back by a partition is dropped if its sender closes the connection with
+   * a reset before the partition ends.
    */
   private void transmitInOrder(SocketEndpoint from, boolean isData, Runnable action) {
     VirtualMachine source = from.host();
     VirtualMachine destination = from.peer().host();
-    if (source.isSilent() || destination.isSilent()) {
+    if (source.isOff() || destination.isOff()) {
       return;
     }
-    if (links.isCut(source, destination)) {
+    if (links.isPartitioned(source, destination)) {
       links.holdBack(source, destination, () -> retransmit(from, isData, action));
       return;
     }
     long arrivalUs = from.arrivalInOrderUs(clock.now() + delayUs(from, source, destination));
-    clock.at(arrivalUs, () -> runUnlessSilent(destination, action));
+    clock.at(arrivalUs, () -> runUnlessOff(destination, action));
   }
 
   private void retransmit(SocketEndpoint from, boolean isData, Runnable action) {
@@ -190,50 +224,56 @@
     }
   }
 
-  private static void runUnlessSilent(VirtualMachine destination, Runnable action) {
-    if (!destination.isSilent()) {
+  private static void runUnlessOff(VirtualMachine destination, Runnable action) {
+    if (!destination.isOff()) {
       action.run();
     }
   }
 
-  /** Carries data to the peer; {@code onRead} runs when the peer has read all of it. */
-  void carry(SocketEndpoint from, byte[] bytes, Runnable onRead) {
-    if (maxPieceBytes == Integer.MAX_VALUE && bytes.length > 0) {
-      carryPiece(from, bytes, onRead);
+  /**
+   * Transmits data to the peer of {@code from}.
+   *
+   * @param onRead runs when the peer has read the last byte; null for nothing
+   */
+  void transmitData(SocketEndpoint from, byte[] bytes, Runnable onRead) {
+    if (maxSegmentBytes == Integer.MAX_VALUE && bytes.length > 0) {
+      transmitSegment(from, bytes, onRead);
       return;
     }
-    for (int start = 0; start < bytes.length; start += maxPieceBytes) {
-      int end = (int) Math.min(bytes.length, (long) start + maxPieceBytes);
+    for (int start = 0; start < bytes.length; start += maxSegmentBytes) {
+      int end = (int) Math.min(bytes.length, (long) start + maxSegmentBytes);
       boolean isWhole = start == 0 && end == bytes.length;
-      byte[] piece = isWhole ? bytes : Arrays.copyOfRange(bytes, start, end);
-      carryPiece(from, piece, end == bytes.length ? onRead : null);
+      byte[] segment = isWhole ? bytes : Arrays.copyOfRange(bytes, start, end);
+      transmitSegment(from, segment, end == bytes.length ? onRead : null);
     }
   }
 
-  private void carryPiece(SocketEndpoint from, byte[] piece, Runnable onRead) {
+  private void transmitSegment(SocketEndpoint from, byte[] segment, Runnable onRead) {
     long sentUs = clock.now();
     transmitInOrder(
         from,
         true,
         () -> {
-          checksum.add(clock.now(), from, piece);
-          from.peer().arrive(piece, sentUs, onRead);
+          checksum.add(clock.now(), from, segment);
+          from.peer().receive(segment, sentUs, onRead);
         });
   }
 
-  void carryEnd(SocketEndpoint from) {
-    transmitInOrder(from, false, from.peer()::arriveEnd);
+  /** Transmits the end of output, after which the peer reads no more data. */
+  void transmitEnd(SocketEndpoint from) {
+    transmitInOrder(from, false, from.peer()::receiveEnd);
   }
 
-  void carryReset(SocketEndpoint from) {
-    transmitInOrder(from, false, from.peer()::arriveReset);
+  /** Transmits a reset, which discards data that the peer has not read. */
+  void transmitReset(SocketEndpoint from) {
+    transmitInOrder(from, false, from.peer()::receiveReset);
   }
 
   // ---- Connecting
 
   /**
-   * Connects to {@code ip:port}. The owner receives the result, or nothing if the machine at the
-   * address is off.
+   * Starts to connect to the address, given as {@code ip:port}, and returns the initiating side.
+   * The owner is notified of the result, or of nothing if the machine at the address is off.
    */
   public SocketEndpoint connect(VirtualMachine from, String address, SocketEndpoint.Owner owner) {
     SocketEndpoint near = new SocketEndpoint(this, from, connectionId(from, address), true);
@@ -245,13 +285,13 @@
         new SocketEndpoint(this, to == null ? from : to, near.connectionId(), false);
     near.setPeer(far);
     if (to == null) {
-      // The machine is on and refuses for the process that is not there.
+      // No process listens at the address: its machine refuses the connection.
       clock.after(
           from.zone().isEmpty() ? sameZoneDelayUs : 2 * sameZoneDelayUs, () -> refuse(near));
       return near;
     }
     far.setPeer(near);
-    transmitInOrder(near, true, () -> arriveConnect(near, address));
+    transmitInOrder(near, true, () -> receiveConnect(near, address));
     return near;
   }
 
@@ -260,28 +300,28 @@
     return mix(route.hashCode() * HASH_PRIME + connectionCounts.merge(route, 1L, Long::sum));
   }
 
-  private void arriveConnect(SocketEndpoint near, String address) {
+  private void receiveConnect(SocketEndpoint near, String address) {
     SocketEndpoint far = near.peer();
     Acceptor acceptor = acceptors.get(address);
     if (acceptor == null || acceptor.host() != far.host()) {
-      after(near, far.host(), near.host(), () -> refuse(near));
+      transmit(near, far.host(), near.host(), () -> refuse(near));
       return;
     }
     far.host().add(far);
-    far.markUp();
-    after(near, far.host(), near.host(), () -> arriveAccept(near));
+    far.markEstablished();
+    transmit(near, far.host(), near.host(), () -> receiveAccept(near));
     acceptor.onConnection(far);
   }
 
-  private static void arriveAccept(SocketEndpoint near) {
+  private static void receiveAccept(SocketEndpoint near) {
     if (near.isOpen()) {
-      near.markUp();
+      near.markEstablished();
       near.owner().onConnected(near);
     }
   }
 
   private static void refuse(SocketEndpoint near) {
-    if (near.isOpen() && !near.isUp()) {
+    if (near.isOpen() && !near.isEstablished()) {
       near.owner().onConnectFailed(near);
       near.discard();
       near.host().remove(near);
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -157,7 +157,7 @@
   }
 
   private void dropCalls() {
-    context.network().kill(host);
+    context.network().resetConnections(host);
     calls.clear();
     watches.clear();
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
@@ -17,11 +17,11 @@
   /** A machine that is off; connects to it neither succeed nor fail. */
   private static final VirtualNetwork.Acceptor UNREACHABLE =
       new VirtualNetwork.Acceptor() {
-        private final VirtualMachine nowhere = VirtualNetwork.nowhere();
+        private final VirtualMachine host = VirtualNetwork.unreachableMachine();
 
         @Override
         public VirtualMachine host() {
-          return nowhere;
+          return host;
         }
 
         @Override
@@ -172,19 +172,19 @@
   /** Ends the process at once; its connections are reset. */
   void kill() {
     stop();
-    context.network().kill(host);
+    context.network().resetConnections(host);
     connections.clear();
   }
 
   /** Turns the machine off: it neither answers nor resets connections. */
   void vanish() {
     stop();
-    context.network().vanish(host);
+    context.network().turnOff(host);
   }
 
   /** Turns the machine on again, so that a process may start on it. */
   void restore() {
-    context.network().restore(host);
+    context.network().turnOn(host);
     connections.clear();
   }
 
--- a/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -232,7 +232,8 @@
       case CUT ->
           during(
               endUs,
-              active -> otherZones.forEach(other -> context.network().cut(zone, other, active)));
+              active ->
+                  otherZones.forEach(other -> context.network().partition(zone, other, active)));
       case LAG -> {
         long lagUs = TimeUnits.toMicros(drawn.factor());
         during(
@@ -241,11 +242,11 @@
             () -> otherZones.forEach(other -> context.network().addLag(zone, other, -lagUs)));
       }
       case PIECES -> {
-        int maxPieceBytes = (int) Math.max(1, drawn.factor());
+        int maxSegmentBytes = (int) Math.max(1, drawn.factor());
         during(
             endUs,
             active ->
-                context.network().setMaxPieceBytes(active ? maxPieceBytes : Integer.MAX_VALUE));
+                context.network().setMaxSegmentBytes(active ? maxSegmentBytes : Integer.MAX_VALUE));
       }
       default -> throw new IllegalStateException(drawn.from().kind().word());
     }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -236,7 +236,7 @@
     network = null;
     server = null;
     isReady = false;
-    context.network().end(host);
+    context.network().closeConnections(host);
   }
 
   /**
--- a/emulator/src/test/java/dillcross/emulator/network/TransportCase.java
+++ b/emulator/src/test/java/dillcross/emulator/network/TransportCase.java
@@ -82,7 +82,7 @@
     done.countDown();
   }
 
-  /** Listens for one connection, whose events go to the handler; the address listened at. */
+  /** Listens for one connection, whose events go to the handler, and returns the address. */
   String listen(Network.ConnectionHandler handler) throws IOException {
     return network
         .bind(
@@ -95,7 +95,7 @@
         .address();
   }
 
-  /** Connects, and runs {@code onConnected} when the connection is up. */
+  /** Connects, and runs {@code onConnected} when the connection is established. */
   void connect(String address, Network.ConnectionHandler handler, Runnable onConnected) {
     network.connect(
         NumericAddress.parse(address).orElseThrow(),
@@ -119,7 +119,7 @@
         });
   }
 
-  /** Writes so many bytes, and runs {@code onWritten} when all were handed over. */
+  /** Writes {@code byteCount} bytes, and runs {@code onWritten} when the channel has taken all. */
   void write(TransportChannel channel, int byteCount, Runnable onWritten) {
     channel.write(
         ByteBuffer.allocate(byteCount),
@@ -136,7 +136,7 @@
         });
   }
 
-  /** Reads all available bytes and counts them. */
+  /** Reads all available bytes and adds their number to {@link #readByteCount()}. */
   ReadEnd readAll(TransportChannel channel) {
     ByteBuffer buffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     try {
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Runs the action; a failure is an observation, and so fails the case. */
+  /** Runs the action; a failure is recorded as an observation, which fails the case. */
   void attempt(ChannelAction action) {
     try {
       action.run();
--- a/emulator/src/test/java/dillcross/emulator/network/VirtualNetworkTest.java
+++ b/emulator/src/test/java/dillcross/emulator/network/VirtualNetworkTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Delays, cuts, pieces and the checksum of the emulated network. */
+/** Delays, partitions, segments and the checksum of the emulated network. */
 class VirtualNetworkTest {
   private static final long SAME_ZONE_US = 100;
   private static final long OTHER_ZONE_US = 1_000;
@@ -100,13 +100,13 @@
   }
 
   @Test
-  void holdsDataBackDuringCutAndDeliversItInOrderAfterwards() {
+  void holdsDataBackDuringPartitionAndDeliversItInOrderAfterwards() {
     listen();
     SocketEndpoint client = connect("b");
-    clock.at(2_000, () -> network.cut("b", "a", true));
+    clock.at(2_000, () -> network.partition("b", "a", true));
     clock.at(3_000, () -> client.send(new byte[5], null));
     clock.at(4_000, client::close);
-    clock.at(50_000, () -> network.cut("a", "b", false));
+    clock.at(50_000, () -> network.partition("a", "b", false));
     run();
     assertEquals(
         List.of("2000 client connected", "51000 server 5 bytes", "51000 server end"), events);
@@ -116,31 +116,31 @@
   void dropsHeldBackDataOfSocketClosedWithReset() {
     listen();
     SocketEndpoint client = connect("b");
-    clock.at(2_000, () -> network.cut("b", "a", true));
+    clock.at(2_000, () -> network.partition("b", "a", true));
     clock.at(3_000, () -> client.send(new byte[5], null));
     clock.at(4_000, client::reset);
-    clock.at(50_000, () -> network.cut("a", "b", false));
+    clock.at(50_000, () -> network.partition("a", "b", false));
     run();
     assertEquals(List.of("2000 client connected", "51000 server reset"), events);
   }
 
   @Test
-  void endsOverlappingCutsWithTheLast() {
+  void endsOverlappingPartitionsWithTheLast() {
     listen();
-    network.cut("a", "b", true);
-    network.cut("a", "b", true);
+    network.partition("a", "b", true);
+    network.partition("a", "b", true);
     connect("b");
-    clock.at(5_000, () -> network.cut("a", "b", false));
-    clock.at(9_000, () -> network.cut("a", "b", false));
+    clock.at(5_000, () -> network.partition("a", "b", false));
+    clock.at(9_000, () -> network.partition("a", "b", false));
     run();
     assertEquals(List.of("11000 client connected"), events);
   }
 
   @Test
-  void carriesDataInPiecesAndTellsWhenTheLastWasRead() {
+  void deliversDataInSegmentsAndReportsWhenTheLastWasRead() {
     listen();
     SocketEndpoint client = connect("a");
-    clock.at(200, () -> network.setMaxPieceBytes(4));
+    clock.at(200, () -> network.setMaxSegmentBytes(4));
     clock.at(300, () -> client.send(new byte[10], () -> events.add(clock.now() + " read")));
     run();
     assertEquals(
@@ -154,9 +154,9 @@
   }
 
   @Test
-  void silentMachineNeitherAnswersNorRefuses() {
+  void machineThatIsOffNeitherAnswersNorRefuses() {
     listen();
-    network.vanish(server);
+    network.turnOff(server);
     connect("a");
     run();
     assertEquals(List.of(), events);
@@ -166,7 +166,7 @@
   void resetsConnectionsOfKilledProcess() {
     listen();
     connect("a");
-    clock.at(1_000, () -> network.kill(server));
+    clock.at(1_000, () -> network.resetConnections(server));
     run();
     assertEquals(List.of("200 client connected", "1100 client reset"), events);
     assertEquals(0, server.connectionCount());
--- a/emulator/src/test/java/dillcross/emulator/network/WireContractTest.java
+++ b/emulator/src/test/java/dillcross/emulator/network/WireContractTest.java
@@ -13,7 +13,7 @@
  * the emulated network.
  */
 class WireContractTest {
-  /** More than the buffers of one connection hold on any system. */
+  /** More bytes than the socket buffers of one connection hold on any system. */
   private static final int LARGE_BYTES = 8 << 20;
 
   private static final int REQUEST_BYTES = 300;
@@ -145,7 +145,10 @@
         "connecting side: END_OF_INPUT");
   }
 
-  /** The accepting side stops reading, answers, and reads on when the other side has read that. */
+  /**
+   * The accepting side suspends reading and sends one byte. It resumes reading when the other side
+   * has read that byte.
+   */
   private static final class SlowReader extends TransportCase {
     private boolean isAllSent;
 
@@ -181,7 +184,7 @@
     private void onConnectedReadable() {
       readAll(connected());
       readByteCount(1);
-      observe("connecting side: asked to wait, all sent " + isAllSent);
+      observe("connecting side: byte received, all sent " + isAllSent);
       attempt(() -> accepted().setReadInterest(true));
     }
   }
@@ -192,12 +195,12 @@
         SlowReader::new,
         "accepted",
         "accepted side: readable, all sent false",
-        "connecting side: asked to wait, all sent false",
+        "connecting side: byte received, all sent false",
         "connecting side: all sent",
         "accepted side: all received");
   }
 
-  /** The accepting side asks to be called once more although it has read everything. */
+  /** The accepting side schedules a further read although it has read everything. */
   private static final class ScheduledRead extends TransportCase {
     private int callCount;
     private boolean isWithinCall;
