--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -40,7 +40,7 @@
    * @param startMs start-up time in milliseconds
    * @param descriptors limit on file descriptors
    * @param memoryMb memory limit in MiB
-   * @param calls number of warm-up requests that a sidecar sends to itself
+   * @param warmUpRequests number of warm-up requests that a sidecar sends to itself
    */
   public record SidecarGroup(
       int count,
@@ -49,7 +49,7 @@
       Range startMs,
       int descriptors,
       int memoryMb,
-      int calls) {}
+      int warmUpRequests) {}
 
   /**
    * One request class, as configured in the sidecars and executed by the endpoints.
@@ -84,26 +84,26 @@
   /**
    * The clients of each sidecar.
    *
-   * @param perS requests per second
-   * @param retry none, at_once or after the advised time
+   * @param requestsPerSecond requests per second
+   * @param retry none, at_once, or after for the time that the rejection advises
    * @param retries maximum number of retries of a request
    * @param leaveShare share of requests whose client disconnects early
    * @param leaveMs time in milliseconds until such a client disconnects
    * @param pieceShare share of requests sent in several parts
    * @param closeShare share of requests after which the connection closes
-   * @param resting number of idle connections, used by the fault {@code wake}
-   * @param patienceMs time in milliseconds that clients wait beyond the deadline
+   * @param idleConnections number of connections kept idle until the fault {@code wake}
+   * @param extraWaitMs time in milliseconds that clients wait beyond the timeout of a request
    */
   public record ClientSettings(
-      double perS,
+      double requestsPerSecond,
       String retry,
       int retries,
       double leaveShare,
       Range leaveMs,
       double pieceShare,
       double closeShare,
-      int resting,
-      double patienceMs) {}
+      int idleConnections,
+      double extraWaitMs) {}
 
   /**
    * The endpoints.
@@ -115,8 +115,8 @@
    * @param queue maximum number of queued requests
    * @param connections maximum number of connections
    * @param idleMs time in milliseconds after which an idle connection closes
-   * @param chokeAbove number of requests in flight above which an endpoint slows down
-   * @param choke slowdown for each request above that number
+   * @param overloadThreshold number of requests in flight above which an endpoint slows down
+   * @param overloadSlowdown slowdown for each request above that number
    * @param speed relative speed, drawn for each endpoint
    * @param graceMs grace period of a drain in milliseconds
    * @param reportShare share of responses that carry a load report
@@ -130,8 +130,8 @@
       int queue,
       int connections,
       double idleMs,
-      double chokeAbove,
-      double choke,
+      double overloadThreshold,
+      double overloadSlowdown,
       Range speed,
       double graceMs,
       double reportShare,
@@ -141,18 +141,19 @@
    * The discovery service.
    *
    * @param delayMs response delay in milliseconds
-   * @param tellMs time in milliseconds until watches are notified of a change of the endpoints
+   * @param notificationDelayMs time in milliseconds until watches are notified of a change of the
+   *     endpoints
    */
-  public record DiscoverySettings(Range delayMs, double tellMs) {}
+  public record DiscoverySettings(Range delayMs, double notificationDelayMs) {}
 
   /**
    * Network delays.
    *
-   * @param nearUs one-way delay within a zone in µs
-   * @param farUs one-way delay between zones in µs
+   * @param sameZoneDelayUs one-way delay within a zone in µs
+   * @param otherZoneDelayUs one-way delay between zones in µs
    * @param jitterUs random additional delay in µs
    */
-  public record NetworkSettings(double nearUs, double farUs, double jitterUs) {}
+  public record NetworkSettings(double sameZoneDelayUs, double otherZoneDelayUs, double jitterUs) {}
 
   /**
    * Tolerances of the oracle.
--- a/emulator/src/main/java/dillcross/emulator/simulation/ArrivalProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ArrivalProcess.java
@@ -3,7 +3,7 @@
 import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.time.TimeUnits;
 
-/** Poisson arrivals of requests at one sidecar, at a rate that faults may change meanwhile. */
+/** Poisson arrivals of requests at one sidecar, at a rate that faults can change during the run. */
 final class ArrivalProcess {
   /** Longest wait before the rate is read again, so that a changed rate applies soon. */
   private static final long MAX_WAIT_US = 50_000;
@@ -14,7 +14,10 @@
   private final Runnable onArrival;
   private double rateFactor = 1;
 
-  /** Draws waits from {@code random}, which {@code onArrival} may draw from too. */
+  /**
+   * Creates a process that draws its waits from {@code random}. {@code onArrival} may draw from the
+   * same stream.
+   */
   ArrivalProcess(
       SimulationContext context,
       RandomStream random,
@@ -31,7 +34,7 @@
     rateFactor *= factor;
   }
 
-  /** Lets requests arrive from now until the given time in µs. */
+  /** Generates arrivals from now until the given time in µs. */
   void runUntil(long untilUs) {
     double ratePerSecond = baseRatePerSecond * rateFactor;
     long waitUs = waitUs(ratePerSecond);
@@ -39,7 +42,8 @@
         waitUs,
         () -> {
           if (context.now() < untilUs) {
-            // A wait cut short is drawn again, since arrivals have no memory.
+            // A wait cut to the maximum brings no arrival and is drawn again. That does not change
+            // the distribution, since exponential waits are memoryless.
             if (ratePerSecond > 0 && waitUs < MAX_WAIT_US) {
               onArrival.run();
             }
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
@@ -6,8 +6,8 @@
 import dillcross.emulator.time.TimeUnits;
 
 /**
- * A client's connection to its sidecar, which carries one request at a time. Reads answers, checks
- * them with the oracle, and tells why the connection ended.
+ * A client's connection to its sidecar, which carries one request at a time. Reads the answers, has
+ * the oracle check them, and determines why the connection ended.
  */
 final class ClientConnection implements SocketEndpoint.Owner {
   private final SimulationContext context;
@@ -16,14 +16,18 @@
   private final boolean isReserved;
   private SocketEndpoint socket; // null before the first request
   private HttpStreamReader incoming = new HttpStreamReader();
-  private ObservedRequest request; // that awaits its answer; null while idle
-  private ObservedRequest lastRequest;
-  private int requestByteCount;
-  private boolean isResent;
+  private ObservedRequest request; // the request that awaits its answer; null while idle
+  private ObservedRequest lastRequest; // the latest request that ended; null if none has
+  private int requestByteCount; // length of the latest request in bytes, with its head
+  private boolean isResent; // whether the request was sent again on a new connection
   private boolean isClosed;
   private String process; // name of the sidecar process when the request was sent
 
-  /** {@code isReserved} keeps the connection out of the pool of idle ones. */
+  /**
+   * Creates a connection, which is opened for its first request.
+   *
+   * @param isReserved whether the connection stays out of the pool of idle connections
+   */
   ClientConnection(
       SimulationContext context,
       EmulatedClients clients,
@@ -35,7 +39,7 @@
     this.isReserved = isReserved;
   }
 
-  /** Whether it is open and carries no request. */
+  /** Whether the connection is open and carries no request. */
   boolean isIdle() {
     return !isClosed && request == null && socket != null && socket.isOpen() && !socket.wasReset();
   }
@@ -44,7 +48,7 @@
     return isClosed;
   }
 
-  /** Sends the request, after connecting if this is the first. */
+  /** Sends the request, after connecting if it is the first request of the connection. */
   void send(ObservedRequest next) {
     clients.onRequestStarted();
     request = next;
@@ -111,9 +115,9 @@
         sent.requestClass().name(),
         "try",
         sent.retryNumber());
-    double patienceMs = context.scenario().clients().patienceMs();
+    double extraWaitMs = context.scenario().clients().extraWaitMs();
     context.after(
-        sent.timeoutUs() + TimeUnits.toMicros(patienceMs),
+        sent.timeoutUs() + TimeUnits.toMicros(extraWaitMs),
         () -> {
           if (request == sent && !incoming.hasHead()) {
             context.oracle().timedOut(sent);
@@ -199,7 +203,7 @@
             && incoming.bodyLength() >= request.requestClass().answerBytes());
   }
 
-  /** The sidecar has closed the connection, or its process has ended. */
+  /** Handles the end of input: the sidecar closed the connection, or its process ended. */
   private void handleEnd() {
     boolean isUnread =
         request != null
@@ -211,18 +215,18 @@
     if (request == null) {
       isClosed = true;
     } else if (isUnread && !hasProcessEnded) {
-      // The request crossed the sidecar's close of an idle connection: sent again once.
+      // The sidecar closed the idle connection before the request arrived: it is sent again once.
       isResent = true;
       request.markResending();
       connect();
     } else {
       isClosed = true;
-      judgeEnd(hasProcessEnded);
+      recordMissingAnswer(hasProcessEnded);
       finishRequest();
     }
   }
 
-  private void judgeEnd(boolean hasProcessEnded) {
+  private void recordMissingAnswer(boolean hasProcessEnded) {
     if (hasProcessEnded) {
       request.markOrphaned();
       context.note("ended", "op", request.id());
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientRequestSender.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientRequestSender.java
@@ -7,12 +7,15 @@
 import java.util.Arrays;
 
 /**
- * Sends one request on a client's connection: at once or in pieces, and leaves before the answer if
- * so drawn. All draws come from a stream of the request's own, so that they do not depend on which
- * connection was free.
+ * Sends one request on a client's connection, whole or in pieces. If so drawn, the client then
+ * disconnects before the answer. All draws come from a random stream of the request, so that they
+ * do not depend on which connection was free.
  */
 final class ClientRequestSender {
-  /** Beyond this size the deadline counts from when the sidecar has read the last byte. */
+  /**
+   * Length in bytes above which the timeout starts when the sidecar has read the last byte of the
+   * body, and not when the client has sent it.
+   */
   private static final int STREAMED_BODY_BYTES = 64 << 10;
 
   private static final int MIN_BYTES_TO_SPLIT = 8;
@@ -29,7 +32,7 @@
   private final RandomStream random;
   private final byte[] bytes;
 
-  /** Prepares the request for that socket of the connection. */
+  /** Creates the sender of the request on the current socket of the connection. */
   ClientRequestSender(
       SimulationContext context,
       ClientConnection connection,
@@ -45,7 +48,7 @@
     bytes = message();
   }
 
-  /** Length of the request on the network. */
+  /** Length of the request in bytes, with its head. */
   int byteCount() {
     return bytes.length;
   }
@@ -74,7 +77,10 @@
         isLast ? "close" : null);
   }
 
-  /** Schedules all pieces; {@code leaveShare} of clients close before the answer. */
+  /**
+   * Schedules the sending of all pieces and, with the probability {@code leaveShare}, the client's
+   * early disconnect.
+   */
   void send(double leaveShare) {
     int pieceCount = pieceCount();
     long delayUs = 0;
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryCall.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryCall.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection to the discovery service, and the request on it: the endpoints, or a watch that is
- * answered once they have changed or its timeout has passed.
+ * One connection to the discovery service. Each request asks for the endpoint list, or watches it:
+ * a watch is answered once the list has changed or the timeout of the watch has passed.
  */
 final class DiscoveryCall implements SocketEndpoint.Owner {
   private static final long MAX_WATCH_MS = 60_000;
@@ -15,8 +15,8 @@
   private final DiscoveryService service;
   private final SocketEndpoint socket;
   private final HttpStreamReader incoming = new HttpStreamReader();
-  private long sinceVersion;
-  private boolean isRequested;
+  private long sinceVersion; // version of the list that the caller has; 0 for none
+  private boolean isRequested; // whether a request awaits its answer
 
   DiscoveryCall(SimulationContext context, DiscoveryService service, SocketEndpoint socket) {
     this.context = context;
@@ -33,7 +33,7 @@
     if (incoming.isComplete() && !isRequested) {
       isRequested = true;
       double delayMs = service.drawDelayMs(socket.peerHost());
-      context.after(TimeUnits.toMicros(delayMs), this::begin);
+      context.after(TimeUnits.toMicros(delayMs), this::handleRequest);
     }
     if (socket.isInputOver()) {
       service.remove(this);
@@ -41,11 +41,11 @@
     }
   }
 
-  private void begin() {
+  private void handleRequest() {
     if (!service.isOpen(this)) {
       return;
     }
-    if (service.isOut()) {
+    if (service.isUnavailable()) {
       if (service.outage() == DiscoveryService.Outage.ERROR) {
         byte[] body = "{}".getBytes(StandardCharsets.US_ASCII);
         send(HttpStatus.SERVICE_UNAVAILABLE, body, null);
@@ -73,9 +73,9 @@
     return sinceVersion != service.registry().publishedVersion();
   }
 
-  /** Answers if the service is available and the version differs from the one the caller knows. */
+  /** Answers if the service is available and the list differs from the one that the caller has. */
   void answerIfChanged() {
-    if (!service.isOut() && hasChanged()) {
+    if (!service.isUnavailable() && hasChanged()) {
       answer();
     }
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -15,14 +15,14 @@
 import java.util.Set;
 
 /**
- * The discovery service: serves the endpoint list and watches of it at two addresses, and can be
- * unavailable, slow or outdated.
+ * The simulated discovery service. Serves the endpoint list and watches of it at two addresses.
+ * Faults make it unavailable, slow or outdated.
  */
 final class DiscoveryService implements VirtualNetwork.Acceptor {
-  /** The address that sidecars are configured with at first. */
+  /** The address that sidecars are configured with initially. */
   static final String ADDRESS = "127.10.0.1:8500";
 
-  /** Another address of the same service, for reloads that move the client. */
+  /** A second address of the same service; a reload of a sidecar switches between the two. */
   static final String OTHER_ADDRESS = "127.10.0.2:8500";
 
   /** How an unavailable service behaves. */
@@ -50,10 +50,10 @@
   private final EndpointRegistry registry = new EndpointRegistry();
   private final Set<DiscoveryCall> calls = new LinkedHashSet<>();
   private final Set<DiscoveryCall> watches = new LinkedHashSet<>();
-  private final Map<String, Integer> callCounts = new LinkedHashMap<>(); // by caller
+  private final Map<String, Integer> callCounts = new LinkedHashMap<>(); // by calling machine
   private SidecarProcesses sidecars;
   private int outageCount;
-  private Outage outage = Outage.REFUSE;
+  private Outage outage = Outage.REFUSE; // the kind that applies while outageCount > 0
   private int staleCount;
   private double extraDelayMs;
   private boolean isNotificationScheduled;
@@ -111,7 +111,7 @@
     }
     isNotificationScheduled = true;
     context.after(
-        TimeUnits.toMicros(context.scenario().discovery().tellMs()),
+        TimeUnits.toMicros(context.scenario().discovery().notificationDelayMs()),
         () -> {
           isNotificationScheduled = false;
           List.copyOf(watches).forEach(DiscoveryCall::answerIfChanged);
@@ -120,25 +120,28 @@
 
   // ---- Faults
 
-  /** Starts or ends one outage; with several at a time, the latest call's kind applies. */
+  /**
+   * Starts or ends one outage. Outages may overlap; the kind given by the latest call then applies.
+   */
   void setOutage(Outage kind, boolean isStarting) {
     outageCount += isStarting ? 1 : -1;
     outage = kind;
     if (isStarting && kind == Outage.SILENT) {
-      watches.clear(); // their connections stay open
+      watches.clear(); // never answered; the connections stay open
     } else if (isStarting) {
       dropCalls();
     }
     setListening(outageCount == 0 || outage != Outage.REFUSE);
   }
 
-  /** Changes the delay of each answer, in ms. */
+  /** Adds a delay in ms to each answer; a negative value removes a delay that was added before. */
   void addDelay(double millis) {
     extraDelayMs += millis;
   }
 
   /**
-   * Starts or ends one period in which the service serves an outdated list, as it was at the start.
+   * Starts or ends one period in which the service publishes the list as it was at the start of the
+   * period. Periods may overlap; the list is current again after the last one has ended.
    */
   void setStale(boolean isStarting) {
     staleCount += isStarting ? 1 : -1;
@@ -150,7 +153,7 @@
     }
   }
 
-  /** Restarts the service with new version numbers. */
+  /** Restarts the service: its connections are reset and version numbers start anew. */
   void renumber() {
     registry.renumber();
     dropCalls();
@@ -171,7 +174,7 @@
     calls.add(call);
   }
 
-  boolean isOut() {
+  boolean isUnavailable() {
     return outageCount > 0;
   }
 
@@ -179,7 +182,10 @@
     return outage;
   }
 
-  /** Delay in ms of the caller's next answer; each caller's calls have draws of their own. */
+  /**
+   * Draws the delay in ms of the caller's next answer. Each call of each caller has its own random
+   * stream, so that calls do not affect the delays of others.
+   */
   double drawDelayMs(VirtualMachine caller) {
     int callNumber = callCounts.merge(caller.toString(), 1, Integer::sum);
     RandomStream draws = random.named(caller + " " + callNumber);
@@ -190,7 +196,7 @@
     return calls.contains(call);
   }
 
-  /** Forgets a call whose connection has ended. */
+  /** Removes a call whose connection has ended. */
   void remove(DiscoveryCall call) {
     calls.remove(call);
     watches.remove(call);
@@ -208,9 +214,9 @@
     return watches.contains(call);
   }
 
-  // ---- What sidecars have read
+  // ---- Lists that sidecars have read
 
-  /** Reports to the oracle what the process on the caller's machine has read. */
+  /** Reports to the oracle that the process on the caller's machine has read the update. */
   void onUpdateRead(VirtualMachine caller, EndpointRegistry.Update update) {
     String process = sidecars.processNameOn(caller);
     reportRead(process, update.entries());
@@ -232,12 +238,12 @@
     }
   }
 
-  /** The list in JSON as a sidecar reads it from its cache before it starts. */
+  /** The current list in JSON, as a sidecar reads it from its cache when it starts. */
   Map<String, Object> cachedList() {
     return registry.current().toJson();
   }
 
-  /** Reports to the oracle that a starting process knows the cached list. */
+  /** Reports to the oracle that a starting process has read the cached list. */
   void onCachedListRead(String process) {
     reportRead(process, registry.current().entries());
   }
@@ -248,7 +254,7 @@
     }
   }
 
-  /** The object as UTF-8 JSON. */
+  /** Formats the object as JSON in UTF-8. */
   static byte[] toJsonBytes(Map<String, Object> json) {
     try {
       return JSON.std.asBytes(json);
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * The application beside one sidecar. Its requests arrive independently of earlier answers. It
- * reuses idle connections, most recently used first, opens another when all are busy, and retries
- * rejected requests as the scenario says.
+ * The clients of one sidecar, on the same machine. Requests arrive independently of earlier
+ * answers. They reuse idle connections, most recently used first, and open a further one if all are
+ * busy. Rejected requests are retried as the scenario says.
  */
 final class EmulatedClients {
   private static final double IMMEDIATE_RETRY_MS = 1;
@@ -25,15 +25,15 @@
   private final double totalShare;
   private final ArrivalProcess arrivals;
   private final InvalidClients invalidClients;
-  private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>(); // last used at the end
-  private final List<ClientConnection> reserved = new ArrayList<>();
+  private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>(); // most recently used last
+  private final List<ClientConnection> reserved = new ArrayList<>(); // idle until woken by a fault
   private double leaveShare;
   private long createdCount;
   private long openCount;
   private long notAcceptedCount;
   private long retryCount;
 
-  /** The clients of that sidecar; none sends before {@link #start}. */
+  /** Creates the clients of the sidecar, which send nothing before {@link #start}. */
   EmulatedClients(SimulationContext context, SidecarProcess sidecar) {
     this.context = context;
     this.sidecar = sidecar;
@@ -44,40 +44,42 @@
     leaveShare = settings.leaveShare();
     arrivals =
         new ArrivalProcess(
-            context, random, settings.perS(), () -> sendOnAnyConnection(newRequest()));
+            context, random, settings.requestsPerSecond(), () -> sendOnAnyConnection(newRequest()));
     invalidClients = new InvalidClients(context, sidecar);
   }
 
-  /** Requests that await an answer or a retry. */
+  /** Number of requests that await an answer or a retry. */
   long openCount() {
     return openCount;
   }
 
-  /** Requests that no sidecar process accepted. */
+  /** Number of requests whose connection no sidecar process accepted. */
   long notAcceptedCount() {
     return notAcceptedCount;
   }
 
-  /** Retries that clients made after a rejection. */
+  /** Number of retries that clients made after a rejection. */
   long retryCount() {
     return retryCount;
   }
 
-  /** The stream of these clients, from which each request's own stream derives. */
+  /** The random stream of these clients, of which each request's stream is a child. */
   RandomStream random() {
     return random;
   }
 
-  /** Share of clients that leave before the answer, at present. */
+  /** Current share of requests whose client disconnects before the answer. */
   double leaveShare() {
     return leaveShare;
   }
 
   // ---- Requests
 
-  /** Opens the reserved connections, and lets requests arrive until the given time in µs. */
+  /**
+   * Sends a request on each reserved connection, and generates arrivals until the given time in µs.
+   */
   void start(long untilUs) {
-    for (int i = 0; i < settings.resting(); i++) {
+    for (int i = 0; i < settings.idleConnections(); i++) {
       ClientConnection connection = new ClientConnection(context, this, sidecar, true);
       reserved.add(connection);
       connection.send(newRequest());
@@ -145,14 +147,15 @@
     notAcceptedCount++;
   }
 
-  /** Returns a connection to the pool. */
+  /** Returns a connection to the pool of idle connections. */
   void addIdle(ClientConnection connection) {
     idle.addLast(connection);
   }
 
   /**
-   * Retries a rejected request if the scenario says so. {@code retryAfter} is the header's value in
-   * seconds, or null.
+   * Retries a rejected request if the scenario says so.
+   *
+   * @param retryAfter value of the Retry-After header field in seconds; null if it was absent
    */
   void onRejected(ObservedRequest request, String retryAfter) {
     if (request.retryNumber() >= settings.retries() || settings.retry().equals("none")) {
@@ -173,17 +176,23 @@
 
   // ---- Faults
 
-  /** Multiplies the arrival rate. */
+  /** Multiplies the arrival rate; factors of overlapping faults multiply. */
   void multiplyRate(double factor) {
     arrivals.multiplyRate(factor);
   }
 
-  /** Sets the share of clients that leave early, or restores the scenario's. */
+  /**
+   * Sets the share of requests whose client disconnects early, or restores the scenario's share if
+   * {@code isActive} is false.
+   */
   void setLeaveShare(double share, boolean isActive) {
     leaveShare = isActive ? share : settings.leaveShare();
   }
 
-  /** Sends on reserved connections, each at a time drawn within {@code withinUs} from now. */
+  /**
+   * Sends a request on each of {@code count} reserved connections, at a time drawn within {@code
+   * withinUs} from now.
+   */
   void wakeReserved(int count, long withinUs, RandomStream draws) {
     for (int i = 0; i < Math.min(count, reserved.size()); i++) {
       ClientConnection connection = reserved.get(i);
@@ -199,7 +208,10 @@
     }
   }
 
-  /** Starts clients that send invalid requests. */
+  /**
+   * Starts {@code count} clients that send invalid requests, each at a time drawn within {@code
+   * withinUs} from now.
+   */
   void startInvalid(int count, long withinUs, RandomStream draws) {
     invalidClients.start(count, withinUs, draws);
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
@@ -9,12 +9,15 @@
 import java.util.Set;
 
 /**
- * An endpoint: a machine and the process on it, which starts, ends and starts again. Accepts
- * connections; {@link EndpointCores} carries out requests, {@link SlowStartMonitor} knows the
- * capacity while warming up, {@link EndpointFaults} what is wrong with it.
+ * A simulated endpoint: a machine and the process on it, which can end and start again. Accepts
+ * connections. {@link EndpointCores} executes the requests, {@link SlowStartMonitor} computes the
+ * capacity in slow start, and {@link EndpointFaults} holds the active faults.
  */
 final class EmulatedEndpoint implements VirtualNetwork.Acceptor {
-  /** A machine that is off; connects to it neither succeed nor fail. */
+  /**
+   * Listens in place of the endpoint while it is unreachable: attempts to connect neither succeed
+   * nor fail.
+   */
   private static final VirtualNetwork.Acceptor UNREACHABLE =
       new VirtualNetwork.Acceptor() {
         private final VirtualMachine host = VirtualNetwork.unreachableMachine();
@@ -26,7 +29,7 @@
 
         @Override
         public void onConnection(SocketEndpoint end) {
-          throw new IllegalStateException("a silent machine accepted a connection");
+          throw new IllegalStateException("an unreachable machine accepted a connection");
         }
       };
 
@@ -47,7 +50,7 @@
   private boolean isDraining;
   private boolean isRetired;
 
-  /** An endpoint whose process does not run yet; {@code address} is {@code ip:port}. */
+  /** Creates an endpoint whose process does not run yet; {@code address} is {@code ip:port}. */
   EmulatedEndpoint(
       SimulationContext context,
       EmulatedEndpoints endpoints,
@@ -107,17 +110,20 @@
     return cores;
   }
 
-  /** The endpoint's own stream of draws. */
+  /** The endpoint's random stream. */
   RandomStream random() {
     return random;
   }
 
-  /** Number of the current process; timers of an earlier process compare it and do nothing. */
+  /**
+   * A number that changes whenever the process starts or ends. Timers compare it, and do nothing if
+   * they belong to an earlier process.
+   */
   int incarnation() {
     return incarnation;
   }
 
-  /** When the process started, in ms since 1970; 0 if it has been warm since before the run. */
+  /** When the process started, in ms since 1970; 0 if it is warm since before the run. */
   long startedMs() {
     return startedMs;
   }
@@ -134,7 +140,7 @@
     return isDraining;
   }
 
-  /** Whether it has left for good, so that it must not start again. */
+  /** Whether the endpoint was removed for good, so that it must not start again. */
   boolean isRetired() {
     return isRetired;
   }
@@ -143,14 +149,17 @@
     return connections.size();
   }
 
-  /** Name of the sidecar process that runs on that machine. */
+  /** Name of the sidecar process on that machine; the machine's name if it has no sidecar. */
   String sidecarProcess(VirtualMachine sidecarHost) {
     return endpoints.sidecarProcess(sidecarHost);
   }
 
   // ---- Process
 
-  /** Starts the process, which warms up from {@code atMs} on, or is warm if that is 0. */
+  /**
+   * Starts the process. Its slow start begins at {@code atMs}, in ms since 1970; if that is 0, it
+   * is warm at once.
+   */
   void start(long atMs) {
     startedMs = atMs;
     incarnation++;
@@ -159,12 +168,12 @@
     context.network().listen(address, this);
   }
 
-  /** Rejects all further requests and closes each connection after its response. */
+  /** From now on rejects all requests and closes each connection after its response. */
   void drain() {
     isDraining = true;
   }
 
-  /** Marks it as gone for good. */
+  /** Marks the endpoint as removed for good, so that it does not start again. */
   void retire() {
     isRetired = true;
   }
@@ -176,7 +185,7 @@
     connections.clear();
   }
 
-  /** Turns the machine off: it neither answers nor resets connections. */
+  /** Turns the machine off: its open connections get neither answers nor resets. */
   void vanish() {
     stop();
     context.network().turnOff(host);
@@ -198,7 +207,7 @@
 
   // ---- Connections
 
-  /** Sets whether new connects are answered; open connections stay as they are. */
+  /** Sets whether attempts to connect are answered; open connections are not affected. */
   void setReachable(boolean isReachable) {
     context.network().unlisten(address);
     if (!isReachable) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * All endpoints of a run by their place, including replacements, and the groups that recognise
- * repeated work. Keeps the discovery service up to date about starts and departures.
+ * The endpoints of a run, and the groups of endpoints that recognise duplicate requests. A place is
+ * the index of an endpoint in the scenario; a replacement takes the place of its predecessor.
+ * Starts and removals of endpoints are reported to the discovery service.
  */
 final class EmulatedEndpoints {
 
@@ -21,13 +22,13 @@
   private static final String PORT = ":9000";
 
   private final SimulationContext context;
-  private final List<EmulatedEndpoint> byPlace = new ArrayList<>(); // the current one of each place
-  private final List<Integer> generations = new ArrayList<>();
+  private final List<EmulatedEndpoint> byPlace = new ArrayList<>(); // current endpoint per place
+  private final List<Integer> generations = new ArrayList<>(); // replacements so far, by place
   private final Map<String, DeduplicationMemory> deduplicationGroups = new HashMap<>();
   private final DiscoveryService discovery;
   private SidecarProcesses sidecars;
 
-  /** Starts all endpoints of the scenario, warm, and lists them. */
+  /** Starts all endpoints of the scenario, warm, and adds them to the endpoint list. */
   EmulatedEndpoints(SimulationContext context, DiscoveryService discovery) {
     this.context = context;
     this.discovery = discovery;
@@ -69,8 +70,11 @@
     return byPlace.get(place);
   }
 
-  /** The current endpoints that a fault's target names: all, a zone, or one place. */
-  List<EmulatedEndpoint> named(String target) {
+  /**
+   * The current endpoints that match a fault's target: {@code all}, {@code zone} with a name, or
+   * the id of the first endpoint of a place.
+   */
+  List<EmulatedEndpoint> matching(String target) {
     return byPlace.stream()
         .filter(
             endpoint ->
@@ -81,7 +85,7 @@
         .toList();
   }
 
-  /** Name of the sidecar process that runs on that machine. */
+  /** Name of the sidecar process on that machine; the machine's name if it has no sidecar. */
   String sidecarProcess(VirtualMachine host) {
     return sidecars.processNameOn(host);
   }
@@ -94,7 +98,10 @@
         .allMatch(process -> context.oracle().knowsStart(process, id, startedMs));
   }
 
-  /** The memory of the group that the endpoint belongs to for that request class. */
+  /**
+   * The memory that the endpoint shares, for requests of that class, with the other endpoints in
+   * the deduplication scope of the class.
+   */
   DeduplicationMemory deduplicationMemory(
       Scenario.RequestClass requestClass, EmulatedEndpoint endpoint) {
     String scopeSuffix =
@@ -109,7 +116,7 @@
 
   // ---- Faults
 
-  /** Ends the endpoint's process if it runs. */
+  /** Kills the endpoint's process if it runs. */
   void kill(EmulatedEndpoint endpoint) {
     if (endpoint.isRunning()) {
       context.note("die", "endpoint", endpoint.id());
@@ -125,7 +132,10 @@
     }
   }
 
-  /** Starts the endpoint again, warming up, and lists its start time. */
+  /**
+   * Starts the endpoint again in slow start and publishes its start time. Does nothing if it runs
+   * or was removed for good.
+   */
   void restore(EmulatedEndpoint endpoint) {
     if (!endpoint.isRunning() && !endpoint.isRetired()) {
       context.note("back", "endpoint", endpoint.id());
@@ -136,8 +146,9 @@
   }
 
   /**
-   * Drains the endpoint, retires it after the grace period, and starts a replacement halfway. It
-   * accepts requests for the first half, because sidecars may not have read of the drain yet.
+   * Publishes that the endpoint drains, starts a replacement after half of the grace period, and
+   * removes the endpoint after all of it. The endpoint accepts requests during the first half,
+   * because sidecars may not know of the drain yet.
    */
   void replace(EmulatedEndpoint endpoint) {
     int place = byPlace.indexOf(endpoint);
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
@@ -12,15 +12,18 @@
 
 /**
  * One HTTP connection to an endpoint: reads one request after another, checks its content, rejects
- * it or hands it to the cores, and sends the response. A connection of an earlier process of the
+ * it or submits it to the cores, and sends the response. A connection of an earlier process of the
  * endpoint ignores all input.
  */
 final class EndpointConnection implements SocketEndpoint.Owner {
-  /** A larger response is sent in chunks of this size, with a pause before each further one. */
+  /**
+   * A larger response is sent in parts of this size, {@link #SEND_CHUNK_INTERVAL_US} apart. This is
+   * independent of chunked transfer encoding.
+   */
   private static final int SEND_CHUNK_BYTES = 32 << 10;
 
   private static final long SEND_CHUNK_INTERVAL_US = 1500;
-  private static final long DEFAULT_TIMEOUT_MS = 1000;
+  private static final long DEFAULT_TIMEOUT_MS = 1000; // for requests without a timeout field
 
   private final SimulationContext context;
   private final EmulatedEndpoint endpoint;
@@ -28,14 +31,14 @@
   private final SocketEndpoint socket;
   private final int incarnation;
   private final HttpStreamReader incoming = new HttpStreamReader();
-  private ObservedRequest request; // that is read or carried out; null between requests
-  private ObservedRequest.Attempt attempt;
+  private ObservedRequest request; // null between requests, and for an unknown request
+  private ObservedRequest.Attempt attempt; // carries the request; null if request is null
   private boolean isHeadHandled;
-  private EndpointWork work; // null until the request was accepted
+  private EndpointWork work; // null unless the endpoint has accepted the request
   private long idleSinceUs;
   private boolean isClosed;
 
-  /** A connection that has just come up. */
+  /** Creates a connection that was just established. */
   EndpointConnection(SimulationContext context, EmulatedEndpoint endpoint, SocketEndpoint socket) {
     this.context = context;
     this.endpoint = endpoint;
@@ -48,7 +51,7 @@
     return isClosed;
   }
 
-  /** Starts the idle timeout, after which the connection is closed. */
+  /** Closes the connection if it is still idle after the idle timeout. */
   void startIdleTimer() {
     idleSinceUs = context.now();
     long startedUs = idleSinceUs;
@@ -176,7 +179,7 @@
     }
   }
 
-  /** Why the endpoint does not accept the request, in the words of the trace. */
+  /** Why the endpoint rejects the request, as written to the trace; empty if it is accepted. */
   private Optional<String> rejectionReason() {
     if (endpoint.isDraining()) {
       return Optional.of("drain");
@@ -201,18 +204,22 @@
 
   // ---- Response
 
-  /** Sends a short response; {@code isNotStarted} tells the sidecar that the request never ran. */
+  /**
+   * Sends a short response.
+   *
+   * @param isNotStarted whether the response declares that the request was not executed
+   */
   void answer(int status, String text, boolean isNotStarted) {
     byte[] body = text.getBytes(StandardCharsets.ISO_8859_1);
     send(status, body, isNotStarted ? "1" : null, false);
   }
 
-  /** Sends the regular response of a request that was carried out. */
+  /** Sends the regular response of a request that was executed. */
   void sendResult(byte[] body) {
     send(HttpStatus.OK, body, null, settings.chunks());
   }
 
-  /** Sends bytes as they are, without ending the exchange. */
+  /** Sends the bytes unchanged; the request remains the current one. */
   void sendRaw(byte[] bytes) {
     socket.send(bytes, null);
   }
@@ -280,13 +287,13 @@
     }
   }
 
-  /** Closes the connection in order, and ends the attempt on it. */
+  /** Closes the connection without a reset, and records the end of the attempt on it. */
   void close() {
     markClosed();
     socket.close();
   }
 
-  /** Closes the connection with a reset, and ends the attempt on it. */
+  /** Closes the connection with a reset, and records the end of the attempt on it. */
   void reset() {
     markClosed();
     socket.reset();
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointCores.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointCores.java
@@ -11,8 +11,8 @@
  * the process is paused nothing starts and nothing finishes.
  */
 final class EndpointCores {
-  /** A recognised repeat only returns the stored result, at this fraction of the work. */
-  private static final int REPEAT_COST_DIVISOR = 10;
+  /** A recognised duplicate returns the stored result, in the processing time divided by this. */
+  private static final int DUPLICATE_COST_DIVISOR = 10;
 
   private final SimulationContext context;
   private final EmulatedEndpoint endpoint;
@@ -40,12 +40,12 @@
     speedPerCore = settings.cores() * endpoint.speed() / coreCount;
   }
 
-  /** Requests that occupy a core. */
+  /** Number of requests that occupy a core. */
   int runningCount() {
     return runningCount;
   }
 
-  /** Requests that wait for a core. */
+  /** Number of requests that wait for a core. */
   int queuedCount() {
     return queue.size();
   }
@@ -60,7 +60,7 @@
     startQueued();
   }
 
-  /** Takes the work out of the queue if it has not started. */
+  /** Removes the work from the queue; no effect if it has started. */
   void cancel(EndpointWork work) {
     queue.remove(work);
   }
@@ -106,7 +106,7 @@
     double durationUs = durationUs(request);
     int incarnation = endpoint.incarnation();
     context.after(
-        Math.round(isFirst ? durationUs : durationUs / REPEAT_COST_DIVISOR),
+        Math.round(isFirst ? durationUs : durationUs / DUPLICATE_COST_DIVISOR),
         () -> {
           if (incarnation == endpoint.incarnation()) {
             finish(work);
@@ -120,14 +120,20 @@
         || requestClass.effect().equals("at_most_once")
         || endpoints
             .deduplicationMemory(requestClass, endpoint)
-            .first(request.key(), context.now(), TimeUnits.toMicros(requestClass.windowMs()));
+            .recordIfFirst(
+                request.key(), context.now(), TimeUnits.toMicros(requestClass.windowMs()));
   }
 
-  /** The work is drawn per request, so that it is the same at every endpoint and in any order. */
+  /**
+   * Processing time in µs of the request at the endpoint's current load, capacity and faults. The
+   * random part comes from a stream of the request, so that it is the same at every endpoint and in
+   * any order of requests.
+   */
   private double durationUs(ObservedRequest request) {
     Scenario.RequestClass requestClass = request.requestClass();
     int inFlightCount = runningCount + queue.size();
-    double overload = Math.max(0, inFlightCount - settings.chokeAbove()) * settings.choke();
+    double overload =
+        Math.max(0, inFlightCount - settings.overloadThreshold()) * settings.overloadSlowdown();
     double workUs =
         context
             .random()
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointFaults.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointFaults.java
@@ -1,8 +1,8 @@
 package dillcross.emulator.simulation;
 
 /**
- * The faults that are active at one endpoint. The {@link FaultInjector} switches them; the
- * endpoint's parts only read them.
+ * The faults that are active at one endpoint. The {@link FaultInjector} sets them; the parts of the
+ * endpoint only read them.
  */
 final class EndpointFaults {
   /** When a connection is reset, relative to the request on it. */
@@ -32,7 +32,7 @@
   private int silenceCount;
   private int maxConnections = Integer.MAX_VALUE;
 
-  /** Multiplies the time that each request takes; slowdowns that overlap multiply. */
+  /** Multiplies the time that each request takes; factors of overlapping faults multiply. */
   void multiplySlowdown(double factor) {
     slowdownFactor *= factor;
   }
@@ -60,7 +60,7 @@
     return malformedShare;
   }
 
-  /** Sets the share of connections that are reset, and when. */
+  /** Sets the share of requests whose connection is reset, and the moment of the reset. */
   void setResets(ResetMoment moment, double share) {
     resetMoment = moment;
     resetShare = share;
@@ -84,7 +84,7 @@
     return silenceCount > 0;
   }
 
-  /** Sets how many connections may be open before requests are rejected. */
+  /** Sets the number of open connections above which requests are rejected. */
   void setMaxConnections(int count) {
     maxConnections = count;
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointRegistry.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointRegistry.java
@@ -5,15 +5,18 @@
 import java.util.Map;
 
 /**
- * The versioned endpoint list. Each change has a version of its own. While frozen it publishes the
- * list as it was, and keeps recording changes.
+ * The versioned endpoint list of the discovery service. Each change increments the version. While
+ * frozen, the list is published as it was when it was frozen, and changes are still recorded.
  */
 final class EndpointRegistry {
   private static final long INITIAL_VERSION = 100;
   private static final long RENUMBERED_VERSION = 1;
   private static final double WEIGHT_STEPS_PER_UNIT = 100; // weights have two decimals
 
-  /** The response to a caller that knows some version: all entries, or those changed since. */
+  /**
+   * The content of a response: all entries if {@code isFull}, otherwise those that changed since
+   * the version that the caller has.
+   */
   record Update(long version, boolean isFull, List<ListedEndpoint> entries) {
     /** The response body's JSON. */
     Map<String, Object> toJson() {
@@ -47,24 +50,27 @@
     entries.put(endpoint.id(), entry);
   }
 
-  /** Marks the entry as terminated, so that callers learn of it. */
+  /** Marks the entry as terminated; updates then contain it as a change. */
   void remove(String endpoint) {
     version++;
     entries.put(endpoint, entries.get(endpoint).terminated(version));
   }
 
-  /** Publishes the present list until {@link #unfreeze}. */
+  /** Publishes the list in its current state until {@link #unfreeze}. */
   void freeze() {
     frozenEntries = new LinkedHashMap<>(entries);
     frozenVersion = version;
   }
 
-  /** Publishes the current list again. */
+  /** Publishes the list with all changes again. */
   void unfreeze() {
     frozenEntries = null;
   }
 
-  /** Restarts the version numbers, as a service does that lost its memory. */
+  /**
+   * Restarts the version numbers, as a service that lost its state. Removes terminated entries and
+   * ends a freeze.
+   */
   void renumber() {
     version = RENUMBERED_VERSION;
     entries.values().removeIf(ListedEndpoint::isTerminated);
@@ -77,7 +83,7 @@
     return frozenEntries == null ? version : frozenVersion;
   }
 
-  /** The response to a caller that knows {@code sinceVersion}, or 0 for none. */
+  /** The update for a caller that has the version {@code sinceVersion} of the list; 0 for none. */
   Update updateSince(long sinceVersion) {
     Map<String, ListedEndpoint> published = frozenEntries == null ? entries : frozenEntries;
     long publishedVersion = publishedVersion();
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointResponder.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointResponder.java
@@ -6,20 +6,20 @@
 import java.util.Arrays;
 
 /**
- * Sends the result of finished work: the regular response, or what the endpoint's active faults
- * make of it (a server error, a reset, malformed bytes).
+ * Sends the result of finished work: the regular response or, if a fault of the endpoint applies to
+ * the request, a server error, a reset or malformed bytes.
  */
 final class EndpointResponder {
   private static final int MALFORMED_BYTES = 40;
 
-  /** A response that is cut off keeps at least this much, so that its status line is readable. */
+  /** Minimum length in bytes of a truncated response, so that it contains the status line. */
   private static final int MIN_PARTIAL_RESPONSE_BYTES = 20;
 
   private final SimulationContext context;
   private final EmulatedEndpoint endpoint;
   private final RandomStream random;
 
-  /** Draws faults per request from streams below {@code random}. */
+  /** Whether a fault applies is drawn from a child stream of {@code random} for each request. */
   EndpointResponder(SimulationContext context, EmulatedEndpoint endpoint, RandomStream random) {
     this.context = context;
     this.endpoint = endpoint;
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointWork.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointWork.java
@@ -2,7 +2,7 @@
 
 import dillcross.emulator.oracle.ObservedRequest;
 
-/** One accepted request that waits for a core of its endpoint or is being carried out. */
+/** One accepted request that waits for a core of its endpoint or is being executed. */
 final class EndpointWork {
   private final EndpointConnection connection;
   private final ObservedRequest request;
@@ -10,7 +10,7 @@
   private final long deadlineUs;
   private boolean isAbandoned;
 
-  /** Work for the request on that connection; its client stops waiting at {@code deadlineUs}. */
+  /** Creates work for the request on the connection; it does not start after {@code deadlineUs}. */
   EndpointWork(
       EndpointConnection connection,
       ObservedRequest request,
@@ -38,7 +38,7 @@
     return nowUs > deadlineUs;
   }
 
-  /** Notes that the sender has closed the connection; the result is discarded. */
+  /** Records that the sender has closed the connection, so that the result is discarded. */
   void abandon() {
     isAbandoned = true;
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * The faults of one run: drawn in advance, each from a stream of its own, and started and ended
- * when their time comes.
+ * Draws the faults of a run in advance, each from its own random stream, and starts and ends them
+ * at their times.
  */
 public final class FaultInjector {
-  /** Time after a fault during which endpoints may still miss attempts. */
+  /** Time after a fault during which attempts may still be sent that no endpoint observes. */
   private static final long HIDDEN_ATTEMPTS_TAIL_US = 2_000_000;
 
   /** How often a restart checks whether the previous process has ended. */
@@ -29,7 +29,9 @@
   private final SidecarProcesses sidecars;
   private final List<EmulatedClients> clients;
 
-  /** {@code clients} are in the order of their sidecars' index. */
+  /**
+   * Creates the injector of a run; {@code clients} has the clients of each sidecar by its index.
+   */
   FaultInjector(
       SimulationContext context,
       EmulatedEndpoints endpoints,
@@ -43,7 +45,7 @@
     this.clients = clients;
   }
 
-  /** Draws the faults of one run, in the scenario's order, from streams below {@code random}. */
+  /** Draws the faults of one run, in the scenario's order, from child streams of {@code random}. */
   public static List<Drawn> draw(Scenario scenario, RandomStream random) {
     List<Drawn> drawn = new ArrayList<>();
     for (Fault fault : scenario.faults()) {
@@ -84,7 +86,7 @@
     };
   }
 
-  /** Schedules a fault, whose time counts from {@code firstArrivalUs}. */
+  /** Schedules a fault, whose start is relative to {@code firstArrivalUs}. */
   void schedule(Drawn drawn, long firstArrivalUs) {
     context.at(firstArrivalUs + drawn.atUs(), () -> begin(drawn));
   }
@@ -111,18 +113,20 @@
     switch (fault.kind().targetType()) {
       case ENDPOINT ->
           endpoints
-              .named(drawn.target())
+              .matching(drawn.target())
               .forEach(endpoint -> beginAtEndpoint(endpoint, drawn, endUs));
       case ENDPOINTS -> deploy(drawn);
       case LIST -> beginAtDiscovery(drawn, endUs);
       case ZONE, NETWORK -> beginInNetwork(drawn, endUs);
       case SIDECAR ->
-          sidecars.named(drawn.target()).forEach(sidecar -> beginAtSidecar(sidecar, drawn, endUs));
+          sidecars
+              .matching(drawn.target())
+              .forEach(sidecar -> beginAtSidecar(sidecar, drawn, endUs));
       case CLIENTS -> beginAtClients(drawn, endUs);
     }
   }
 
-  /** Whether attempts may be sent meanwhile that no endpoint observes. */
+  /** Whether attempts that no endpoint observes may be sent during a fault of this kind. */
   private static boolean hidesAttempts(Kind kind) {
     return switch (kind) {
       case VANISH,
@@ -147,7 +151,7 @@
     };
   }
 
-  /** Whether a sidecar may be unable meanwhile to read the current endpoint list. */
+  /** Whether a sidecar may be unable to read the current list during a fault of this kind. */
   private static boolean disturbsList(Kind kind) {
     return switch (kind) {
       case CUT, LAG, STALL, LIST_OUT, LIST_STALE -> true;
@@ -155,13 +159,13 @@
     };
   }
 
-  /** Switches a fault on now, and off at its end. */
+  /** Activates a fault now, and deactivates it at {@code endUs}. */
   private void during(long endUs, Consumer<Boolean> setActive) {
     setActive.accept(true);
     context.at(endUs, () -> setActive.accept(false));
   }
 
-  /** Starts a fault now, and ends it at its end. */
+  /** Starts a fault now, and ends it at {@code endUs}. */
   private void during(long endUs, Runnable start, Runnable end) {
     start.run();
     context.at(endUs, end);
@@ -190,7 +194,7 @@
               endUs, active -> faults.setMaxConnections(active ? (int) factor : Integer.MAX_VALUE));
       case BLACKHOLE -> during(endUs, active -> endpoint.setReachable(!active));
       case DRAIN -> endpoints.replace(endpoint);
-      default -> throw new IllegalStateException(fault.kind().word());
+      default -> throw new IllegalStateException("unexpected fault: " + fault.kind().word());
     }
   }
 
@@ -219,7 +223,7 @@
           during(endUs, () -> discovery.addDelay(factor), () -> discovery.addDelay(-factor));
       case LIST_STALE -> during(endUs, discovery::setStale);
       case LIST_RENUMBER -> discovery.renumber();
-      default -> throw new IllegalStateException(fault.kind().word());
+      default -> throw new IllegalStateException("unexpected fault: " + fault.kind().word());
     }
   }
 
@@ -248,7 +252,7 @@
             active ->
                 context.network().setMaxSegmentBytes(active ? maxSegmentBytes : Integer.MAX_VALUE));
       }
-      default -> throw new IllegalStateException(drawn.from().kind().word());
+      default -> throw new IllegalStateException("unexpected fault: " + drawn.from().kind().word());
     }
   }
 
@@ -258,8 +262,8 @@
       case RELOAD -> sidecar.reload();
       case DOOR -> during(endUs, active -> sidecar.callAdmin(active ? "/-/drain" : "/-/resume"));
       case KILL -> during(endUs, sidecar::kill, sidecar::boot);
-      case TERM -> during(endUs, sidecar::term, () -> bootOnceEnded(sidecar));
-      default -> throw new IllegalStateException(drawn.from().kind().word());
+      case TERM -> during(endUs, sidecar::terminate, () -> bootOnceEnded(sidecar));
+      default -> throw new IllegalStateException("unexpected fault: " + drawn.from().kind().word());
     }
   }
 
@@ -273,7 +277,7 @@
 
   private void beginAtClients(Drawn drawn, long endUs) {
     RandomStream draws = context.random().named("strikes " + drawn.from().id());
-    for (SidecarProcess sidecar : sidecars.named(drawn.target())) {
+    for (SidecarProcess sidecar : sidecars.matching(drawn.target())) {
       beginAtClients(clients.get(sidecar.index()), drawn, endUs, draws);
     }
   }
@@ -289,7 +293,7 @@
       case WAKE -> affected.wakeReserved((int) factor, drawn.forUs(), draws);
       case RUDE -> affected.startInvalid((int) factor, drawn.forUs(), draws);
       case LEAVE -> during(endUs, active -> affected.setLeaveShare(fault.share(), active));
-      default -> throw new IllegalStateException(fault.kind().word());
+      default -> throw new IllegalStateException("unexpected fault: " + fault.kind().word());
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/simulation/HttpStatus.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/HttpStatus.java
@@ -14,7 +14,7 @@
 
   private HttpStatus() {}
 
-  /** Whether the sidecar rejected the request without carrying it out. */
+  /** Whether the sidecar rejected the request, which was then not executed. */
   static boolean isRejection(int status) {
     return status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS;
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/HttpStreamReader.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /**
- * Reads HTTP messages as the simulated peers do, and shares no code with the sidecar's parser. One
- * message at a time; of its body only the length and the first bytes are stored.
+ * Reads and formats HTTP messages for the simulated peers. It shares no code with the sidecar's
+ * parser. Reads one message at a time, and stores only the length and the first bytes of its body.
  */
 final class HttpStreamReader {
-  private static final int MAX_STORED_BODY_BYTES = 96; // enough to tell whose body it is
+  private static final int MAX_STORED_BODY_BYTES = 96; // enough for the request id
   private static final int INITIAL_BUFFER_BYTES = 512;
   private static final int CHUNK_BYTES = 7000;
   private static final int FRAMING_BYTES = 32;
@@ -34,7 +34,7 @@
   private int size;
   private String[] startLine; // null before the head has arrived
   private Map<String, String> fields;
-  private long remaining; // of the body or the chunk
+  private long remaining; // bytes of the body or chunk that are not read yet
   private boolean isChunked;
   private ChunkState chunkState = ChunkState.BEFORE_SIZE;
   private boolean isComplete;
@@ -42,7 +42,7 @@
   private long bodyLength;
   private long headSentUs;
 
-  /** Takes bytes that the peer sent at that time, and reads as far as they reach. */
+  /** Adds bytes that the peer sent at {@code sentUs}, and parses as much as possible. */
   void add(byte[] bytes, long sentUs) {
     if (isEmpty()) {
       headSentUs = sentUs;
@@ -55,7 +55,7 @@
     read();
   }
 
-  /** When the peer sent the first byte of the head, in µs. */
+  /** Time in µs at which the peer sent the first byte of the head. */
   long headSentUs() {
     return headSentUs;
   }
@@ -70,37 +70,37 @@
     return isComplete;
   }
 
-  /** Whether nothing of the next message has arrived. */
+  /** Whether no byte of the current message has arrived. */
   boolean isEmpty() {
     return startLine == null && size == 0;
   }
 
-  /** Bytes that have arrived and are not read yet. */
+  /** Number of bytes that have arrived and were not parsed yet. */
   int unreadByteCount() {
     return size;
   }
 
-  /** A word of the start line; empty if it has fewer. */
+  /** The word of the start line with that index, from 0; empty if the line has fewer words. */
   String startLineWord(int index) {
     return index < startLine.length ? startLine[index] : "";
   }
 
-  /** The value of a field by its lower-case name; null if absent. */
+  /** The value of a header field by its lower-case name; null if the field is absent. */
   String field(String name) {
     return fields.get(name);
   }
 
-  /** Length of the body as far as it has arrived. */
+  /** Number of body bytes that have arrived so far. */
   long bodyLength() {
     return bodyLength;
   }
 
-  /** The first bytes of the body, as ISO 8859-1. */
+  /** The first bytes of the body, up to a limit, decoded as ISO 8859-1. */
   String bodyStart() {
     return bodyStart.toString();
   }
 
-  /** Goes on to the next message. */
+  /** Discards the current message and starts to read the next one. */
   void startNextMessage() {
     startLine = null;
     isComplete = false;
@@ -157,7 +157,7 @@
     return startLine[0].startsWith("HTTP/") && startLine.length > 1 && startLine[1].startsWith("1");
   }
 
-  /** Reads a chunk's size, or an empty line: behind a chunk, or at the end of the body. */
+  /** Reads the size line of a chunk, or the empty line after a chunk or at the end of the body. */
   private boolean readChunkLine() {
     int end = indexOf(LINE_END);
     if (end < 0) {
@@ -210,9 +210,9 @@
   }
 
   /**
-   * A message as bytes.
+   * Formats a message.
    *
-   * @param body null for a message without one
+   * @param body null for a message without body
    * @param inChunks whether the body is sent with chunked transfer encoding
    * @param pairs field names, each followed by its value; a field whose value is null is left out
    */
@@ -255,7 +255,7 @@
     message.writeBytes(LAST_CHUNK);
   }
 
-  /** A body that starts with the given prefix and is padded to the length in bytes. */
+  /** Creates a body that starts with the prefix and is padded to {@code length} bytes. */
   static byte[] body(String prefix, int length) {
     byte[] body = new byte[Math.max(length, prefix.length())];
     Arrays.fill(body, (byte) 'x');
--- a/emulator/src/main/java/dillcross/emulator/simulation/InvalidClients.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/InvalidClients.java
@@ -28,7 +28,7 @@
     this.sidecar = sidecar;
   }
 
-  /** Starts so many clients, each at a time drawn within {@code withinUs} from now. */
+  /** Starts {@code count} clients, each at a time drawn within {@code withinUs} from now. */
   void start(int count, long withinUs, RandomStream random) {
     for (int i = 0; i < count; i++) {
       byte[] input = random.oneOf(INPUTS).getBytes(StandardCharsets.ISO_8859_1);
--- a/emulator/src/main/java/dillcross/emulator/simulation/ListedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ListedEndpoint.java
@@ -4,8 +4,16 @@
 import java.util.Map;
 
 /**
- * An endpoint's entry in the endpoint list. {@code state} is the protocol's word, {@code startedMs}
- * is in ms since 1970 (0 for long ago), {@code version} that of the entry's latest change.
+ * An endpoint's entry in the endpoint list.
+ *
+ * @param id id of the endpoint
+ * @param address where the endpoint listens, as {@code ip:port}
+ * @param zone name of the endpoint's zone
+ * @param cell number of the endpoint's cell
+ * @param state in_service, terminating or terminated
+ * @param weight relative capacity; 1 for a nominal endpoint
+ * @param startedMs start of the endpoint's process in ms since 1970; 0 if it is warm since long ago
+ * @param version version of the list that the latest change of this entry led to
  */
 record ListedEndpoint(
     String id,
@@ -33,7 +41,7 @@
     return new ListedEndpoint(id, address, zone, cell, TERMINATED, weight, startedMs, newVersion);
   }
 
-  /** The same entry under another version. */
+  /** The same entry with another version. */
   ListedEndpoint withVersion(long newVersion) {
     return new ListedEndpoint(id, address, zone, cell, state, weight, startedMs, newVersion);
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/RunStatistics.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/RunStatistics.java
@@ -2,7 +2,7 @@
 
 import dillcross.emulator.oracle.ObservedRequest;
 
-/** Totals over the requests of a run, by how each of them ended. */
+/** Counts the requests of a run by outcome. */
 final class RunStatistics {
   private long requestCount;
   private long succeededCount;
@@ -52,12 +52,12 @@
     return rejectedCount;
   }
 
-  /** Requests that ended in any other way, and were not excused. */
+  /** Requests that had another outcome, although an answer was due. */
   long failed() {
     return failedCount;
   }
 
-  /** Requests that no answer was due for. */
+  /** Requests without a due answer, as their client left or no process could answer. */
   long excused() {
     return excusedCount;
   }
@@ -72,7 +72,7 @@
     return earnedValue;
   }
 
-  /** Sum of the priority weights of all first requests that an answer was due for. */
+  /** Sum of the priority weights of all requests with a due answer, without retries. */
   double possibleValue() {
     return possibleValue;
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -17,18 +17,19 @@
 import java.util.Optional;
 
 /**
- * One sidecar: a machine, and on it one process after another that runs the sidecar's own code.
- * Checks after each event loop iteration that the process keeps its limits and makes progress.
+ * One sidecar: a machine, and the process on it, which runs the sidecar's production code and can
+ * be restarted. After each event loop iteration, checks that the process keeps its limits and makes
+ * progress.
  */
 final class SidecarProcess {
   private static final int ADMIN_PORT = 9900;
   private static final int CLIENT_PORT = 9000;
   private static final int ADDRESSES_PER_SUBNET = 250;
 
-  /** Time from SIGTERM plus the longest request timeout by which the process should have ended. */
+  /** Maximum time from SIGTERM to the end of the process, beyond the longest request timeout. */
   private static final long MAX_SHUTDOWN_US = 700_000;
 
-  /** Further time after which a process that should have ended is killed. */
+  /** Time beyond {@link #MAX_SHUTDOWN_US} after which a process that has not ended is killed. */
   private static final long SHUTDOWN_TOLERANCE_US = 300_000;
 
   private final int index;
@@ -67,7 +68,7 @@
     return name;
   }
 
-  /** Where it listens for clients, as {@code ip:port}. */
+  /** Where the sidecar listens for clients, as {@code ip:port}. */
   String address() {
     return ip + ":" + CLIENT_PORT;
   }
@@ -76,12 +77,12 @@
     return host;
   }
 
-  /** The application process on the same machine, whose requests it takes. */
+  /** The application process on the same machine, whose requests the sidecar forwards. */
   VirtualMachine app() {
     return app;
   }
 
-  /** Name of the process that runs, or ran last. */
+  /** Name of the current process, or of the latest one while none runs. */
   String processName() {
     return name + "#" + startCount;
   }
@@ -90,7 +91,7 @@
     return server != null;
   }
 
-  /** How many processes were started. */
+  /** Number of processes started so far. */
   int startCount() {
     return startCount;
   }
@@ -99,12 +100,12 @@
     return host.connectionCount();
   }
 
-  /** Event loop iterations of all its processes. */
+  /** Number of event loop iterations so far, over all processes of this sidecar. */
   long iterations() {
     return iterationsOfEarlierProcesses + (network == null ? 0 : network.iterationCount());
   }
 
-  /** What its process holds; null while none runs. */
+  /** Resources in use by the process; null while none runs. */
   SidecarServer.Usage usage() {
     return server == null ? null : server.usage();
   }
@@ -146,7 +147,7 @@
     server =
         new SidecarServer(
             network,
-            group.calls(),
+            group.warmUpRequests(),
             coordinator,
             context::now,
             settings,
@@ -198,8 +199,8 @@
 
   // ---- Faults and operations
 
-  /** Sends SIGTERM, and SIGKILL if the process has not ended in time. */
-  void term() {
+  /** Stops the process as SIGTERM does, and kills it if it has not ended in time. */
+  void terminate() {
     if (server == null || isStopping) {
       return;
     }
@@ -222,7 +223,7 @@
         });
   }
 
-  /** Sends SIGKILL. */
+  /** Ends the process at once, as SIGKILL does; no effect while none runs. */
   void kill() {
     if (server != null) {
       context.note("kill", "sidecar", name);
@@ -240,8 +241,8 @@
   }
 
   /**
-   * Sends a POST to its admin endpoint. Any status but 200 is a violation if the process was ready
-   * and is still the same.
+   * Sends a POST to the sidecar's admin endpoint. A status other than 200, or no answer, is a
+   * violation if the process was ready and has neither stopped nor been restarted since.
    */
   void callAdmin(String path) {
     int ownStart = startCount;
@@ -261,8 +262,8 @@
   }
 
   /**
-   * Reloads the configuration with the discovery service at its other address, between two event
-   * loop iterations as in service.
+   * Reloads the configuration, in which the discovery service has its other address. As in
+   * production, this happens between two event loop iterations.
    */
   void reload() {
     if (server == null) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcesses.java
@@ -30,13 +30,13 @@
     return sidecar == null ? host.toString() : sidecar.processName();
   }
 
-  /** Names of the processes that run. */
+  /** Names of the running processes. */
   List<String> runningProcessNames() {
     return all.stream().filter(SidecarProcess::isRunning).map(SidecarProcess::processName).toList();
   }
 
-  /** The sidecars that a fault's target names: all, or one. */
-  List<SidecarProcess> named(String target) {
+  /** The sidecars that match a fault's target: all of them, or the one of that name. */
+  List<SidecarProcess> matching(String target) {
     return all.stream()
         .filter(sidecar -> target.equals("all") || target.equals(sidecar.name()))
         .toList();
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarSettingValues.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarSettingValues.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A sidecar's configuration, written in its own keys and read by its own reader. */
+/**
+ * The configuration of a sidecar as the scenario defines it: written with the keys of the sidecar's
+ * configuration file, and read by the sidecar's own code.
+ */
 final class SidecarSettingValues {
   private SidecarSettingValues() {}
 
--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -16,32 +16,61 @@
 import java.util.List;
 
 /**
- * One run: a scenario and a seed, played to its end on the calling thread. Runs share no state, and
- * the same scenario, seed and faults always give the same result.
+ * One simulation run of a scenario, on the calling thread. Runs share no state, and the same
+ * scenario, seed and faults always give the same result.
  */
 public final class Simulation {
   /** Time from the start of the sidecars to the first arrival. */
   private static final long WARM_UP_US = 1_000_000;
 
-  /** Longest time after the last arrival for which open requests are waited for. */
+  /** Maximum time to wait for open requests after the last arrival. */
   private static final long MAX_COMPLETION_US = 600_000_000;
 
   private static final long COMPLETION_POLL_US = 100_000;
 
-  /** Time after the last request and the idle timeout by which sidecars hold nothing any more. */
+  /**
+   * Time after the last request, beyond the idle timeout of connections, by which sidecars should
+   * have released everything.
+   */
   private static final long SETTLE_US = 2_500_000;
 
+  /** Maximum further time in seconds for sidecars that have not released everything in time. */
   private static final int MAX_EXTRA_SETTLE_SECONDS = 30;
 
   /** Buffer memory that an idle connection may keep. */
   private static final long IDLE_CONNECTION_BYTES = 14 << 10;
 
-  /** Timers of an idle sidecar: for the endpoint list and for the load balancer. */
+  /** Maximum number of timers of an idle sidecar: for the endpoint list and the load balancer. */
   private static final int MAX_IDLE_TIMERS = 3;
 
   private static final int DISCOVERY_CONNECTIONS = 1;
 
-  /** The outcome of a run. Counts are of requests unless named otherwise; times in µs. */
+  /**
+   * The outcome of a run.
+   *
+   * @param seed seed of the run
+   * @param faults the faults of the run, drawn or given
+   * @param violations the first violations of the oracle's rules, in the order of their detection
+   * @param violationCount number of all violations
+   * @param digest digest of the trace
+   * @param steps number of events that ran on the virtual clock
+   * @param iterations number of event loop iterations of all sidecars
+   * @param simulatedUs virtual duration of the run in µs
+   * @param requests number of requests, including retries
+   * @param succeeded number of requests answered with status 200
+   * @param inTime number of requests answered with status 200 within their latency objective
+   * @param rejected number of requests that sidecars rejected
+   * @param failed number of requests with another outcome, although an answer was due
+   * @param excused number of requests without a due answer, as their client left or no process
+   *     could answer
+   * @param notAccepted number of requests whose connection no sidecar process accepted
+   * @param retries number of retries by clients
+   * @param attempts number of attempts that reached endpoints
+   * @param earnedValue sum of the priority weights of requests answered in time
+   * @param possibleValue sum of the priority weights of all requests with a due answer, without
+   *     retries
+   * @param restarts number of restarts of sidecar processes
+   */
   public record Result(
       long seed,
       List<Drawn> faults,
@@ -109,8 +138,8 @@
     return new VirtualNetwork(
         clock,
         random,
-        Math.round(settings.nearUs()),
-        Math.round(settings.farUs()),
+        Math.round(settings.sameZoneDelayUs()),
+        Math.round(settings.otherZoneDelayUs()),
         Math.round(settings.jitterUs()));
   }
 
@@ -198,7 +227,7 @@
     }
   }
 
-  /** Whether a sidecar holds nothing that it should release when no request is open. */
+  /** Whether the sidecar has released everything that it should release without open requests. */
   private static boolean isIdle(SidecarProcess sidecar) {
     SidecarServer.Usage usage = sidecar.usage();
     return usage == null
--- a/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
@@ -8,9 +8,7 @@
 import dillcross.emulator.time.VirtualClock;
 import dillcross.emulator.trace.Trace;
 
-/**
- * What the parts of one simulation run share. All of it belongs to the thread that plays the run.
- */
+/** The objects that the parts of one simulation run share. Used only by the thread of the run. */
 record SimulationContext(
     Scenario scenario,
     VirtualClock clock,
@@ -46,7 +44,7 @@
     trace.note(event, pairs);
   }
 
-  /** A numeric setting of the sidecars under test. */
+  /** The value of a numeric setting in the configuration of the sidecars. */
   double sidecarSetting(String key) {
     return Double.parseDouble(scenario.sidecarSettings().get(key));
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SlowStartMonitor.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SlowStartMonitor.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 
 /**
- * Capacity of an endpoint in slow start, and the check that sidecars do not overrun it: work sent
- * within the sidecars' budget window must stay within a multiple of what the warming endpoint can
- * carry out in that window.
+ * Capacity of an endpoint in slow start, and the check that sidecars do not overload it: the work
+ * sent within the sidecars' budget window must not exceed a multiple of the work that the endpoint
+ * can execute in that window.
  */
 final class SlowStartMonitor {
   private record SentWork(long atUs, double workUs) {}
@@ -27,7 +27,7 @@
     this.endpoint = endpoint;
   }
 
-  /** Share of the endpoint's full capacity that it has at present, in (0, 1]. */
+  /** Current share of the endpoint's full capacity, in (0, 1]. */
   double capacityShare() {
     if (endpoint.isWarmFromStart()) {
       return 1;
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Counts work that a sidecar sent, in µs of one unit of capacity, and reports a violation when
-   * the endpoint is overrun although all sidecars know that it is warming up.
+   * Records work that a sidecar sent, as the processing time in µs on one core of nominal speed.
+   * Reports a violation if the endpoint is overloaded although all sidecars know of its slow start.
    */
   void recordSentWork(double workUs) {
     double windowUs = context.sidecarSetting("rules.fall_ms") * TimeUnits.MICROS_PER_MILLI;
@@ -55,7 +55,7 @@
     }
     double maxWorkUs = maxWorkUs(share, windowUs);
     if (recentWorkUs > maxWorkUs && endpoints.allKnowStart(endpoint)) {
-      reportOverrun(windowUs, maxWorkUs);
+      reportOverload(windowUs, maxWorkUs);
       clear();
     }
   }
@@ -70,7 +70,7 @@
         * scenario.rules().slowStartSlack();
   }
 
-  private void reportOverrun(double windowUs, double maxWorkUs) {
+  private void reportOverload(double windowUs, double maxWorkUs) {
     String message =
         String.format(
             Locale.ROOT,
@@ -82,7 +82,7 @@
     context.oracle().report(Rule.COLD_KEPT, null, message);
   }
 
-  /** Forgets all work sent so far, for instance because the process ended. */
+  /** Discards the recorded work, for instance because the process ended. */
   void clear() {
     recentWork.clear();
     recentWorkUs = 0;
--- a/emulator/src/test/java/dillcross/emulator/simulation/EndpointStateTest.java
+++ b/emulator/src/test/java/dillcross/emulator/simulation/EndpointStateTest.java
@@ -40,10 +40,10 @@
   @Test
   void recognisesRepeatWithinWindowOnly() {
     DeduplicationMemory memory = new DeduplicationMemory();
-    assertTrue(memory.first("key", 1_000, 500));
-    assertFalse(memory.first("key", 1_500, 500));
-    assertTrue(memory.first("other", 1_500, 500));
-    assertTrue(memory.first("key", 1_501, 500));
-    assertFalse(memory.first("key", 2_001, 500));
+    assertTrue(memory.recordIfFirst("key", 1_000, 500));
+    assertFalse(memory.recordIfFirst("key", 1_500, 500));
+    assertTrue(memory.recordIfFirst("other", 1_500, 500));
+    assertTrue(memory.recordIfFirst("key", 1_501, 500));
+    assertFalse(memory.recordIfFirst("key", 2_001, 500));
   }
 }
