--- a/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
+++ b/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
@@ -42,19 +42,19 @@
   }
 
   /**
-   * The stream with that name below this one, from its start. It depends on the seed and the names
-   * only, not on what was drawn before.
+   * Creates the child stream of that name, at its start. It depends only on the seed and the names,
+   * not on what was drawn before.
    */
   public RandomStream named(String name) {
     return new RandomStream(seed, path + "/" + name);
   }
 
-  /** True with the given probability; draws nothing if that is 0. */
+  /** True with the given probability; draws nothing if the probability is 0. */
   public boolean happens(double probability) {
     return probability > 0 && draws.nextDouble() < probability;
   }
 
-  /** Uniform over a range including both ends; draws nothing if it has one value. */
+  /** Uniform over a range including both ends; draws nothing if the range has one value. */
   public long between(long min, long max) {
     return max <= min ? min : min + draws.nextLong(max - min + 1);
   }
@@ -64,14 +64,14 @@
     return min + (max - min) * draws.nextDouble();
   }
 
-  /** Exponential with the given mean; 0 without a draw if the mean is not positive. */
+  /** Exponential with the given mean; if the mean is not positive, returns 0 and draws nothing. */
   public double exponential(double mean) {
     return mean <= 0 ? 0 : ZigguratSampler.Exponential.of(draws, mean).sample();
   }
 
   /**
-   * Log-normal with the given mean; {@code spread} is the standard deviation of the logarithm. The
-   * mean without a draw if it is 0.
+   * Log-normal with the given mean; {@code spread} is the standard deviation of the logarithm. If
+   * {@code spread} is 0, returns the mean and draws nothing.
    */
   public double logNormal(double mean, double spread) {
     if (spread <= 0) {
--- a/emulator/src/main/java/dillcross/emulator/scenario/FaultReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/FaultReader.java
@@ -56,7 +56,7 @@
     String id = section.text(new TextSetting(ID_KEY, defaultId(kindWord)));
     boolean isNew = ids.add(id);
     if (!isNew) {
-      section.addError(ID_KEY, "stands twice: " + id);
+      section.addError(ID_KEY, "duplicate id: " + id);
     }
     return id;
   }
@@ -76,7 +76,7 @@
   private String readTarget(TomlSection section, Fault.Kind kind) {
     String target = section.text(ScenarioSettings.Faults.TARGET);
     if (!validTargets(kind).contains(target)) {
-      String message = "there is no " + target + " that this kind could strike";
+      String message = "unknown target for this kind of fault: " + target;
       section.addError(ScenarioSettings.Faults.TARGET.key(), message);
     }
     return target;
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioMessages.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioMessages.java
@@ -12,7 +12,7 @@
   private static final LevenshteinDistance EDIT_DISTANCE = LevenshteinDistance.getDefaultInstance();
   private static final int MAX_SUGGESTION_DISTANCE = 3;
 
-  /** Whole numbers from here on are written with an exponent. */
+  /** Whole numbers from this value on are written with an exponent. */
   private static final double MAX_PLAIN_NUMBER = 1e15;
 
   private ScenarioMessages() {}
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
@@ -54,7 +54,7 @@
     return scenario;
   }
 
-  /** The file that {@code like} names; null if the scenario has no such key. */
+  /** Reads the file that {@code like} names; null if the scenario has no such key. */
   private TomlSection readFallback(TomlTable table) throws InvalidScenarioException {
     Object like = table.get(List.of(ScenarioSettings.Top.LIKE.key()));
     if (!(like instanceof String otherName)) {
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioSettings.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioSettings.java
@@ -23,12 +23,15 @@
 
   /** Keys outside any table. */
   static final class Top {
-    /** Name of a scenario file in the same directory whose tables replace the absent ones. */
+    /**
+     * Path of a scenario file, relative to this one, that supplies the tables and top-level numbers
+     * absent here.
+     */
     static final TextSetting LIKE = text("like", "");
 
     static final TextSetting NAME = text("name", "day");
 
-    /** Seconds in which requests arrive. */
+    /** Time in seconds during which requests arrive. */
     static final DecimalSetting SECONDS = decimal("seconds", 10, 0.01, 86_400);
 
     private Top() {}
--- a/emulator/src/main/java/dillcross/emulator/scenario/Seeds.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Seeds.java
@@ -13,14 +13,15 @@
   public static Seeds of(String text, int digits) throws InvalidScenarioException {
     if (!text.matches("[0-9]{1," + digits + "}\\.\\.[0-9]{1," + digits + "}")) {
       throw new InvalidScenarioException(
-          List.of("dillcross: --seeds takes two numbers as A..B, and not " + text));
+          List.of("dillcross: --seeds has to be a range A..B, but is " + text));
     }
     Seeds seeds =
         new Seeds(
             Long.parseLong(text.substring(0, text.indexOf('.'))),
             Long.parseLong(text.substring(text.lastIndexOf('.') + 1)));
     if (seeds.to < seeds.from) {
-      throw new InvalidScenarioException(List.of("dillcross: --seeds " + text + " names none"));
+      throw new InvalidScenarioException(
+          List.of("dillcross: --seeds " + text + " is an empty range"));
     }
     return seeds;
   }
--- a/emulator/src/main/java/dillcross/emulator/scenario/TomlSection.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/TomlSection.java
@@ -22,7 +22,7 @@
  * #reportUnknownKeys} then reports every key that was not read.
  */
 final class TomlSection {
-  /** Where a table stands: its file, the prefix of its keys in messages, and its position. */
+  /** Location of a table: its file, the prefix of its keys in messages, and its position. */
   private record Location(String file, String keyPrefix, TomlPosition position) {}
 
   private final TomlTable table;
@@ -132,7 +132,7 @@
       return new Range(minimum, checkRange(key, second, minimum, RangeSetting.MAXIMUM));
     }
     if (value != null) {
-      addError(key, "has to be a number, or two of which the second is not smaller");
+      addError(key, "has to be a number, or a list of two numbers, the smaller first");
     }
     return setting.defaultValue();
   }
@@ -150,7 +150,7 @@
   boolean flag(FlagSetting setting) {
     Object value = request(setting.key());
     if (value != null && !(value instanceof Boolean)) {
-      addError(setting.key(), "neither true nor false");
+      addError(setting.key(), "has to be true or false");
     }
     return value instanceof Boolean flag ? flag : setting.defaultValue();
   }
@@ -187,7 +187,7 @@
     if (value instanceof TomlArray array && array.size() > 0 && containsOnly(array, String.class)) {
       return array.toList().stream().map(String.class::cast).toList();
     }
-    addError(setting.key(), "has to be a list of texts, and not an empty one");
+    addError(setting.key(), "has to be a list of at least one text");
     return setting.defaultValue();
   }
 
--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Fault;
 import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.Fault.Kind;
@@ -11,6 +12,7 @@
 import dillcross.emulator.scenario.Range;
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
+import dillcross.emulator.simulation.FaultInjector;
 import dillcross.emulator.simulation.Simulation;
 import java.io.OutputStream;
 import java.nio.file.Path;
@@ -20,21 +22,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Things that happen together, at the worst moment. */
-@SuppressWarnings("StringConcatToTextBlock") // one line a part of a scenario
+/** Runs in which faults coincide with each other or with events of a request. */
+@SuppressWarnings("StringConcatToTextBlock") // one string for each part of a scenario
 class HardCasesTest {
-  private static final long WARM_US =
-      1_000_000; // before the first arrival, from which troubles are timed
-  private static final String STREAMS =
+  /** Time from the start of a run to the first arrival, from which the times of faults count. */
+  private static final long WARM_UP_US = 1_000_000;
+
+  private static final String LARGE_BODIES =
       "like = \"../scenarios/calm.toml\"\nseconds = 5\n[[category]]\nname = \"file\"\neffect = \"deduplicated\"\n"
           + "key_scope = \"all\"\nttl_ms = 1500\ntarget_latency_ms = 600\nbody_bytes = 300000\nanswer_bytes = 700000\n[clients]\nper_s = 12\nretry = \"after\"\n";
-  private final List<Object[]> events = new ArrayList<>(); // time, what, then pairs
+  private final List<Object[]> events =
+      new ArrayList<>(); // of the latest run: time in µs, name, then keys and values in turn
 
   private static Scenario calm() throws InvalidScenarioException {
     return ScenarioReader.read(Path.of("../scenarios/calm.toml"));
   }
 
-  private static Scenario of(String text) throws InvalidScenarioException {
+  private static Scenario parse(String text) throws InvalidScenarioException {
     return ScenarioReader.parse("test.toml", text);
   }
 
@@ -57,32 +61,35 @@
         3);
   }
 
-  private Simulation.Result play(Scenario scenario, long seed, Drawn... faults) {
+  private Simulation.Result run(Scenario scenario, long seed, Drawn... faults) {
     events.clear();
-    Simulation.Result day =
+    Simulation.Result result =
         Simulation.run(
             scenario,
             seed,
             List.of(faults),
             OutputStream.nullOutputStream(),
-            (us, what, pairs) -> {
-              Object[] event = new Object[pairs.length + 2];
-              event[0] = us;
-              event[1] = what;
-              System.arraycopy(pairs, 0, event, 2, pairs.length);
+            (timeUs, name, fields) -> {
+              Object[] event = new Object[fields.length + 2];
+              event[0] = timeUs;
+              event[1] = name;
+              System.arraycopy(fields, 0, event, 2, fields.length);
               events.add(event);
             });
-    assertEquals(List.of(), day.violations(), () -> "seed " + seed + " with " + List.of(faults));
-    return day;
+    assertEquals(List.of(), result.violations(), () -> "seed " + seed + " with " + List.of(faults));
+    return result;
   }
 
-  /** The times of such events, from the first arrival. */
-  private List<Long> times(String what) {
-    return events.stream().filter(e -> e[1].equals(what)).map(e -> (Long) e[0] - WARM_US).toList();
+  /** Times of the latest run's events of that name, in µs after the first arrival. */
+  private List<Long> times(String name) {
+    return events.stream()
+        .filter(event -> event[1].equals(name))
+        .map(event -> (Long) event[0] - WARM_UP_US)
+        .toList();
   }
 
   @Test
-  void twoFaultsInTheSameTickInBothOrders() throws InvalidScenarioException {
+  void twoFaultsAtTheSameTimeInBothOrders() throws InvalidScenarioException {
     List<Kind> kinds =
         List.of(Kind.DIE, Kind.VANISH, Kind.SILENCE, Kind.PAUSE, Kind.BLACKHOLE, Kind.DRAIN);
     for (Kind one : kinds) {
@@ -90,61 +97,61 @@
         Drawn a = fault(one, "e0", 700_000, 900_000, "after");
         Drawn b = fault(other, "e0", 700_000, 900_000, "after");
         if (one != other) {
-          Simulation.Result first = play(calm(), 5, a, b);
+          Simulation.Result first = run(calm(), 5, a, b);
           assertTrue(first.succeeded() > 0);
-          play(calm(), 5, b, a);
+          run(calm(), 5, b, a);
         }
       }
       Drawn cut = fault(Kind.CUT, "a", 700_000, 900_000, "after");
-      Drawn end = fault(one, "e3", 1_600_000, 500_000, "after"); // when the cut ends
-      play(calm(), 6, cut, end);
-      play(calm(), 6, end, cut);
+      Drawn end = fault(one, "e3", 1_600_000, 500_000, "after"); // at the end of the partition
+      run(calm(), 6, cut, end);
+      run(calm(), 6, end, cut);
     }
   }
 
   /**
-   * An endpoint dies, drains or falls silent in the very microsecond in which it replies, or its
-   * answer comes.
+   * An endpoint dies, becomes silent or drains, or a sidecar is killed or stopped, in the same
+   * microsecond as an event of a request.
    */
   @ParameterizedTest
   @ValueSource(strings = {"reply", "answer", "begin", "push"})
-  void aFaultInTheTickOfAnAnswer(String moment) throws InvalidScenarioException {
-    play(calm(), 7);
-    List<Long> at = times(moment);
+  void faultInTheSameMicrosecondAsRequestEvent(String eventName) throws InvalidScenarioException {
+    run(calm(), 7);
+    List<Long> at = times(eventName);
     assertTrue(at.size() > 100);
     for (int i = 20; i < at.size(); i += at.size() / 6) {
       for (int e = 0; e < 8; e += 3) {
         for (Kind kind : List.of(Kind.DIE, Kind.SILENCE, Kind.DRAIN)) {
-          play(calm(), 7, fault(kind, "e" + e, at.get(i), 400_000, "after"));
+          run(calm(), 7, fault(kind, "e" + e, at.get(i), 400_000, "after"));
         }
       }
-      play(calm(), 7, fault(Kind.KILL, "s1", at.get(i), 100_000, "after"));
-      play(calm(), 7, fault(Kind.TERM, "s1", at.get(i), 100_000, "after"));
+      run(calm(), 7, fault(Kind.KILL, "s1", at.get(i), 100_000, "after"));
+      run(calm(), 7, fault(Kind.TERM, "s1", at.get(i), 100_000, "after"));
     }
   }
 
   @Test
-  void aSidecarIsNotifiedToStopInTheMiddleOfAPartition() throws InvalidScenarioException {
+  void sidecarsGetSigtermDuringPartition() throws InvalidScenarioException {
     for (long seed = 1; seed <= 10; seed++) {
       for (String zone : List.of("a", "b", "c")) {
-        Simulation.Result day =
-            play(
+        Simulation.Result result =
+            run(
                 calm(),
                 seed,
                 fault(Kind.CUT, zone, 1_000_000, 3_000_000, "after"),
                 fault(Kind.TERM, "s0", 2_000_000 + seed * 7_001, 400_000, "after"),
                 fault(Kind.TERM, "s2", 2_500_000, 400_000, "after"));
-        assertEquals(2, times("exit").size(), "both went by themselves");
-        assertEquals(2, day.restarts());
+        assertEquals(2, times("exit").size(), "both sidecars exit without being killed");
+        assertEquals(2, result.restarts());
       }
     }
   }
 
   @Test
-  void aListWhoseNumbersBeginAnewDuringARollingDeploy() throws InvalidScenarioException {
+  void endpointListIsRenumberedDuringRollingDeploy() throws InvalidScenarioException {
     for (long seed = 1; seed <= 12; seed++) {
-      Simulation.Result day =
-          play(
+      Simulation.Result result =
+          run(
               calm(),
               seed,
               fault(Kind.DEPLOY, "all", 500_000, 6_000_000, "after"),
@@ -152,50 +159,48 @@
               fault(Kind.LIST_RENUMBER, "all", 6_200_000, 0, "after"));
       assertEquals(8, times("join").size());
       assertTrue(
-          day.succeeded() > 0.95 * day.requests(), day.succeeded() + " of " + day.requests());
+          result.succeeded() > 0.95 * result.requests(),
+          result.succeeded() + " of " + result.requests());
     }
   }
 
   @Test
-  void anEndpointDiesWhileABodyStreams() throws InvalidScenarioException {
-    Scenario streams = of(STREAMS);
-    assertTrue(play(streams, 3).succeeded() > 100);
+  void endpointDiesWhileSendingBody() throws InvalidScenarioException {
+    Scenario largeBodies = parse(LARGE_BODIES);
+    assertTrue(run(largeBodies, 3).succeeded() > 100);
     List<Long> at = times("reply");
     int cut = 0;
-    for (int i = 5;
-        i < at.size();
-        i += at.size() / 8) { // some milliseconds into its answer, or into the next request
+    for (int i = 5; i < at.size(); i += at.size() / 8) {
+      // 4 ms after the event, the endpoint still sends that answer or has the next request.
       for (int e = 0; e < 8; e += 2) {
-        play(streams, 3, fault(Kind.DIE, "e" + e, at.get(i) + 4_000, 700_000, "after"));
+        run(largeBodies, 3, fault(Kind.DIE, "e" + e, at.get(i) + 4_000, 700_000, "after"));
         cut += times("cut").size();
       }
     }
-    assertTrue(cut > 0, "some answers were cut, and their clients could tell");
+    assertTrue(cut > 0, "some clients observe a truncated answer");
   }
 
   /**
-   * No time passes on the way, in a turn or at an endpoint: all of a request happens in one
-   * microsecond.
+   * The network, event loop iterations and endpoints take no virtual time, so that all events of a
+   * request happen in the same microsecond.
    */
   @Test
-  void aClockStepOfZero() throws InvalidScenarioException {
-    Scenario still =
-        of(
+  void requestsThatTakeNoVirtualTime() throws InvalidScenarioException {
+    Scenario timeless =
+        parse(
             "like = \"../scenarios/mixed.toml\"\nseconds = 5\n[sidecars]\ncount = 3\nturn_us = 0\nstart_ms = 0\n[network]\nnear_us = 0\nfar_us = 0\njitter_us = 0\n"
                 + "[list]\ndelay_ms = 0\ntell_ms = 0\n[[category]]\nname = \"read\"\neffect = \"idempotent\"\nwork_ms = 0.001\nspread = 0\n");
     for (long seed = 1; seed <= 10; seed++) {
-      Simulation.Result day = Simulation.run(still, seed);
-      assertEquals(List.of(), day.violations());
-      assertTrue(day.succeeded() > 100);
+      Simulation.Result result = Simulation.run(timeless, seed);
+      assertEquals(List.of(), result.violations());
+      assertTrue(result.succeeded() > 100);
     }
   }
 
   @Test
-  void aFaultShiftsNothingThatOthersDraw() throws InvalidScenarioException {
+  void removingFaultsDoesNotChangeOtherDraws() throws InvalidScenarioException {
     Scenario mixed = ScenarioReader.read(Path.of("../scenarios/mixed.toml"));
-    List<Drawn> all =
-        dillcross.emulator.simulation.FaultInjector.draw(
-            mixed, dillcross.emulator.random.RandomStream.of(9));
+    List<Drawn> all = FaultInjector.draw(mixed, RandomStream.of(9));
     Scenario fewer =
         new Scenario(
             mixed.name(),
@@ -209,13 +214,8 @@
             mixed.network(),
             mixed.rules(),
             mixed.faults().subList(5, mixed.faults().size()));
-    List<Drawn> left =
-        dillcross.emulator.simulation.FaultInjector.draw(
-            fewer, dillcross.emulator.random.RandomStream.of(9));
-    assertEquals(all.subList(all.size() - left.size(), all.size()), left);
-    assertNotEquals(
-        all,
-        dillcross.emulator.simulation.FaultInjector.draw(
-            mixed, dillcross.emulator.random.RandomStream.of(10)));
+    List<Drawn> remaining = FaultInjector.draw(fewer, RandomStream.of(9));
+    assertEquals(all.subList(all.size() - remaining.size(), all.size()), remaining);
+    assertNotEquals(all, FaultInjector.draw(mixed, RandomStream.of(10)));
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
+++ b/emulator/src/test/java/dillcross/emulator/ScenarioReaderTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillcross.emulator.oracle.Violation;
+import dillcross.emulator.random.RandomStream;
 import dillcross.emulator.scenario.Fault;
 import dillcross.emulator.scenario.Fault.Drawn;
 import dillcross.emulator.scenario.InvalidScenarioException;
@@ -12,6 +14,7 @@
 import dillcross.emulator.scenario.Scenario;
 import dillcross.emulator.scenario.ScenarioReader;
 import dillcross.emulator.search.Shrink;
+import dillcross.emulator.simulation.FaultInjector;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,8 +24,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading of scenario files: errors, the scenarios of the repository, and shrunk scenarios. */
 class ScenarioReaderTest {
-  private static final String GOOD = "seconds = 2\n[[category]]\nname = \"a\"\n";
+  private static final String VALID = "seconds = 2\n[[category]]\nname = \"a\"\n";
 
   @ParameterizedTest
   @CsvSource(
@@ -37,13 +41,13 @@
         "[[category]]|name = 'a'|[sidecars]|count = 1.5!f:4: sidecars.count: has to be a whole number",
         "[[category]]|name = 'a'|[list]|delay_ms = [3, 1]!f:4: list.delay_ms: out of range: 1; from 3 to 1000000000",
         "[[category]]|name = 'a'|[[trouble]]|kind = 'fire'!f:4: trouble[0].kind: unknown: fire",
-        "[[category]]|name = 'a'|[[trouble]]|kind = 'die'|target = 'e8'!f:5: trouble[0].target: there is no e8",
-        "[[category]]|name = 'a'|[[trouble]]|kind = 'die'|id = 'x'|[[trouble]]|kind = 'die'|id = 'x'!f:8: trouble[1].id: stands twice: x",
+        "[[category]]|name = 'a'|[[trouble]]|kind = 'die'|target = 'e8'!f:5: trouble[0].target: unknown target for this kind of fault: e8",
+        "[[category]]|name = 'a'|[[trouble]]|kind = 'die'|id = 'x'|[[trouble]]|kind = 'die'|id = 'x'!f:8: trouble[1].id: duplicate id: x",
         "[[category]|name = 'a'!f:1: ",
         "sidecars = 3|[[category]]|name = 'a'!f:1: sidecars: has to be a table",
-        "[[category]]|name = 'a'|[settings]|cancel = 1!f:4: settings.cancel: neither true nor false"
+        "[[category]]|name = 'a'|[settings]|cancel = 1!f:4: settings.cancel: has to be true or false"
       })
-  void aFaultNamesFileLineAndKey(String text, String expected) {
+  void errorNamesFileLineAndKey(String text, String expected) {
     InvalidScenarioException invalid =
         assertThrows(
             InvalidScenarioException.class,
@@ -52,18 +56,18 @@
   }
 
   @Test
-  void allFaultsAreSaidAtOnce() {
+  void reportsAllErrorsTogether() {
     InvalidScenarioException invalid =
         assertThrows(
             InvalidScenarioException.class,
             () ->
                 ScenarioReader.parse(
-                    "f", GOOD + "work = 3\nttl_ms = 0\n[clients]\nretry = \"x\"\n"));
+                    "f", VALID + "work = 3\nttl_ms = 0\n[clients]\nretry = \"x\"\n"));
     assertEquals(3, invalid.getMessage().lines().count(), invalid.getMessage());
   }
 
   @Test
-  void aFileThatIsNotThereIsAFaultToo() {
+  void reportsMissingFile() {
     assertTrue(
         assertThrows(
                 InvalidScenarioException.class, () -> ScenarioReader.read(Path.of("none.toml")))
@@ -72,9 +76,9 @@
   }
 
   @Test
-  void everyScenarioOfOursCanBeRead() throws IOException, InvalidScenarioException {
+  void readsAllScenariosOfTheRepository() throws IOException, InvalidScenarioException {
     try (Stream<Path> all = Files.list(Path.of("../scenarios"))) {
-      List<Path> files = all.filter(f -> f.toString().endsWith(".toml")).toList();
+      List<Path> files = all.filter(file -> file.toString().endsWith(".toml")).toList();
       assertFalse(files.isEmpty());
       for (Path file : files) {
         Scenario scenario = ScenarioReader.read(file);
@@ -83,43 +87,40 @@
         assertEquals(
             List.of(),
             ScenarioReader.parse("cut", ScenarioReader.withoutFaults(text)).faults(),
-            file + ": troubles stand last");
+            file + ": faults have to be the last tables");
       }
     }
   }
 
   @Test
-  void whatWasCutReadsBackTheSame() throws InvalidScenarioException {
+  void readsShrunkScenario() throws InvalidScenarioException {
     String text =
-        GOOD + "[[trouble]]\nkind = \"slow\"\nat_ms = [10, 900]\nfactor = [2, 9]\ncount = 3\n";
+        VALID + "[[trouble]]\nkind = \"slow\"\nat_ms = [10, 900]\nfactor = [2, 9]\ncount = 3\n";
     Scenario scenario = ScenarioReader.parse("f", text);
-    var drawn =
-        dillcross.emulator.simulation.FaultInjector.draw(
-            scenario, dillcross.emulator.random.RandomStream.of(4));
+    List<Drawn> drawn = FaultInjector.draw(scenario, RandomStream.of(4));
     assertEquals(3, drawn.size());
-    var few =
-        new Shrink.Result(
-            dillcross.emulator.oracle.Violation.Rule.ONE_ANSWER, 4, 1, drawn.subList(1, 3), 3, 9);
-    Scenario back = ScenarioReader.parse("f", Shrink.write(text, few));
-    assertEquals(1, back.seconds());
-    assertEquals(fixed(few.faults()), back.faults());
-    assertEquals(scenario.requestClasses(), back.requestClasses());
+    Shrink.Result shrunk =
+        new Shrink.Result(Violation.Rule.ONE_ANSWER, 4, 1, drawn.subList(1, 3), 3, 9);
+    Scenario readBack = ScenarioReader.parse("f", Shrink.write(text, shrunk));
+    assertEquals(1, readBack.seconds());
+    assertEquals(fixed(shrunk.faults()), readBack.faults());
+    assertEquals(scenario.requestClasses(), readBack.requestClasses());
   }
 
-  /** The same troubles as a scenario would hold them. */
+  /** The drawn faults as a scenario with fixed times, durations and factors defines them. */
   private static List<Fault> fixed(List<Drawn> faults) {
     return faults.stream()
         .map(
-            d ->
+            drawn ->
                 new Fault(
-                    d.from().id(),
-                    d.from().kind(),
-                    Range.of(d.atUs() / 1000.0),
-                    Range.of(d.forUs() / 1000.0),
-                    d.target(),
-                    Range.of(d.factor()),
-                    d.from().share(),
-                    d.from().mode(),
+                    drawn.from().id(),
+                    drawn.from().kind(),
+                    Range.of(drawn.atUs() / 1000.0),
+                    Range.of(drawn.forUs() / 1000.0),
+                    drawn.target(),
+                    Range.of(drawn.factor()),
+                    drawn.from().share(),
+                    drawn.from().mode(),
                     1))
         .toList();
   }
