--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -62,7 +62,7 @@
    * @param timeoutMs timeout of a request in milliseconds
    * @param priorityWeight weight of a successful request in the benefit
    * @param share share of the arrivals, relative to the other classes
-   * @param workMs processing time in milliseconds
+   * @param workMs mean processing time in milliseconds on a core of nominal speed
    * @param spread standard deviation of the logarithm of the processing time
    * @param bodyBytes size of the request body in bytes
    * @param answerBytes size of the response body in bytes
@@ -84,7 +84,7 @@
   /**
    * The clients of each sidecar.
    *
-   * @param requestsPerSecond requests per second
+   * @param requestsPerSecond mean rate of arrivals at one sidecar
    * @param retry none, at_once, or after for the time that the rejection advises
    * @param retries maximum number of retries of a request
    * @param leaveShare share of requests whose client disconnects early
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
@@ -51,7 +51,7 @@
     return isClosed;
   }
 
-  /** Closes the connection if it is still idle after the idle timeout. */
+  /** Starts the idle timeout, which closes the connection if it stays idle until then. */
   void startIdleTimer() {
     idleSinceUs = context.now();
     long startedUs = idleSinceUs;
--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -31,8 +31,11 @@
   private static final String LARGE_BODIES =
       "like = \"../scenarios/calm.toml\"\nseconds = 5\n[[category]]\nname = \"file\"\neffect = \"deduplicated\"\n"
           + "key_scope = \"all\"\nttl_ms = 1500\ntarget_latency_ms = 600\nbody_bytes = 300000\nanswer_bytes = 700000\n[clients]\nper_s = 12\nretry = \"after\"\n";
-  private final List<Object[]> events =
-      new ArrayList<>(); // of the latest run: time in µs, name, then keys and values in turn
+
+  /**
+   * Events of the latest run, each with its time in µs, its name, and its keys and values in turn.
+   */
+  private final List<Object[]> events = new ArrayList<>();
 
   private static Scenario calm() throws InvalidScenarioException {
     return ScenarioReader.read(Path.of("../scenarios/calm.toml"));
@@ -117,16 +120,16 @@
   @ValueSource(strings = {"reply", "answer", "begin", "push"})
   void faultInTheSameMicrosecondAsRequestEvent(String eventName) throws InvalidScenarioException {
     run(calm(), 7);
-    List<Long> at = times(eventName);
-    assertTrue(at.size() > 100);
-    for (int i = 20; i < at.size(); i += at.size() / 6) {
+    List<Long> timesUs = times(eventName);
+    assertTrue(timesUs.size() > 100);
+    for (int i = 20; i < timesUs.size(); i += timesUs.size() / 6) {
       for (int e = 0; e < 8; e += 3) {
         for (Kind kind : List.of(Kind.DIE, Kind.SILENCE, Kind.DRAIN)) {
-          run(calm(), 7, fault(kind, "e" + e, at.get(i), 400_000, "after"));
+          run(calm(), 7, fault(kind, "e" + e, timesUs.get(i), 400_000, "after"));
         }
       }
-      run(calm(), 7, fault(Kind.KILL, "s1", at.get(i), 100_000, "after"));
-      run(calm(), 7, fault(Kind.TERM, "s1", at.get(i), 100_000, "after"));
+      run(calm(), 7, fault(Kind.KILL, "s1", timesUs.get(i), 100_000, "after"));
+      run(calm(), 7, fault(Kind.TERM, "s1", timesUs.get(i), 100_000, "after"));
     }
   }
 
@@ -168,16 +171,16 @@
   void endpointDiesWhileSendingBody() throws InvalidScenarioException {
     Scenario largeBodies = parse(LARGE_BODIES);
     assertTrue(run(largeBodies, 3).succeeded() > 100);
-    List<Long> at = times("reply");
-    int cut = 0;
-    for (int i = 5; i < at.size(); i += at.size() / 8) {
+    List<Long> timesUs = times("reply");
+    int truncatedCount = 0;
+    for (int i = 5; i < timesUs.size(); i += timesUs.size() / 8) {
       // 4 ms after the event, the endpoint still sends that answer or has the next request.
       for (int e = 0; e < 8; e += 2) {
-        run(largeBodies, 3, fault(Kind.DIE, "e" + e, at.get(i) + 4_000, 700_000, "after"));
-        cut += times("cut").size();
+        run(largeBodies, 3, fault(Kind.DIE, "e" + e, timesUs.get(i) + 4_000, 700_000, "after"));
+        truncatedCount += times("cut").size();
       }
     }
-    assertTrue(cut > 0, "some clients observe a truncated answer");
+    assertTrue(truncatedCount > 0, "some clients observe a truncated answer");
   }
 
   /**
