--- a/sidecar/src/main/java/dillcross/net/SidecarServer.java
+++ b/sidecar/src/main/java/dillcross/net/SidecarServer.java
@@ -65,7 +65,7 @@
   private volatile long maxTimeoutUs;
   private volatile boolean isSocketInherited; // another process may accept from it too
   private boolean needsFirstList; // before the server is ready
-  private long lastExpiryUs;
+  private long lastExpiryUs; // when client and admin connections were last checked for timeouts
   private int failedIterations;
   private long now; // in microseconds; read before the events of an iteration and again after them
 
@@ -180,7 +180,7 @@
     }
   }
 
-  // Start up
+  // Startup
 
   /**
    * Listens at an address, warms up, and begins serving. Returns when the server is ready, or once
--- a/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
@@ -19,7 +19,7 @@
   private static final int REQUESTS_PER_ITERATION = 4;
 
   private final AttemptExecutor attempts;
-  private final int requestCount;
+  private final int requestCount; // how many requests to send
   private final CountDownLatch done = new CountDownLatch(1);
   private String address; // null if there is none, so that no requests are sent
   private String path;
--- a/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
@@ -27,7 +27,7 @@
  * thread.
  */
 public final class AdminEndpoint implements MessageHandler, Network.ConnectionAcceptor {
-  private static final int MAX_CONNECTIONS = 8; // SidecarServer reserves descriptors for them
+  private static final int MAX_CONNECTIONS = 8; // SidecarServer reserves descriptors for these
   private static final long CALL_TIMEOUT_US = 5_000_000; // from the connect to the close
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
 
--- a/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -21,13 +21,13 @@
   static final long SHORT_IDLE_TIMEOUT_US = 2_000_000;
 
   /**
-   * How long a new connection may be open without a byte before it is closed at the limit, or by a
-   * drain or shutdown.
+   * How long a new connection may be open without a byte. One that exceeds this is closed first at
+   * the limit, and is closed by a drain or shutdown.
    */
   static final long FIRST_BYTE_TIMEOUT_US = 200_000;
 
-  // How long after its connect a connection's first request may be incomplete before it is closed
-  // at the limit.
+  // How long a connection's first request may be incomplete, counted from the connect. One that
+  // exceeds this is closed first at the limit.
   private static final long PARTIAL_REQUEST_TIMEOUT_US = 1_000_000;
   // Connections are scarce from 3/8 of the limit on.
   private static final int SCARCE_NUMERATOR = 3;
@@ -39,7 +39,7 @@
   private final int maxConnections;
   private final Set<Connection> connections = new LinkedHashSet<>(); // the longest idle first
   private Network.ListeningSocket listeningSocket; // null before the start and after the stop
-  private boolean isAcceptPaused;
+  private boolean isAcceptPaused; // because the limit is reached
   private long loggedUs; // when the limit was last logged
 
   /** Creates an empty set of at most {@code maxConnections}; {@code clock} gives microseconds. */
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -341,6 +341,7 @@
       rejectAndClose(
           connection, HttpResponse.text(HttpStatus.REQUEST_TIMEOUT, "the request stopped coming"));
     } else if (isBodyIncomplete && stalledUs > Math.max(STALL_TIMEOUT_US, maxTimeoutUs)) {
+      // Reading is paused because no endpoint takes the body.
       coordinator.onBodyStalled(pending.requestId());
     } else if (connection.relays().hasOutbound()
         && connection.out().size() > 0
--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -38,15 +38,15 @@
   private boolean closesAfterResponse;
   private boolean isClosing; // closed once all output is written
   private long maxDiscardedBytes = MAX_DISCARDED_BYTES;
-  private long discardedBytes;
-  private boolean isPaused;
+  private long discardedBytes; // input that was read and discarded
+  private boolean isPaused; // reading is paused until the input buffer has space
   private boolean hasOverrun; // more followed an open request than may be buffered
   private boolean isConnected;
-  private boolean hasInputEnded;
+  private boolean hasInputEnded; // no more bytes will arrive
   private boolean wasInputReset; // the input ended by an error, so a message may be cut short
   private boolean wasLastMessageDropped; // the output buffer had no space for it
-  private boolean isWriting;
-  private int bytesInWrite;
+  private boolean isWriting; // the channel has not finished the last write
+  private int bytesInWrite; // the size of that write; the bytes are still in the output buffer
 
   /**
    * Creates a connection whose connect has not succeeded yet.
@@ -132,12 +132,12 @@
     return hasInputEnded && !wasInputReset;
   }
 
-  /** The times and counts from which time-outs of the connection are derived. */
+  /** The times and counts from which the connection's timeouts are derived. */
   public ConnectionActivity activity() {
     return activity;
   }
 
-  /** The relays of large bodies that it takes part in. */
+  /** The relays of large bodies that the connection takes part in. */
   public ConnectionRelays relays() {
     return relays;
   }
@@ -251,10 +251,10 @@
    */
   private boolean discardInput() throws IOException {
     in.clear();
-    int got = channel.read(DISCARDED.clear());
-    discardedBytes += Math.max(0, got);
-    activity.countBytes(Math.max(0, got));
-    return got < 0 || (isClosing && discardedBytes > maxDiscardedBytes);
+    int readCount = channel.read(DISCARDED.clear());
+    discardedBytes += Math.max(0, readCount);
+    activity.countBytes(Math.max(0, readCount));
+    return readCount < 0 || (isClosing && discardedBytes > maxDiscardedBytes);
   }
 
   /**
@@ -264,7 +264,8 @@
   public void pauseIfFull() {
     boolean isBehindRequest = isServerSide && exchange != null && !parser.isStreaming();
     if (isBehindRequest && in.size() >= MAX_PIPELINED_BYTES) {
-      // Later input is discarded but read, to see a disconnect; the response announces a close.
+      // Later input is read and discarded, to see a disconnect; the connection closes after the
+      // response.
       hasOverrun = true;
       in.clear();
     }
--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -44,12 +44,12 @@
   private final LongSupplier clock;
   private final ConnectionFactory connectionFactory;
   private String address;
-  private long connectTimeoutUs;
+  private long connectTimeoutUs; // of later calls
   private Connection idleConnection; // kept open after a response; null while a call uses it
   private WatchCall newest; // the call that has not timed out; null if there is none
   private WatchCall overdue; // it timed out, but may still be answered; null if there is none
   private WatchCall former; // to the former address, until the new one answers; else null
-  private boolean isFailing;
+  private boolean isFailing; // a failure was logged, and no list has arrived since
   private boolean isBehind = true; // no response yet since the start, a failure or a move
 
   /**
--- a/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -42,8 +42,8 @@
   private final Map<AttemptId, InFlightAttempt> attempts = new HashMap<>();
   private final ArrayDeque<InFlightAttempt> connecting = new ArrayDeque<>(); // the oldest first
   private final ArrayDeque<InFlightAttempt> connected = new ArrayDeque<>(); // not sent yet
-  private long connectTimeoutUs;
-  private long lastExpiryUs;
+  private long connectTimeoutUs; // of connects that begin from now on
+  private long lastExpiryUs; // when stalled and idle connections were last checked
 
   private record AttemptId(long requestId, int attempt) {
     static AttemptId of(InFlightAttempt attempt) {
--- a/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
@@ -22,7 +22,7 @@
   private final int maxConnections;
   private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
   private final Set<Connection> connections = new LinkedHashSet<>(); // open or opening
-  private long maxIdleUs;
+  private long maxIdleUs; // how long a connection may be idle and still be reused
 
   /**
    * The idle connections to one endpoint. If another endpoint has the same address later, it gets
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -34,10 +34,10 @@
   private ByteArrayOutputStream collected; // bytes of a body of unknown length; else null
   private boolean isStreaming; // the caller takes the rest of the body as it arrives
   private boolean isBodyComplete; // all of the body has been taken
-  private int interimResponses;
+  private int interimResponses; // in a row, before the final response
   private int scanned; // bytes already searched for the end of the head
   private int fault; // an HTTP status code; 0 while nothing is wrong
-  private boolean expectsContinue;
+  private boolean expectsContinue; // the sender waits for 100 Continue, and was not told yet
 
   /**
    * Creates a parser at the start of the input.
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Whether the buffer holds all of a streamed body that has not been taken yet. False for a body
-   * of unknown length, because its end is found only as the body is taken.
+   * Whether all bytes of a streamed body that have not been taken yet are in the buffer. False for
+   * a body of unknown length, because its end is found only as the body is taken.
    */
   public boolean hasRestArrived(RingBuffer in) {
     return isStreaming
