--- a/sidecar/src/test/java/dillcross/cli/ReloadIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ReloadIT.java
@@ -108,6 +108,7 @@
       send(client, request(i % 2 == 0 ? "/pay/slow" : idempotentPath));
     }
     await(() -> countReceivedOnce("/pay/slow", endpointA, endpointB) > receivedBefore);
+    awaitClientInputRead(); // a request of a removed class that is read later is answered 404
 
     reload(config, nextConfig);
     sidecar.awaitLogLine("settings changed");
--- a/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
@@ -34,6 +34,16 @@
   private static final int READ_TIMEOUT_MS = 20_000;
   private static final int POLL_INTERVAL_MS = 2;
 
+  // Fields of a line of /proc/net/tcp, counted from 0; the queues are SEND:RECEIVE, in bytes.
+  private static final int LOCAL_ADDRESS_FIELD = 1;
+  private static final int REMOTE_ADDRESS_FIELD = 2;
+  private static final int STATE_FIELD = 3;
+  private static final int QUEUES_FIELD = 4;
+  private static final int SEND_QUEUE_INDEX = 0;
+  private static final int RECEIVE_QUEUE_INDEX = 1;
+  private static final String LISTEN_STATE = "0A";
+  private static final int HEXADECIMAL = 16;
+
   /** The time after a response until its connection to the endpoint may be reused. */
   private static final int REUSE_DELAY_MS = 20;
 
@@ -168,6 +178,30 @@
     }
   }
 
+  /** Waits until the sidecar has read all bytes that clients have sent to it. */
+  void awaitClientInputRead() throws Exception {
+    // The sockets of the tests are IPv6 sockets, those of the sidecar IPv4 sockets.
+    await(() -> areQueuesEmpty("/proc/net/tcp6", REMOTE_ADDRESS_FIELD, SEND_QUEUE_INDEX));
+    await(() -> areQueuesEmpty("/proc/net/tcp", LOCAL_ADDRESS_FIELD, RECEIVE_QUEUE_INDEX));
+  }
+
+  /** Whether there are connections with the sidecar's port in that field, all with empty queues. */
+  private boolean areQueuesEmpty(String socketTable, int addressField, int queueIndex)
+      throws IOException {
+    String portSuffix = String.format(":%04X", sidecar.port);
+    try (var lines = Files.lines(Path.of(socketTable))) {
+      List<Long> queues =
+          lines
+              .map(line -> line.trim().split(" +"))
+              .filter(fields -> fields[addressField].endsWith(portSuffix))
+              .filter(fields -> !fields[STATE_FIELD].equals(LISTEN_STATE)) // it queues connections
+              .map(fields -> fields[QUEUES_FIELD].split(":")[queueIndex])
+              .map(queue -> Long.parseLong(queue, HEXADECIMAL))
+              .toList();
+      return !queues.isEmpty() && queues.stream().allMatch(queue -> queue == 0);
+    }
+  }
+
   /** Waits until the sidecar may reuse the connections on which it got responses. */
   static void awaitConnectionReuse() throws InterruptedException {
     Thread.sleep(REUSE_DELAY_MS);
