--- a/fleet/src/main/java/dillcross/fleet/ChildProcess.java
+++ b/fleet/src/main/java/dillcross/fleet/ChildProcess.java
@@ -17,9 +17,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One process of the program, a child of this one. A guard (a shell that waits for the end of its
- * input) stands beside it and kills it when this process ends in whatever way: nothing is left
- * behind, also after SIGKILL. Signals go to this child's own process id alone.
+ * One sidecar process. It is started by a guard, a shell that waits for end of file on its standard
+ * input and then kills the sidecar. The pipe closes however this JVM ends, SIGKILL included, so no
+ * sidecar outlives it. Signals are sent to the sidecar's own process id only.
  */
 final class ChildProcess implements AutoCloseable {
   private static final Pattern ADMIN = Pattern.compile(".*admin endpoint on ([0-9.:]+).*");
@@ -31,43 +31,53 @@
   private final CompletableFuture<String> ready = new CompletableFuture<>();
   final long startedNs = System.nanoTime();
 
-  /** {@code log} gets all that it says, {@code home} hears where its datagrams come in. */
-  ChildProcess(List<String> command, Path root, Path log, java.util.function.Consumer<String> home)
+  /**
+   * Starts the process and a thread that reads its output.
+   *
+   * @param root the working directory of the process
+   * @param log the file to which the output of the process is appended
+   * @param boundAddress receives the {@code host:port} to which the membership socket is bound, on
+   *     the reading thread
+   */
+  ChildProcess(
+      List<String> command, Path root, Path log, java.util.function.Consumer<String> boundAddress)
       throws IOException {
-    List<String> all =
+    List<String> guardCommand =
         new ArrayList<>(
             List.of(
                 "sh",
                 "-c",
                 "\"$@\" <&- 2>&1 & echo $!; cat >/dev/null; kill -9 $! 2>/dev/null",
                 "guard"));
-    all.addAll(command);
-    guard = new ProcessBuilder(all).directory(root.toFile()).redirectErrorStream(true).start();
-    BufferedReader said =
+    guardCommand.addAll(command);
+    guard =
+        new ProcessBuilder(guardCommand).directory(root.toFile()).redirectErrorStream(true).start();
+    BufferedReader output =
         new BufferedReader(new InputStreamReader(guard.getInputStream(), StandardCharsets.UTF_8));
-    pid = Long.parseLong(said.readLine());
+    pid = Long.parseLong(output.readLine());
     Thread reader =
         new Thread(
             () -> {
-              try (var out =
+              try (var logWriter =
                   Files.newBufferedWriter(
                       log,
                       java.nio.file.StandardOpenOption.CREATE,
                       java.nio.file.StandardOpenOption.APPEND)) {
-                for (String line; (line = said.readLine()) != null; ) {
-                  out.write(line + "\n");
-                  out.flush();
-                  Matcher m = MEMBERSHIP.matcher(line);
-                  if (m.matches()) {
-                    home.accept(m.group(1));
+                for (String line; (line = output.readLine()) != null; ) {
+                  logWriter.write(line + "\n");
+                  logWriter.flush();
+                  Matcher matcher = MEMBERSHIP.matcher(line);
+                  if (matcher.matches()) {
+                    boundAddress.accept(matcher.group(1));
                   }
-                  found(ADMIN, line, admin);
-                  found(READY, line, ready);
+                  completeIfMatching(ADMIN, line, admin);
+                  completeIfMatching(READY, line, ready);
                 }
               } catch (IOException | UncheckedIOException closed) {
                 admin.completeExceptionally(closed);
               }
-              IOException ended = new IOException("the process has ended; see " + log);
+              IOException ended =
+                  new IOException("sidecar process " + pid + " ended; its output is in " + log);
               admin.completeExceptionally(ended);
               ready.completeExceptionally(ended);
             },
@@ -76,36 +86,51 @@
     reader.start();
   }
 
-  private static void found(Pattern pattern, String line, CompletableFuture<String> announced) {
-    Matcher m = pattern.matcher(line);
-    if (m.matches()) {
-      announced.complete(m.group(1));
+  private static void completeIfMatching(
+      Pattern pattern, String line, CompletableFuture<String> announced) {
+    Matcher matcher = pattern.matcher(line);
+    if (matcher.matches()) {
+      announced.complete(matcher.group(1));
     }
   }
 
-  private static String wait(CompletableFuture<String> announced)
+  private static String await(CompletableFuture<String> announced)
       throws IOException, InterruptedException {
     try {
       return announced.get(30, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException("no word from the process: " + e.getMessage(), e);
+      throw new IOException(
+          "sidecar did not announce its address"
+              + (e instanceof TimeoutException ? " within 30 s" : ": " + e.getMessage()),
+          e);
     }
   }
 
+  /**
+   * The {@code host:port} of the admin endpoint; waits up to 30 s for the process to log it.
+   *
+   * @throws IOException if the process ends or does not log it in time
+   */
   String admin() throws IOException, InterruptedException {
-    return wait(admin);
+    return await(admin);
   }
 
+  /**
+   * The {@code host:port} at which clients are served; waits up to 30 s for the process to be
+   * ready.
+   *
+   * @throws IOException if the process ends or is not ready in time
+   */
   String address() throws IOException, InterruptedException {
-    return wait(ready);
+    return await(ready);
   }
 
-  /** Null until it has said so. */
+  /** The {@code host:port} of the admin endpoint; null until the process has logged it. */
   String adminNow() {
     return admin.isDone() && !admin.isCompletedExceptionally() ? admin.join() : null;
   }
 
-  /** Null until it is ready. */
+  /** The {@code host:port} at which clients are served; null until the process is ready. */
   String addressNow() {
     return ready.isDone() && !ready.isCompletedExceptionally() ? ready.join() : null;
   }
@@ -118,7 +143,11 @@
     return ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
   }
 
-  /** STOP, CONT, TERM or KILL. */
+  /**
+   * Sends a signal to the process, if it is alive.
+   *
+   * @param name STOP, CONT, TERM or KILL
+   */
   void signal(String name) throws IOException, InterruptedException {
     if (alive()) {
       new ProcessBuilder("kill", "-" + name, Long.toString(pid))
@@ -128,7 +157,10 @@
     }
   }
 
-  /** CPU that it used so far, in milliseconds. */
+  /**
+   * CPU time that the process has used since its start, in milliseconds; 0 if the process has ended
+   * or the system does not report it.
+   */
   long cpuMs() {
     return ProcessHandle.of(pid)
         .flatMap(p -> p.info().totalCpuDuration())
@@ -138,7 +170,9 @@
 
   @Override
   public void close() throws IOException {
-    guard.getOutputStream().close(); // the guard kills it, stopped or not
+    guard
+        .getOutputStream()
+        .close(); // the guard then kills the sidecar, even one stopped by SIGSTOP
     try {
       if (!guard.waitFor(5, TimeUnit.SECONDS)) {
         guard.destroyForcibly();
--- a/fleet/src/main/java/dillcross/fleet/ComparisonRun.java
+++ b/fleet/src/main/java/dillcross/fleet/ComparisonRun.java
@@ -9,71 +9,82 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What membership costs: the same load on sidecars that have it and on as many that have not, in
- * one run, while one member comes and goes.
+ * Measures the cost of membership: puts the same load on an equal number of sidecars with and
+ * without membership in one run, during which one member is paused and resumed.
  */
 final class ComparisonRun {
   private ComparisonRun() {}
 
-  /** Whether every request that found its sidecar was answered. */
-  static boolean play(int each, int seconds, double rate, Path out, PrintStream print)
+  /**
+   * Runs the comparison and prints a table.
+   *
+   * @param groupSize the number of sidecars with membership, and of those without
+   * @param rate requests per second to each sidecar
+   * @return true if every request to the measured sidecars got a response
+   */
+  static boolean run(int groupSize, int seconds, double rate, Path out, PrintStream print)
       throws Exception {
     List<String> zones = List.of("east", "west", "north");
     try (StandInServices standIns = new StandInServices(9, zones, 10);
-        Fleet fleet = new Fleet(Fleet.root(), out, 2 * each, zones, List.of(0), 1000, 1)) {
-      fleet.lists(standIns.listAddress());
-      IntStream.range(each, 2 * each).forEach(fleet::alone);
+        Fleet fleet = new Fleet(Fleet.root(), out, 2 * groupSize, zones, List.of(0), 1000, 1)) {
+      fleet.setListAddress(standIns.listAddress());
+      IntStream.range(groupSize, 2 * groupSize).forEach(fleet::disableMembership);
       fleet.startAll();
-      Set<Integer> with = fleet.those(m -> m < each);
-      if (Fleet.until(60_000, () -> fleet.agree(with)) < 0) {
-        print.println("the sidecars did not find each other");
+      Set<Integer> withMembership = fleet.membersWhere(m -> m < groupSize);
+      if (Fleet.waitUntil(60_000, () -> fleet.agree(withMembership)) < 0) {
+        print.println("the sidecars did not agree on the membership within 60 s");
         return false;
       }
-      for (int m : fleet.all()) {
+      for (int m : fleet.allMembers()) {
         fleet.child(m).address();
       }
-      List<LoadGenerator> warm = LoadGenerator.all(fleet, rate);
+      List<LoadGenerator> warmUp = LoadGenerator.startFor(fleet, rate);
       Thread.sleep(5000);
-      warm.forEach(LoadGenerator::close);
+      warmUp.forEach(LoadGenerator::close);
       Thread.sleep(1500);
-      List<Set<Integer>> kinds = List.of(with, fleet.those(m -> m >= each));
-      List<Long> cpu = kinds.stream().map(fleet::cpuMs).toList();
-      long bytes = fleet.plane.bytes.get();
-      List<LoadGenerator> loads = LoadGenerator.all(fleet, rate);
+      List<Set<Integer>> groups = List.of(withMembership, fleet.membersWhere(m -> m >= groupSize));
+      List<Long> cpu = groups.stream().map(fleet::cpuMs).toList();
+      long bytes = fleet.datagramProxy.bytes.get();
+      List<LoadGenerator> loads = LoadGenerator.startFor(fleet, rate);
       Thread.sleep(1000L * seconds / 2);
-      fleet.signal(each - 1, "STOP"); // news to talk about; its own clients are not counted below
+      // The pause causes membership updates to be sent; this member's clients are not counted
+      // below.
+      fleet.signal(groupSize - 1, "STOP");
       Thread.sleep(1000L * seconds / 2);
-      fleet.signal(each - 1, "CONT");
+      fleet.signal(groupSize - 1, "CONT");
       loads.forEach(LoadGenerator::close);
       Thread.sleep(1500);
       print.println(
           "| membership | sidecars | ops | p50 | p99 | p99.9 | not acked | CPU ms/s a sidecar | bytes/s a sidecar |");
       print.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
       boolean answered = true;
-      for (int kind = 0; kind < 2; kind++) {
-        int from = kind * each;
+      for (int group = 0; group < 2; group++) {
+        int from = group * groupSize;
         List<LoadGenerator> own =
-            IntStream.range(from, from + each - 1).mapToObj(loads::get).toList();
+            IntStream.range(from, from + groupSize - 1).mapToObj(loads::get).toList();
         Histogram all = new Histogram(60_000_000L, 3);
         own.forEach(l -> all.add(l.latencyUs));
         long sent = own.stream().mapToLong(l -> l.sent.get()).sum();
         long succeeded = own.stream().mapToLong(l -> l.succeeded.get()).sum();
-        answered &= own.stream().allMatch(l -> l.unheard.get() == 0);
-        double used = (fleet.cpuMs(kinds.get(kind)) - cpu.get(kind)) / (seconds + 1.5) / each;
+        answered &= own.stream().allMatch(l -> l.unanswered.get() == 0);
+        double used =
+            (fleet.cpuMs(groups.get(group)) - cpu.get(group)) / (seconds + 1.5) / groupSize;
         print.printf(
             Locale.ROOT,
             "| %s | %d | %d | %.2f ms | %.2f ms | %.2f ms | %d | %.1f | %s |%n",
-            kind == 0 ? "on" : "off",
-            each - 1,
+            group == 0 ? "on" : "off",
+            groupSize - 1,
             sent,
             all.getValueAtPercentile(50) / 1e3,
             all.getValueAtPercentile(99) / 1e3,
             all.getValueAtPercentile(99.9) / 1e3,
             sent - succeeded,
             used,
-            kind == 0
+            group == 0
                 ? String.format(
-                    Locale.ROOT, "%.0f", (fleet.plane.bytes.get() - bytes) / (seconds + 1.5) / each)
+                    Locale.ROOT,
+                    "%.0f",
+                    (fleet.datagramProxy.bytes.get() - bytes) / (seconds + 1.5) / groupSize)
                 : "0");
       }
       return answered;
--- a/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
@@ -18,32 +18,44 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * The fault plane for datagrams: each member is known to the others by a socket of the plane. A
- * member sends from a loopback address of its own (127.1.x.y), so the plane knows who sent what to
- * whom; it passes it on from the sender's socket, so the receiver sees the address that it knows.
- * One thread. What a datagram meets is drawn from the seed, by link and by its number there.
+ * A UDP proxy between the members that injects faults. It has one socket for each member, whose
+ * address the member advertises to the others. Each member sends from a loopback address of its own
+ * (127.1.x.y), by which the proxy identifies the sender; the receiving socket identifies the
+ * destination. The proxy forwards from the sender's socket, so that the receiver sees the
+ * advertised address of the sender. All forwarding runs on one thread. Random faults are drawn from
+ * the seed, from one stream per ordered pair of members, in the order of the datagrams of that
+ * pair.
  */
 final class DatagramFaultProxy implements AutoCloseable {
-  private record Late(long atNs, long order, int from, int to, byte[] bytes) {}
+  private record DelayedDatagram(long atNs, long order, int from, int to, byte[] bytes) {}
 
   private final Selector selector = Selector.open();
-  private final List<DatagramChannel> sockets = new ArrayList<>(); // by member
-  private final AtomicReferenceArray<SocketAddress> homes; // where members really are, as last seen
-  private final RandomStream[][] chances;
-  private final PriorityQueue<Late> late =
-      new PriorityQueue<>(Comparator.comparingLong(Late::atNs).thenComparingLong(Late::order));
+  private final List<DatagramChannel> sockets = new ArrayList<>(); // index: member
+  private final AtomicReferenceArray<SocketAddress>
+      memberAddresses; // the bound address of each member; null until known
+  private final RandomStream[][] randomStreams;
+  private final PriorityQueue<DelayedDatagram> delayed =
+      new PriorityQueue<>(
+          Comparator.comparingLong(DelayedDatagram::atNs)
+              .thenComparingLong(DelayedDatagram::order));
+
+  /** The active faults; may be changed from any thread. */
   final List<LinkFault> faults = new CopyOnWriteArrayList<>();
-  final AtomicLong passed = new AtomicLong();
-  final AtomicLong lost = new AtomicLong();
+
+  final AtomicLong forwarded = new AtomicLong();
+  final AtomicLong dropped = new AtomicLong();
+
+  /** The bytes of all datagrams that members sent, dropped ones included. */
   final AtomicLong bytes = new AtomicLong();
+
   private final Thread thread;
   private long order;
-  private volatile boolean over;
+  private volatile boolean closed;
 
   DatagramFaultProxy(int members, long seed) throws IOException {
-    homes = new AtomicReferenceArray<>(members);
-    chances = new RandomStream[members][members];
-    RandomStream all = RandomStream.of(seed).named("plane");
+    memberAddresses = new AtomicReferenceArray<>(members);
+    randomStreams = new RandomStream[members][members];
+    RandomStream rootStream = RandomStream.of(seed).named("plane");
     for (int i = 0; i < members; i++) {
       DatagramChannel socket = DatagramChannel.open();
       socket.configureBlocking(false);
@@ -51,20 +63,20 @@
       socket.register(selector, SelectionKey.OP_READ, i);
       sockets.add(socket);
       for (int j = 0; j < members; j++) {
-        chances[i][j] = all.named(i + " " + j);
+        randomStreams[i][j] = rootStream.named(i + " " + j);
       }
     }
-    thread = new Thread(this::run, "plane");
+    thread = new Thread(this::run, "datagram-fault-proxy");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** The address that member has to bind to; any port. */
-  static String home(int member) {
+  /** The loopback address, without port, that the member has to bind to. */
+  static String bindAddress(int member) {
     return "127.1." + (member >> 7) + "." + ((member & 127) + 1);
   }
 
-  /** The address under which the others know that member. */
+  /** The {@code host:port} of the proxy that the member advertises to the others. */
   String address(int member) {
     try {
       return "127.0.0.1:" + ((InetSocketAddress) sockets.get(member).getLocalAddress()).getPort();
@@ -73,25 +85,29 @@
     }
   }
 
-  /** That member is at this address now: it may hear before it first speaks. */
-  void isAt(int member, String home) {
-    int colon = home.lastIndexOf(':');
-    homes.set(
+  /**
+   * Sets the {@code host:port} to which datagrams for the member are forwarded, so that the member
+   * can receive before it first sends.
+   */
+  void setMemberAddress(int member, String address) {
+    int colon = address.lastIndexOf(':');
+    memberAddresses.set(
         member,
         new InetSocketAddress(
-            home.substring(0, colon), Integer.parseInt(home.substring(colon + 1))));
+            address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
   }
 
-  private static int member(InetAddress home) {
-    byte[] parts = home.getAddress();
+  /** The number of the member with this address; -1 outside 127.1.0.0/16. */
+  private static int member(InetAddress address) {
+    byte[] parts = address.getAddress();
     return parts[1] != 1 ? -1 : (parts[2] & 255) << 7 | (parts[3] & 255) - 1;
   }
 
   private void run() {
-    ByteBuffer space = ByteBuffer.allocate(16 << 10);
+    ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
     try {
-      while (!over) {
-        Late first = late.peek();
+      while (!closed) {
+        DelayedDatagram first = delayed.peek();
         long waitMs =
             first == null ? 100 : Math.max(0, (first.atNs - System.nanoTime()) / 1_000_000);
         if (waitMs == 0) {
@@ -100,85 +116,88 @@
           selector.select(waitMs);
         }
         for (SelectionKey key : selector.selectedKeys()) {
-          take((DatagramChannel) key.channel(), (int) key.attachment(), space);
+          receive((DatagramChannel) key.channel(), (int) key.attachment(), buffer);
         }
         selector.selectedKeys().clear();
-        for (Late due; (due = late.peek()) != null && due.atNs <= System.nanoTime(); ) {
-          late.poll();
+        for (DelayedDatagram due;
+            (due = delayed.peek()) != null && due.atNs <= System.nanoTime(); ) {
+          delayed.poll();
           send(due.from, due.to, due.bytes);
         }
       }
     } catch (IOException e) {
-      if (!over) {
-        throw new IllegalStateException("the fault plane broke", e);
+      if (!closed) {
+        throw new IllegalStateException("datagram fault proxy failed", e);
       }
     }
   }
 
-  private void take(DatagramChannel socket, int to, ByteBuffer space) throws IOException {
+  private void receive(DatagramChannel socket, int to, ByteBuffer buffer) throws IOException {
     while (true) {
-      space.clear();
-      InetSocketAddress home = (InetSocketAddress) socket.receive(space);
-      if (home == null) {
+      buffer.clear();
+      InetSocketAddress address = (InetSocketAddress) socket.receive(buffer);
+      if (address == null) {
         return;
       }
-      int from = member(home.getAddress());
-      space.flip();
-      byte[] got = new byte[space.remaining()];
-      space.get(got);
-      if (from >= 0 && from < homes.length()) {
-        homes.set(from, home);
-        pass(from, to, got);
+      int from = member(address.getAddress());
+      buffer.flip();
+      byte[] payload = new byte[buffer.remaining()];
+      buffer.get(payload);
+      if (from >= 0 && from < memberAddresses.length()) {
+        memberAddresses.set(from, address);
+        forward(from, to, payload);
       } else {
-        send(to, to, got); // from a stranger, as a test sends it
+        send(to, to, payload); // from outside the fleet: a test sends such datagrams
       }
     }
   }
 
-  private void pass(int from, int to, byte[] got) {
-    RandomStream random = chances[from][to];
+  private void forward(int from, int to, byte[] payload) {
+    RandomStream random = randomStreams[from][to];
     long delayUs = 0;
-    boolean twice = false;
-    bytes.addAndGet(got.length);
+    boolean duplicate = false;
+    bytes.addAndGet(payload.length);
     for (LinkFault fault : faults) {
-      if (fault.concerns(from, to)) {
+      if (fault.appliesTo(from, to)) {
         if (random.happens(fault.loss())) {
-          lost.incrementAndGet();
+          dropped.incrementAndGet();
           return;
         }
         delayUs += fault.delayUs() + random.between(0L, fault.jitterUs());
-        twice |= random.happens(fault.twice());
-        if (random.happens(fault.garbled())) {
+        duplicate |= random.happens(fault.duplicated());
+        if (random.happens(fault.corrupted())) {
           for (int i = 0; i < 3; i++) {
-            got[(int) random.between(0L, got.length - 1L)] ^= (byte) random.between(1L, 255L);
+            payload[(int) random.between(0L, payload.length - 1L)] ^=
+                (byte) random.between(1L, 255L);
           }
         }
       }
     }
-    for (int i = 0; i < (twice ? 2 : 1); i++) {
+    for (int i = 0; i < (duplicate ? 2 : 1); i++) {
       if (delayUs == 0) {
-        send(from, to, got);
+        send(from, to, payload);
       } else {
-        late.add(new Late(System.nanoTime() + delayUs * 1000, order++, from, to, got));
+        delayed.add(
+            new DelayedDatagram(System.nanoTime() + delayUs * 1000, order++, from, to, payload));
       }
     }
   }
 
-  private void send(int from, int to, byte[] what) {
-    SocketAddress home = homes.get(to);
-    if (home != null) {
+  private void send(int from, int to, byte[] payload) {
+    SocketAddress address = memberAddresses.get(to);
+    if (address != null) {
       try {
-        sockets.get(from).send(ByteBuffer.wrap(what), home);
-        passed.incrementAndGet();
-      } catch (IOException nobodyThere) {
-        lost.incrementAndGet();
+        sockets.get(from).send(ByteBuffer.wrap(payload), address);
+        forwarded.incrementAndGet();
+      } catch (IOException unreachable) {
+        dropped.incrementAndGet();
       }
     }
   }
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     selector.wakeup();
     try {
       thread.join(2000);
--- a/fleet/src/main/java/dillcross/fleet/Demo.java
+++ b/fleet/src/main/java/dillcross/fleet/Demo.java
@@ -11,19 +11,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A small fleet on loopback that shows what dillcross does: an endpoint fails, is ejected, goes on
- * probation and comes back; a sidecar is killed, the others see it, and it returns.
+ * Runs a small fleet on loopback: an endpoint fails, is ejected, passes probation and is
+ * readmitted; a sidecar is killed, the others detect its death, and it is restarted.
  */
 final class Demo {
-  private static final double PER_S = 60; // requests of each sidecar
+  private static final double REQUESTS_PER_SECOND = 60; // requests per second to each sidecar
   private static final int FAILING = 2;
   private static final int KILLED = 1;
   private static final long STEP_MS = 500;
   private final PrintStream out;
   private final boolean live;
-  private final List<double[]> attempts = new ArrayList<>(); // by endpoint, a second, of each step
-  private final List<double[]> requests =
-      new ArrayList<>(); // succeeded, rejected or failed, unheard
+  private final List<double[]> attempts = new ArrayList<>(); // for each step, the total by endpoint
+  // For each step, the totals of requests that succeeded, were rejected or failed, went unanswered.
+  private final List<double[]> requests = new ArrayList<>();
 
   Demo(PrintStream out, boolean live) {
     this.out = out;
@@ -31,47 +31,52 @@
   }
 
   /**
-   * Plays it, at a pace of so many times the usual; the report goes to that folder. Whether all
-   * went as it should.
+   * Runs the demo and writes a report.
+   *
+   * @param folder the directory for the report and the logs; created if missing
+   * @param pace the speed of the scripted events, as a multiple of the usual speed 1
+   * @return true if the members found each other and over 97 % of the requests succeeded or were
+   *     sent to a sidecar that did not answer
    */
-  boolean play(Path folder, double pace) throws Exception {
+  boolean run(Path folder, double pace) throws Exception {
     Files.createDirectories(folder);
     List<String> zones = List.of("east", "west");
-    List<String> news = new ArrayList<>();
+    List<String> events = new ArrayList<>();
     try (StandInServices standIns = new StandInServices(4, zones, 12);
         Fleet fleet =
             new Fleet(Fleet.root(), folder.resolve("processes"), 3, zones, List.of(0), 300, 1)) {
-      fleet.lists(standIns.listAddress());
+      fleet.setListAddress(standIns.listAddress());
       out.println(
           "dillcross demo: 4 endpoints, a list service, 3 sidecars (real processes) and "
-              + Math.round(3 * PER_S)
+              + Math.round(3 * REQUESTS_PER_SECOND)
               + " ops a second, all on loopback");
       fleet.startAll();
-      if (Fleet.until(30_000, () -> fleet.agree(fleet.all())) < 0) {
+      if (Fleet.waitUntil(30_000, () -> fleet.agree(fleet.allMembers())) < 0) {
         out.println(
-            "the sidecars did not find each other; see the logs in " + folder.resolve("processes"));
+            "the sidecars did not agree on the membership within 30 s; see the logs in "
+                + folder.resolve("processes"));
         return false;
       }
       for (int i = 0; i < fleet.size(); i++) {
         fleet.child(i).address();
       }
-      List<LoadGenerator> loads = LoadGenerator.all(fleet, PER_S);
+      List<LoadGenerator> loads = LoadGenerator.startFor(fleet, REQUESTS_PER_SECOND);
       long fromNs = System.nanoTime();
-      double[] at = {4, 10, 15, 19, 24};
-      int done = 0;
-      while (done < at.length) {
+      double[] eventTimesS = {4, 10, 15, 19, 24};
+      int nextEvent = 0;
+      while (nextEvent < eventTimesS.length) {
         double s = (System.nanoTime() - fromNs) / 1e9 * pace;
-        if (s >= at[done]) {
-          String said = act(done, fleet, standIns);
-          done++;
-          if (said != null) {
-            news.add(String.format(Locale.ROOT, "%5.1f s  %s", s, said));
+        if (s >= eventTimesS[nextEvent]) {
+          String event = runEvent(nextEvent, fleet, standIns);
+          nextEvent++;
+          if (event != null) {
+            events.add(String.format(Locale.ROOT, "%5.1f s  %s", s, event));
             if (!live) {
-              out.println(news.get(news.size() - 1));
+              out.println(events.get(events.size() - 1));
             }
           }
         }
-        step(fleet, standIns, loads, s, news);
+        recordStep(fleet, standIns, loads, s, events);
         Thread.sleep(STEP_MS);
       }
       loads.forEach(LoadGenerator::close);
@@ -80,7 +85,7 @@
       loads.forEach(l -> all.add(l.latencyUs));
       long sent = sum(loads, 0);
       long succeeded = sum(loads, 1);
-      long unheard = sum(loads, 4);
+      long unanswered = sum(loads, 4);
       String summary =
           String.format(
               Locale.ROOT,
@@ -89,40 +94,40 @@
               succeeded,
               sum(loads, 2),
               sum(loads, 3),
-              unheard,
+              unanswered,
               all.getValueAtPercentile(50) / 1000.0,
               all.getValueAtPercentile(99) / 1000.0);
       out.print(summary);
       Report.demo(
           folder,
-          news,
+          events,
           summary,
           standIns.endpoints.stream().map(e -> e.id).toList(),
           attempts,
           requests,
           STEP_MS / 1000.0);
       out.println("report: " + folder.resolve("report.html"));
-      return succeeded + unheard > 0.97 * sent;
+      return succeeded + unanswered > 0.97 * sent;
     }
   }
 
-  private static long sum(List<LoadGenerator> loads, int which) {
+  private static long sum(List<LoadGenerator> loads, int outcome) {
     return loads.stream()
         .mapToLong(
             l ->
-                switch (which) {
+                switch (outcome) {
                   case 0 -> l.sent.get();
                   case 1 -> l.succeeded.get();
                   case 2 -> l.rejected.get();
                   case 3 -> l.failed.get();
-                  default -> l.unheard.get();
+                  default -> l.unanswered.get();
                 })
         .sum();
   }
 
-  private static String act(int step, Fleet fleet, StandInServices standIns)
+  private static String runEvent(int event, Fleet fleet, StandInServices standIns)
       throws IOException, InterruptedException {
-    switch (step) {
+    switch (event) {
       case 0 -> {
         standIns.endpoints.get(FAILING).fails = true;
         return "e2 begins to fail every op at once: five failures in a row eject it";
@@ -145,23 +150,23 @@
     }
   }
 
-  private void step(
+  private void recordStep(
       Fleet fleet,
       StandInServices standIns,
       List<LoadGenerator> loads,
       double s,
-      List<String> news) {
+      List<String> events) {
     double[] to = standIns.endpoints.stream().mapToDouble(e -> e.attempts.get()).toArray();
     double[] now = {sum(loads, 1), sum(loads, 2) + sum(loads, 3), sum(loads, 4)};
     String views =
-        fleet.all().stream()
+        fleet.allMembers().stream()
             .map(
                 m -> {
                   MembershipView view = fleet.view(m);
                   return Fleet.name(m)
                       + (view == null
-                          ? " is not there"
-                          : " holds "
+                          ? " does not answer"
+                          : " reports "
                               + view.states().entrySet().stream()
                                   .map(e -> e.getKey() + " " + e.getValue())
                                   .collect(Collectors.joining(", ")));
@@ -185,7 +190,7 @@
       out.println("dillcross demo: ops acked and pushes to each endpoint, a second");
       out.println(line);
       out.println(views);
-      news.forEach(out::println);
+      events.forEach(out::println);
     } else {
       out.println(line + "  " + views);
     }
--- a/fleet/src/main/java/dillcross/fleet/Experiment.java
+++ b/fleet/src/main/java/dillcross/fleet/Experiment.java
@@ -13,11 +13,16 @@
 import org.tomlj.TomlTable;
 
 /**
- * An experiment as its file has it. Times are ranges, drawn from the seed; a fault names file, line
- * and key.
+ * An experiment as described by its TOML file. Fault times are ranges, from which a run draws by
+ * its seed. Errors in the file are reported with file, line and key.
  *
- * @param lengthS how long it lasts where the file has no faults; otherwise until the last is over
- * @param settleS within which all must agree again once the last fault is over
+ * @param sidecars the number of sidecars
+ * @param zones zone names, assigned to the sidecars in rotation
+ * @param seeds the numbers of the sidecars that all others contact at their start
+ * @param intervalMs the probe interval of the membership protocol
+ * @param lengthS the duration of a run, in seconds, if there are no faults; with faults, a run
+ *     lasts until the last fault ends
+ * @param settleS the time, in seconds, within which all members must agree after the last fault
  */
 record Experiment(
     String name,
@@ -28,7 +33,7 @@
     double lengthS,
     double settleS,
     List<Fault> faults) {
-  /** What can go wrong. */
+  /** The kinds of faults; the experiment file has their names in lower case. */
   enum Kind {
     KILL,
     PAUSE,
@@ -40,18 +45,22 @@
     GARBLE,
     CLOCK;
 
-    String word() {
+    String configName() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
   }
 
   /**
-   * One line of the file.
+   * One {@code [[fault]]} table of the file.
    *
-   * @param of whom it strikes: any, half, all, sN, zone:NAME or share:X; what is between members is
-   *     between these and {@code to}
-   * @param forS how long it lasts; killed for 0 s stays away
-   * @param every seconds after which it comes again, 0 for once
+   * @param atS the range of the start time, in seconds
+   * @param forS the range of the duration, in seconds; a member killed for 0 s is not restarted
+   * @param of the members affected: any, half, all, others, sN, zone:NAME or share:X
+   * @param to the members at the other end, for faults between members; same syntax
+   * @param share the share of datagrams affected, 0 to 1, for loss, twice and garble
+   * @param ms the delay of datagrams, or the shift of a clock, in milliseconds
+   * @param every the seconds between two repetitions
+   * @param times how many times the fault occurs
    */
   record Fault(
       Kind kind,
@@ -64,89 +73,94 @@
       double every,
       int times) {}
 
-  private static final Set<String> KEYS =
+  private static final Set<String> EXPERIMENT_KEYS =
       Set.of("name", "sidecars", "zones", "seeds", "interval_ms", "length_s", "settle_s", "fault");
-  private static final Set<String> OF_FAULT =
+  private static final Set<String> FAULT_KEYS =
       Set.of("kind", "at_s", "for_s", "of", "to", "share", "ms", "every_s", "times");
-  private static final String WHOM =
+  private static final String SELECTOR_PATTERN =
       "any|half|all|others|s[0-9]{1,3}|zone:[a-z0-9-]+|share:(0\\.[0-9]+|1)";
 
+  /**
+   * Reads and checks an experiment file.
+   *
+   * @throws InvalidScenarioException if the file can't be read or is invalid
+   */
   static Experiment read(Path file) throws InvalidScenarioException {
-    TomlParseResult all;
+    TomlParseResult toml;
     try {
-      all = Toml.parse(file);
+      toml = Toml.parse(file);
     } catch (IOException e) {
       throw new InvalidScenarioException(List.of("dillcross: " + file + " can't be read: " + e));
     }
-    if (all.hasErrors()) {
+    if (toml.hasErrors()) {
       throw new InvalidScenarioException(
           List.of(
               "dillcross: "
                   + file
                   + " line "
-                  + all.errors().get(0).position().line()
+                  + toml.errors().get(0).position().line()
                   + ": "
-                  + all.errors().get(0).getMessage()));
+                  + toml.errors().get(0).getMessage()));
     }
-    Reader at = new Reader(file, all);
-    at.known(KEYS);
-    int sidecars = (int) at.number("sidecars", 6, 3, 60);
+    Reader reader = new Reader(file, toml);
+    reader.requireKnownKeys(EXPERIMENT_KEYS);
+    int sidecars = (int) reader.number("sidecars", 6, 3, 60);
     List<String> zones = new ArrayList<>();
-    TomlArray given = all.isArray("zones") ? all.getArray("zones") : null;
-    for (int i = 0; given != null && i < given.size(); i++) {
-      zones.add(String.valueOf(given.get(i)));
+    TomlArray configuredZones = toml.isArray("zones") ? toml.getArray("zones") : null;
+    for (int i = 0; configuredZones != null && i < configuredZones.size(); i++) {
+      zones.add(String.valueOf(configuredZones.get(i)));
     }
     List<Integer> seeds = new ArrayList<>();
-    TomlArray configuredSeeds = all.isArray("seeds") ? all.getArray("seeds") : null;
+    TomlArray configuredSeeds = toml.isArray("seeds") ? toml.getArray("seeds") : null;
     for (int i = 0; configuredSeeds != null && i < configuredSeeds.size(); i++) {
       if (!(configuredSeeds.get(i) instanceof Long seed) || seed < 0 || seed >= sidecars) {
-        throw at.fault("seeds", "names no sidecar: " + configuredSeeds.get(i));
+        throw reader.error("seeds", "no sidecar has this number: " + configuredSeeds.get(i));
       }
       seeds.add((int) (long) (Long) configuredSeeds.get(i));
     }
     List<Fault> faults = new ArrayList<>();
-    TomlArray tables = all.isArray("fault") ? all.getArray("fault") : null;
+    TomlArray tables = toml.isArray("fault") ? toml.getArray("fault") : null;
     for (int i = 0; tables != null && i < tables.size(); i++) {
       faults.add(fault(new Reader(file, tables.getTable(i))));
     }
     return new Experiment(
-        all.isString("name") ? all.getString("name") : file.getFileName().toString(),
+        toml.isString("name") ? toml.getString("name") : file.getFileName().toString(),
         sidecars,
         zones.isEmpty() ? List.of("east", "west", "north") : zones,
         seeds.isEmpty() ? List.of(0) : seeds,
-        (int) at.number("interval_ms", 500, 50, 60_000),
-        at.number("length_s", 30, 1, 7200),
-        at.number("settle_s", 30, 1, 600),
+        (int) reader.number("interval_ms", 500, 50, 60_000),
+        reader.number("length_s", 30, 1, 7200),
+        reader.number("settle_s", 30, 1, 600),
         faults);
   }
 
-  private static Fault fault(Reader at) throws InvalidScenarioException {
-    at.known(OF_FAULT);
-    String word = at.text("kind", "", ".+");
+  private static Fault fault(Reader reader) throws InvalidScenarioException {
+    reader.requireKnownKeys(FAULT_KEYS);
+    String kindName = reader.text("kind", "", ".+");
     Kind kind = null;
-    for (Kind one : Kind.values()) {
-      kind = one.word().equals(word) ? one : kind;
+    for (Kind candidate : Kind.values()) {
+      kind = candidate.configName().equals(kindName) ? candidate : kind;
     }
     if (kind == null) {
-      throw at.fault("kind", "unknown: " + word);
+      throw reader.error("kind", "unknown: " + kindName);
     }
     return new Fault(
         kind,
-        at.range("at_s", 0),
-        at.range("for_s", 5),
-        at.text("of", "any", WHOM),
-        at.text("to", "others", WHOM),
-        at.number("share", 0.3, 0, 1),
-        at.number("ms", 100, -86_400_000, 86_400_000),
-        at.number("every_s", 0, 0, 3600),
-        (int) at.number("times", 1, 1, 1000));
+        reader.range("at_s", 0),
+        reader.range("for_s", 5),
+        reader.text("of", "any", SELECTOR_PATTERN),
+        reader.text("to", "others", SELECTOR_PATTERN),
+        reader.number("share", 0.3, 0, 1),
+        reader.number("ms", 100, -86_400_000, 86_400_000),
+        reader.number("every_s", 0, 0, 3600),
+        (int) reader.number("times", 1, 1, 1000));
   }
 
   private record Reader(Path file, TomlTable table) {
-    void known(Set<String> keys) throws InvalidScenarioException {
+    void requireKnownKeys(Set<String> keys) throws InvalidScenarioException {
       for (String key : table.keySet()) {
         if (!keys.contains(key)) {
-          throw fault(
+          throw error(
               key, "is not known; known are " + String.join(", ", keys.stream().sorted().toList()));
         }
       }
@@ -155,7 +169,7 @@
     String text(String key, String ifAbsent, String pattern) throws InvalidScenarioException {
       Object value = table.contains(key) ? table.get(key) : ifAbsent;
       if (!(value instanceof String text) || !text.matches(pattern)) {
-        throw fault(key, "out of range: " + value);
+        throw error(key, "out of range: " + value);
       }
       return (String) value;
     }
@@ -166,7 +180,7 @@
       if (!(value instanceof Number number)
           || number.doubleValue() < min
           || number.doubleValue() > max) {
-        throw fault(key, "out of range: " + value);
+        throw error(key, "out of range: " + value);
       }
       return ((Number) value).doubleValue();
     }
@@ -178,7 +192,7 @@
             || !(pair.get(1) instanceof Number b)
             || a.doubleValue() < 0
             || b.doubleValue() < a.doubleValue()) {
-          throw fault(key, "has to be two numbers, the smaller first");
+          throw error(key, "has to be two numbers, the smaller first");
         }
         return new Range(
             ((Number) pair.get(0)).doubleValue(), ((Number) pair.get(1)).doubleValue());
@@ -186,7 +200,7 @@
       return Range.of(number(key, ifAbsent, 0, 7200));
     }
 
-    InvalidScenarioException fault(String key, String what) {
+    InvalidScenarioException error(String key, String what) {
       return new InvalidScenarioException(
           List.of(
               "dillcross: "
--- a/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
+++ b/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
@@ -19,51 +19,71 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays one experiment on real processes and looks on from outside, at the doors alone. Rows go to
- * {@code rows.csv} (all that was seen), changes to {@code timeline.csv}.
+ * Runs one experiment on real processes and observes them only through their admin endpoints.
+ * Writes every observed state to {@code rows.csv}, and faults and state changes to {@code
+ * timeline.csv}.
  */
 final class ExperimentRun {
-  /** How many pairs of observer and subject were held for what, at a moment. */
-  record Moment(long ms, long alive, long suspect, long dead, long unseen) {}
+  /**
+   * The number of (observer, subject) pairs in each state, at one time.
+   *
+   * @param ms milliseconds since all members found each other
+   * @param dead pairs in which the observer reports the subject as dead or left
+   * @param unseen pairs of an observer that returned no view
+   */
+  record Sample(long ms, long alive, long suspect, long dead, long unseen) {}
 
   /**
-   * What came of it.
+   * The outcome of one run.
    *
-   * @param detectMs from a kill until an observer held the member dead, as seen at the admin
-   *     endpoint every {@link #LOOK_MS}
-   * @param falseDeaths pairs in which a member that ran, was not paused nor cut off was held dead
-   * @param agreedMs from the end of the last fault until all agreed; -1 where they did not in time
+   * @param faults the faults that were injected
+   * @param detectMs milliseconds from a kill until an observer reported the member as dead or left,
+   *     one value for each observer; resolution {@link #POLL_INTERVAL_MS}
+   * @param falseDeaths the number of (observer, subject) pairs in which the subject was reported
+   *     dead or left although it was running and neither was paused or cut off
+   * @param memberHours the number of members times the observed time in hours
+   * @param joinedMs milliseconds from the start until all members found each other; -1 if they did
+   *     not within 60 s
+   * @param agreedMs milliseconds from the end of the last fault until all running members agreed on
+   *     who is alive; -1 if they did not within the settle time of the experiment
+   * @param samples the numbers of pairs by state, over time
+   * @param counts the membership counters, by name, summed over the running members
+   * @param bytesPerSecond bytes that reached the datagram proxy, per second and member
+   * @param cpuMsPerSecond CPU milliseconds used, per second and member
+   * @param violations one line for each violated expectation; empty if the run passed
    */
   record Result(
       Experiment experiment,
       long seed,
-      List<Schedule.Drawn> faults,
+      List<Schedule.ScheduledFault> faults,
       Histogram detectMs,
       long falseDeaths,
       double memberHours,
       long joinedMs,
       long agreedMs,
-      List<Moment> moments,
+      List<Sample> samples,
       Map<String, Long> counts,
-      double bytesASecond,
-      double cpuMsASecond,
+      double bytesPerSecond,
+      double cpuMsPerSecond,
       List<String> violations) {}
 
-  static final long LOOK_MS = 100;
+  static final long POLL_INTERVAL_MS = 100;
   private final Experiment experiment;
   private final long seed;
   private final Path out;
-  private final Map<String, String> last = new HashMap<>(); // of observer and subject, its state
-  private final Map<String, Long> boots = new HashMap<>();
-  private final Map<Integer, Long> killedMs = new TreeMap<>();
+  private final Map<String, String> lastStates = new HashMap<>(); // state by "observer subject"
+  private final Map<String, Long> highestBoots =
+      new HashMap<>(); // highest boot id by "observer subject"
+  private final Map<Integer, Long> killedMs = new TreeMap<>(); // kill time by member that is down
   private final Set<Integer> paused = new TreeSet<>();
-  private final Set<Integer> cut = new TreeSet<>(); // by loss of all, either way
-  private final Map<Integer, Long> sinceMs = new HashMap<>(); // that one is well again
-  private final Set<String> falsely = new TreeSet<>();
-  private final Set<String> detected = new TreeSet<>();
-  private final List<Moment> moments = new ArrayList<>();
+  private final Set<Integer> cutOff = new TreeSet<>(); // smaller side of each two-way cut
+  private final Map<Integer, Long> recoveredAtMs =
+      new HashMap<>(); // when a member last recovered from a fault
+  private final Set<String> falseDeathPairs = new TreeSet<>();
+  private final Set<String> detectedPairs = new TreeSet<>();
+  private final List<Sample> samples = new ArrayList<>();
   private final List<String> violations = new ArrayList<>();
-  private final Histogram detect = new Histogram(3_600_000L, 3);
+  private final Histogram detectMs = new Histogram(3_600_000L, 3);
 
   ExperimentRun(Experiment experiment, long seed, Path out) {
     this.experiment = experiment;
@@ -71,10 +91,10 @@
     this.out = out;
   }
 
-  Result play() throws Exception {
+  Result run() throws Exception {
     Files.createDirectories(out);
     Schedule schedule = Schedule.draw(experiment, seed);
-    ExecutorService lookers = Executors.newFixedThreadPool(8);
+    ExecutorService pollers = Executors.newFixedThreadPool(8);
     try (Fleet fleet =
             new Fleet(
                 Fleet.root(),
@@ -89,46 +109,50 @@
             new PrintWriter(Files.newBufferedWriter(out.resolve("timeline.csv")))) {
       rows.println("ms,observer,subject,state");
       timeline.println("ms,who,what");
-      for (Schedule.Drawn drawn : schedule.faults()) {
-        if (drawn.fault().kind() == Kind.CLOCK) {
-          drawn.of().forEach(m -> fleet.shift(m, Math.round(drawn.fault().ms())));
+      for (Schedule.ScheduledFault scheduled : schedule.faults()) {
+        if (scheduled.fault().kind() == Kind.CLOCK) {
+          scheduled.of().forEach(m -> fleet.setClockShift(m, Math.round(scheduled.fault().ms())));
         }
       }
       fleet.startAll();
-      long joined = Fleet.until(60_000, () -> fleet.agree(fleet.all()));
-      if (joined < 0) {
+      long joinedMs = Fleet.waitUntil(60_000, () -> fleet.agree(fleet.allMembers()));
+      if (joinedMs < 0) {
         violations.add("they did not find each other within 60 s");
       }
       long fromNs = System.nanoTime();
-      List<Schedule.Drawn> waiting = new ArrayList<>(schedule.faults());
-      TreeMap<Long, List<Runnable>> ends = new TreeMap<>();
-      long cpu = fleet.cpuMs(fleet.all());
-      long sent = fleet.plane.bytes.get();
+      List<Schedule.ScheduledFault> pending = new ArrayList<>(schedule.faults());
+      TreeMap<Long, List<Runnable>> endActions = new TreeMap<>();
+      long cpuBefore = fleet.cpuMs(fleet.allMembers());
+      long bytesBefore = fleet.datagramProxy.bytes.get();
       while (true) {
         long ms = (System.nanoTime() - fromNs) / 1_000_000;
-        while (!waiting.isEmpty() && waiting.get(0).atMs() <= ms) {
-          Schedule.Drawn drawn = waiting.remove(0);
-          timeline.println(ms + ",rig," + drawn.describe());
-          begin(fleet, drawn, ms, ends, timeline);
+        while (!pending.isEmpty() && pending.get(0).atMs() <= ms) {
+          Schedule.ScheduledFault scheduled = pending.remove(0);
+          timeline.println(ms + ",rig," + scheduled.describe());
+          startFault(fleet, scheduled, ms, endActions, timeline);
         }
-        while (!ends.isEmpty() && ends.firstKey() <= ms) {
-          ends.pollFirstEntry().getValue().forEach(Runnable::run);
+        while (!endActions.isEmpty() && endActions.firstKey() <= ms) {
+          endActions.pollFirstEntry().getValue().forEach(Runnable::run);
         }
-        look(fleet, lookers, ms, rows, timeline);
+        observe(fleet, pollers, ms, rows, timeline);
         if (ms >= (schedule.faults().isEmpty() ? 1000 * experiment.lengthS() : schedule.endMs())
-            && waiting.isEmpty()
-            && ends.isEmpty()) {
+            && pending.isEmpty()
+            && endActions.isEmpty()) {
           break;
         }
-        Thread.sleep(Math.max(1, LOOK_MS - ((System.nanoTime() - fromNs) / 1_000_000 - ms)));
+        Thread.sleep(
+            Math.max(1, POLL_INTERVAL_MS - ((System.nanoTime() - fromNs) / 1_000_000 - ms)));
       }
       double seconds = (System.nanoTime() - fromNs) / 1e9;
-      double cpuRate = (fleet.cpuMs(fleet.all()) - cpu) / seconds / experiment.sidecars();
-      double sentRate = (fleet.plane.bytes.get() - sent) / seconds / experiment.sidecars();
-      long agreed =
-          Fleet.until(
-              Math.round(1000 * experiment.settleS()), () -> fleet.agree(fleet.those(fleet::runs)));
-      if (agreed < 0) {
+      double cpuRate =
+          (fleet.cpuMs(fleet.allMembers()) - cpuBefore) / seconds / experiment.sidecars();
+      double bytesRate =
+          (fleet.datagramProxy.bytes.get() - bytesBefore) / seconds / experiment.sidecars();
+      long agreedMs =
+          Fleet.waitUntil(
+              Math.round(1000 * experiment.settleS()),
+              () -> fleet.agree(fleet.membersWhere(fleet::isRunning)));
+      if (agreedMs < 0) {
         violations.add(
             "not all held just the living for alive "
                 + experiment.settleS()
@@ -136,7 +160,7 @@
       }
       Map<String, Long> counts = new TreeMap<>();
       fleet
-          .those(fleet::runs)
+          .membersWhere(fleet::isRunning)
           .forEach(
               m -> {
                 MembershipView view = fleet.view(m);
@@ -148,47 +172,48 @@
           experiment,
           seed,
           schedule.faults(),
-          detect,
-          falsely.size(),
+          detectMs,
+          falseDeathPairs.size(),
           experiment.sidecars() * seconds / 3600,
-          joined,
-          agreed,
-          moments,
+          joinedMs,
+          agreedMs,
+          samples,
           counts,
-          sentRate,
+          bytesRate,
           cpuRate,
           violations);
     } finally {
-      lookers.shutdownNow();
+      pollers.shutdownNow();
     }
   }
 
-  private void begin(
+  private void startFault(
       Fleet fleet,
-      Schedule.Drawn drawn,
+      Schedule.ScheduledFault scheduled,
       long ms,
-      NavigableMap<Long, List<Runnable>> ends,
+      NavigableMap<Long, List<Runnable>> endActions,
       PrintWriter timeline)
       throws IOException, InterruptedException {
-    List<Runnable> end = ends.computeIfAbsent(ms + drawn.forMs(), at -> new ArrayList<>());
-    double share = drawn.fault().share();
-    long us = Math.round(1000 * drawn.fault().ms());
-    switch (drawn.fault().kind()) {
+    List<Runnable> onEnd =
+        endActions.computeIfAbsent(ms + scheduled.forMs(), at -> new ArrayList<>());
+    double share = scheduled.fault().share();
+    long us = Math.round(1000 * scheduled.fault().ms());
+    switch (scheduled.fault().kind()) {
       case KILL -> {
-        for (int member : drawn.of()) {
+        for (int member : scheduled.of()) {
           fleet.kill(member);
           killedMs.put(member, ms);
-          detected.removeIf(pair -> pair.endsWith(" " + Fleet.name(member)));
-          if (drawn.forMs() > 0) {
-            end.add(() -> again(fleet, member, ms + drawn.forMs(), timeline));
+          detectedPairs.removeIf(pair -> pair.endsWith(" " + Fleet.name(member)));
+          if (scheduled.forMs() > 0) {
+            onEnd.add(() -> restart(fleet, member, ms + scheduled.forMs(), timeline));
           }
         }
       }
       case PAUSE -> {
-        for (int member : drawn.of()) {
+        for (int member : scheduled.of()) {
           fleet.signal(member, "STOP");
           paused.add(member);
-          end.add(
+          onEnd.add(
               () -> {
                 try {
                   fleet.signal(member, "CONT");
@@ -196,35 +221,45 @@
                   throw new IllegalStateException(e);
                 }
                 paused.remove(member);
-                sinceMs.put(member, ms + drawn.forMs());
+                recoveredAtMs.put(member, ms + scheduled.forMs());
               });
         }
       }
       case CUT, CUT_ONE_WAY -> {
-        List<LinkFault> faults = new ArrayList<>(List.of(Fleet.cut(drawn.of(), drawn.to())));
-        if (drawn.fault().kind() == Kind.CUT) {
-          faults.add(Fleet.cut(drawn.to(), drawn.of()));
-          cut.addAll(drawn.of().size() <= drawn.to().size() ? drawn.of() : drawn.to());
+        List<LinkFault> faults =
+            new ArrayList<>(List.of(Fleet.cut(scheduled.of(), scheduled.to())));
+        if (scheduled.fault().kind() == Kind.CUT) {
+          faults.add(Fleet.cut(scheduled.to(), scheduled.of()));
+          cutOff.addAll(
+              scheduled.of().size() <= scheduled.to().size() ? scheduled.of() : scheduled.to());
         }
-        fleet.plane.faults.addAll(faults);
-        end.add(
+        fleet.datagramProxy.faults.addAll(faults);
+        onEnd.add(
             () -> {
-              fleet.plane.faults.removeAll(faults);
-              drawn.of().forEach(m -> sinceMs.put(m, ms + drawn.forMs()));
-              drawn.to().forEach(m -> sinceMs.put(m, ms + drawn.forMs()));
-              cut.removeAll(drawn.of());
-              cut.removeAll(drawn.to());
+              fleet.datagramProxy.faults.removeAll(faults);
+              scheduled.of().forEach(m -> recoveredAtMs.put(m, ms + scheduled.forMs()));
+              scheduled.to().forEach(m -> recoveredAtMs.put(m, ms + scheduled.forMs()));
+              cutOff.removeAll(scheduled.of());
+              cutOff.removeAll(scheduled.to());
             });
       }
-      case LOSS -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), share, 0, 0, 0, 0), end);
-      case DELAY -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), 0, us, us / 2, 0, 0), end);
-      case TWICE -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), 0, 0, us, share, 0), end);
-      case GARBLE -> apply(fleet, new LinkFault(drawn.of(), drawn.to(), 0, 0, 0, 0, share), end);
-      case CLOCK -> {} // from the start
+      case LOSS ->
+          applyBothWays(
+              fleet, new LinkFault(scheduled.of(), scheduled.to(), share, 0, 0, 0, 0), onEnd);
+      case DELAY ->
+          applyBothWays(
+              fleet, new LinkFault(scheduled.of(), scheduled.to(), 0, us, us / 2, 0, 0), onEnd);
+      case TWICE ->
+          applyBothWays(
+              fleet, new LinkFault(scheduled.of(), scheduled.to(), 0, 0, us, share, 0), onEnd);
+      case GARBLE ->
+          applyBothWays(
+              fleet, new LinkFault(scheduled.of(), scheduled.to(), 0, 0, 0, 0, share), onEnd);
+      case CLOCK -> {} // applied before the processes start
     }
   }
 
-  private static void apply(Fleet fleet, LinkFault fault, List<Runnable> end) {
+  private static void applyBothWays(Fleet fleet, LinkFault fault, List<Runnable> onEnd) {
     List<LinkFault> both =
         List.of(
             fault,
@@ -234,30 +269,30 @@
                 fault.loss(),
                 fault.delayUs(),
                 fault.jitterUs(),
-                fault.twice(),
-                fault.garbled()));
-    fleet.plane.faults.addAll(both);
-    end.add(() -> fleet.plane.faults.removeAll(both));
+                fault.duplicated(),
+                fault.corrupted()));
+    fleet.datagramProxy.faults.addAll(both);
+    onEnd.add(() -> fleet.datagramProxy.faults.removeAll(both));
   }
 
-  private void again(Fleet fleet, int member, long ms, PrintWriter timeline) {
+  private void restart(Fleet fleet, int member, long ms, PrintWriter timeline) {
     try {
       fleet.start(member);
       killedMs.remove(member);
-      sinceMs.put(member, ms);
+      recoveredAtMs.put(member, ms);
       timeline.println(ms + ",rig,start of " + Fleet.name(member));
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void look(
-      Fleet fleet, ExecutorService lookers, long ms, PrintWriter rows, PrintWriter timeline)
+  private void observe(
+      Fleet fleet, ExecutorService pollers, long ms, PrintWriter rows, PrintWriter timeline)
       throws Exception {
     List<Future<MembershipView>> views = new ArrayList<>();
     for (int i = 0; i < fleet.size(); i++) {
       int member = i;
-      views.add(paused.contains(i) ? null : lookers.submit(() -> fleet.view(member)));
+      views.add(paused.contains(i) ? null : pollers.submit(() -> fleet.view(member)));
     }
     long[] counts = new long[4];
     for (int observer = 0; observer < fleet.size(); observer++) {
@@ -266,42 +301,43 @@
         counts[3] += fleet.size() - 1L;
         continue;
       }
-      for (Map.Entry<String, String> held : view.states().entrySet()) {
-        String pair = Fleet.name(observer) + " " + held.getKey();
-        boolean lost = held.getValue().equals("dead") || held.getValue().equals("left");
-        counts[lost ? 2 : held.getValue().equals("suspect") ? 1 : 0]++;
-        if (!held.getValue().equals(last.put(pair, held.getValue()))) {
+      for (Map.Entry<String, String> entry : view.states().entrySet()) {
+        String pair = Fleet.name(observer) + " " + entry.getKey();
+        boolean isDeadOrLeft = entry.getValue().equals("dead") || entry.getValue().equals("left");
+        counts[isDeadOrLeft ? 2 : entry.getValue().equals("suspect") ? 1 : 0]++;
+        if (!entry.getValue().equals(lastStates.put(pair, entry.getValue()))) {
           timeline.println(
-              ms + "," + Fleet.name(observer) + "," + held.getKey() + " " + held.getValue());
+              ms + "," + Fleet.name(observer) + "," + entry.getKey() + " " + entry.getValue());
         }
-        rows.println(ms + "," + Fleet.name(observer) + "," + held.getKey() + "," + held.getValue());
-        long boot = view.boots().get(held.getKey());
-        if (boots.merge(pair, boot, Math::max) > boot) {
+        rows.println(
+            ms + "," + Fleet.name(observer) + "," + entry.getKey() + "," + entry.getValue());
+        long boot = view.boots().get(entry.getKey());
+        if (highestBoots.merge(pair, boot, Math::max) > boot) {
           violations.add(pair + ": went back to an older process");
         }
-        if (lost && held.getKey().matches("s[0-9]+")) {
-          lost(observer, Integer.parseInt(held.getKey().substring(1)), pair, ms);
+        if (isDeadOrLeft && entry.getKey().matches("s[0-9]+")) {
+          recordDeath(observer, Integer.parseInt(entry.getKey().substring(1)), pair, ms);
         }
       }
     }
-    moments.add(new Moment(ms, counts[0], counts[1], counts[2], counts[3]));
+    samples.add(new Sample(ms, counts[0], counts[1], counts[2], counts[3]));
   }
 
-  private void lost(int observer, int subject, String pair, long ms) {
+  private void recordDeath(int observer, int subject, String pair, long ms) {
     Long killed = killedMs.get(subject);
     if (killed != null) {
-      if (detected.add(pair)) {
-        detect.recordValue(Math.max(0, ms - killed));
+      if (detectedPairs.add(pair)) {
+        detectMs.recordValue(Math.max(0, ms - killed));
       }
     } else if (!paused.contains(subject)
-        && !cut.contains(subject)
-        && !cut.contains(observer)
+        && !cutOff.contains(subject)
+        && !cutOff.contains(observer)
         && ms
                 - Math.max(
-                    sinceMs.getOrDefault(subject, -1_000_000L),
-                    sinceMs.getOrDefault(observer, -1_000_000L))
+                    recoveredAtMs.getOrDefault(subject, -1_000_000L),
+                    recoveredAtMs.getOrDefault(observer, -1_000_000L))
             > 1000 * experiment.settleS()) {
-      falsely.add(pair);
+      falseDeathPairs.add(pair);
     }
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/Fleet.java
+++ b/fleet/src/main/java/dillcross/fleet/Fleet.java
@@ -12,7 +12,10 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Real processes of the sidecar on loopback that know each other through the fault plane. */
+/**
+ * A group of sidecar processes on loopback. Their membership datagrams pass through a {@link
+ * DatagramFaultProxy}, which injects network faults. Members are numbered from 0.
+ */
 final class Fleet implements AutoCloseable {
   private final Path root;
   private final Path out;
@@ -20,16 +23,24 @@
   private final List<String> zones;
   private final List<Integer> seeds;
   private final ChildProcess[] children;
-  private final long[] shiftMs;
-  private final Set<Integer> alone = new TreeSet<>(); // without membership
-  private String list = "127.0.0.1:1"; // nobody
-  private final String[] lists; // of those that have one of their own
-  final DatagramFaultProxy plane;
+  private final long[] clockShiftMs;
+  private final Set<Integer> withoutMembership =
+      new TreeSet<>(); // members that start without membership
+  private String defaultListAddress =
+      "127.0.0.1:1"; // used by members without a list of their own; nothing listens on port 1
+  private final String[] listAddresses; // by member; null where a member uses the default list
+  final DatagramFaultProxy datagramProxy;
 
   /**
-   * @param root of the repository, where the built program is
-   * @param zones of the members, by turns
-   * @param seeds members whom all others ask at the start
+   * Creates the fleet without starting a process.
+   *
+   * @param root the root directory of the repository, which holds the built program
+   * @param out the directory for configuration files and logs; created if missing
+   * @param members the number of sidecars
+   * @param zones zone names, assigned to the members in rotation
+   * @param seeds the members that every member contacts at its start
+   * @param intervalMs the probe interval of the membership protocol
+   * @param seed the seed of the random faults of the datagram proxy
    */
   Fleet(
       Path root,
@@ -46,16 +57,23 @@
     this.seeds = seeds;
     this.intervalMs = intervalMs;
     children = new ChildProcess[members];
-    shiftMs = new long[members];
-    lists = new String[members];
-    plane = new DatagramFaultProxy(members, seed);
+    clockShiftMs = new long[members];
+    listAddresses = new String[members];
+    datagramProxy = new DatagramFaultProxy(members, seed);
   }
 
-  /** The folder of the repository: this one, or the first above it that holds the built program. */
+  /**
+   * Finds the root directory of the repository: the nearest directory, from the working directory
+   * upwards, that holds the built program.
+   *
+   * @throws IOException if no such directory holds {@code sidecar/target/dillcross.jar}
+   */
   static Path root() throws IOException {
-    for (Path at = Path.of("").toAbsolutePath(); at != null; at = at.getParent()) {
-      if (Files.exists(at.resolve("sidecar/target/dillcross.jar"))) {
-        return at;
+    for (Path directory = Path.of("").toAbsolutePath();
+        directory != null;
+        directory = directory.getParent()) {
+      if (Files.exists(directory.resolve("sidecar/target/dillcross.jar"))) {
+        return directory;
       }
     }
     throw new IOException(
@@ -74,8 +92,8 @@
     return zones.get(member % zones.size());
   }
 
-  /** Which have started and not been ended by us. */
-  boolean runs(int member) {
+  /** True if the member was started and not killed with {@link #kill} since. */
+  boolean isRunning(int member) {
     return children[member] != null;
   }
 
@@ -83,28 +101,34 @@
     return children[member];
   }
 
-  /** Sets a member's wall clock apart, from its next start on. */
-  void shift(int member, long ms) {
-    shiftMs[member] = ms;
+  /** Shifts a member's wall clock by {@code ms} milliseconds, from its next start on. */
+  void setClockShift(int member, long ms) {
+    clockShiftMs[member] = ms;
   }
 
-  /** Where the list service of all is, from the next start on. */
-  void lists(String address) {
-    list = address;
+  /**
+   * Sets the {@code host:port} of the list service of every member without one of its own. Takes
+   * effect at a member's next start.
+   */
+  void setListAddress(String address) {
+    defaultListAddress = address;
   }
 
-  /** Where that one asks for its list, from its next start on. */
-  void lists(int member, String address) {
-    lists[member] = address;
+  /**
+   * Sets the {@code host:port} of one member's list service. Takes effect at the member's next
+   * start.
+   */
+  void setListAddress(int member, String address) {
+    listAddresses[member] = address;
   }
 
-  /** That one takes part in no membership, from its next start on. */
-  void alone(int member) {
-    alone.add(member);
+  /** Makes the member start without membership, from its next start on. */
+  void disableMembership(int member) {
+    withoutMembership.add(member);
   }
 
-  /** Where its clients reach a member; null while it is not ready. */
-  String listensNow(int member) {
+  /** The {@code host:port} at which clients reach the member; null until the member is ready. */
+  String clientAddress(int member) {
     ChildProcess child = children[member];
     return child == null ? null : child.addressNow();
   }
@@ -113,7 +137,7 @@
     start(member, name(member));
   }
 
-  void start(int member, String as) throws IOException {
+  void start(int member, String advertisedName) throws IOException {
     Path config = out.resolve(name(member) + ".json");
     Path operator = out.resolve(name(member) + ".toml");
     Files.writeString(
@@ -125,14 +149,16 @@
                   "categories": [{"name": "read", "effect": "idempotent", "target_latency_ms": 300, "ttl_ms": 1000, "benefit": 1}]}}
                 """
             .formatted(
-                as,
-                lists[member] == null ? list : lists[member],
+                advertisedName,
+                listAddresses[member] == null ? defaultListAddress : listAddresses[member],
                 member + 1,
                 zone(member),
                 member,
                 children.length));
     String seedAddresses =
-        seeds.stream().map(s -> "\"" + plane.address(s) + "\"").collect(Collectors.joining(", "));
+        seeds.stream()
+            .map(s -> "\"" + datagramProxy.address(s) + "\"")
+            .collect(Collectors.joining(", "));
     Files.writeString(
         operator,
         """
@@ -143,7 +169,10 @@
                 interval_ms = %d
                 """
             .formatted(
-                DatagramFaultProxy.home(member), plane.address(member), seedAddresses, intervalMs));
+                DatagramFaultProxy.bindAddress(member),
+                datagramProxy.address(member),
+                seedAddresses,
+                intervalMs));
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -163,11 +192,17 @@
                 "serve",
                 "--config",
                 config.toString(),
-                "--clock-shift-ms=" + shiftMs[member]));
-    command.addAll(alone.contains(member) ? List.of() : List.of("--operator", operator.toString()));
+                "--clock-shift-ms=" + clockShiftMs[member]));
+    command.addAll(
+        withoutMembership.contains(member)
+            ? List.of()
+            : List.of("--operator", operator.toString()));
     children[member] =
         new ChildProcess(
-            command, root, out.resolve(name(member) + ".log"), home -> plane.isAt(member, home));
+            command,
+            root,
+            out.resolve(name(member) + ".log"),
+            address -> datagramProxy.setMemberAddress(member, address));
   }
 
   void startAll() throws IOException {
@@ -176,7 +211,7 @@
     }
   }
 
-  /** SIGKILL; its place is empty from then on. */
+  /** Ends the member with SIGKILL. Does nothing if the member is not running. */
   void kill(int member) throws IOException, InterruptedException {
     ChildProcess child = children[member];
     children[member] = null;
@@ -192,23 +227,31 @@
     }
   }
 
-  /** CPU that these used so far, in milliseconds; those that do not run count for nothing. */
+  /**
+   * The total CPU time that these members' current processes have used, in milliseconds. Members
+   * that are not running add 0.
+   */
   long cpuMs(Set<Integer> members) {
-    return members.stream().filter(this::runs).mapToLong(m -> children[m].cpuMs()).sum();
+    return members.stream().filter(this::isRunning).mapToLong(m -> children[m].cpuMs()).sum();
   }
 
-  /** Null where it gives none, as when it is stopped or starts. */
+  /**
+   * The member's own view of the membership; null if the member does not answer, for example while
+   * it is stopped or starting.
+   */
   MembershipView view(int member) {
     ChildProcess child = children[member];
     String admin = child == null ? null : child.adminNow();
     try {
       return admin == null ? null : MembershipView.of(admin);
-    } catch (IOException silent) {
+    } catch (IOException noAnswer) {
       return null;
     }
   }
 
-  /** Whether every one of these holds just these for alive. */
+  /**
+   * True if every one of these members reports exactly these members as alive, and none as suspect.
+   */
   boolean agree(Set<Integer> members) {
     Set<String> names =
         members.stream().map(Fleet::name).collect(Collectors.toCollection(TreeSet::new));
@@ -230,37 +273,49 @@
             });
   }
 
-  /** Waits until that holds; how many milliseconds it took, or -1 where it did not come in time. */
-  static long until(long maxMs, java.util.concurrent.Callable<Boolean> holds) throws Exception {
-    long from = System.nanoTime();
-    while (!holds.call()) {
-      if (System.nanoTime() - from > maxMs * 1_000_000) {
+  /**
+   * Polls the condition every 50 ms until it holds.
+   *
+   * @return the waiting time in milliseconds, or -1 if the condition did not hold within {@code
+   *     maxMs}
+   */
+  static long waitUntil(long maxMs, java.util.concurrent.Callable<Boolean> condition)
+      throws Exception {
+    long startNs = System.nanoTime();
+    while (!condition.call()) {
+      if (System.nanoTime() - startNs > maxMs * 1_000_000) {
         return -1;
       }
       Thread.sleep(50);
     }
-    return (System.nanoTime() - from) / 1_000_000;
+    return (System.nanoTime() - startNs) / 1_000_000;
   }
 
-  Set<Integer> all() {
+  Set<Integer> allMembers() {
     return IntStream.range(0, children.length)
         .boxed()
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  Set<Integer> those(Predicate<Integer> which) {
-    return all().stream().filter(which).collect(Collectors.toCollection(TreeSet::new));
+  /** The numbers of the members for which the predicate holds, whether they run or not. */
+  Set<Integer> membersWhere(Predicate<Integer> predicate) {
+    return allMembers().stream().filter(predicate).collect(Collectors.toCollection(TreeSet::new));
   }
 
+  /** A fault that drops every datagram from one group to another, in that direction only. */
   static LinkFault cut(Set<Integer> from, Set<Integer> to) {
     return new LinkFault(from, to, 1, 0, 0, 0, 0);
   }
 
-  /** Cuts two parts from each other, both ways. */
-  List<LinkFault> split(Set<Integer> one, Set<Integer> other) {
-    List<LinkFault> both = List.of(cut(one, other), cut(other, one));
-    plane.faults.addAll(both);
-    return both;
+  /**
+   * Drops all datagrams between two groups of members, in both directions.
+   *
+   * @return the two faults, which the caller removes to heal the partition
+   */
+  List<LinkFault> split(Set<Integer> left, Set<Integer> right) {
+    List<LinkFault> faults = List.of(cut(left, right), cut(right, left));
+    datagramProxy.faults.addAll(faults);
+    return faults;
   }
 
   @Override
@@ -270,6 +325,6 @@
         child.close();
       }
     }
-    plane.close();
+    datagramProxy.close();
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/FleetCommand.java
+++ b/fleet/src/main/java/dillcross/fleet/FleetCommand.java
@@ -12,15 +12,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line of the rig. */
+/** The command line of the fleet test tool. */
 @Command(
     name = "dillcross",
     mixinStandardHelpOptions = true,
-    subcommands = FleetCommand.OfFleet.class,
+    subcommands = FleetCommand.FleetSubcommands.class,
     description = "dillcross and its tools.")
 final class FleetCommand implements Runnable {
-  private static final int CLEAN = 0;
-  private static final int BROKEN = 1;
+  private static final int EXIT_OK = 0;
+  private static final int EXIT_VIOLATIONS = 1;
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -28,33 +28,33 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
   }
 
-  @SuppressWarnings("SystemConsoleNull") // on Java 17 null tells that it is no terminal
+  @SuppressWarnings("SystemConsoleNull") // on Java 17, null means that there is no terminal
   @Command(
       name = "demo",
       mixinStandardHelpOptions = true,
-      description =
-          "Show it at work: a small fleet on loopback in which things fail; half a minute.")
+      description = "Run a small fleet on loopback with injected failures; takes half a minute.")
   int demo(
       @Option(
               names = "--out",
               paramLabel = "DIR",
-              description = "Where the report goes (default: a new folder for passing files).")
+              description = "Directory for the report (default: a new temporary directory).")
           Path out,
-      @Option(names = "--plain", description = "Lines, also in a terminal.") boolean plain)
+      @Option(names = "--plain", description = "Print plain lines even in a terminal.")
+          boolean plain)
       throws Exception {
     Path folder = out == null ? Files.createTempDirectory("dillcross-demo") : out;
-    return new Demo(System.out, !plain && System.console() != null).play(folder, 1)
-        ? CLEAN
-        : BROKEN;
+    return new Demo(System.out, !plain && System.console() != null).run(folder, 1)
+        ? EXIT_OK
+        : EXIT_VIOLATIONS;
   }
 
   @Command(
       name = "fleet",
       mixinStandardHelpOptions = true,
-      description = "Start many real sidecars on loopback, and put faults between them.",
+      description = "Start sidecar processes on loopback and inject faults between them.",
       exitCodeListHeading = "%nExit status:%n",
-      exitCodeList = {"0:clean", "1:violations", "2:faulty input"})
-  static final class OfFleet implements Runnable {
+      exitCodeList = {"0:success", "1:violations found", "2:invalid input"})
+  static final class FleetSubcommands implements Runnable {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
@@ -65,83 +65,86 @@
     @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Play one experiment; rows, timeline, a chart and a report go to a folder.")
+        description = "Run one experiment; writes rows, timeline, chart and report to a directory.")
     int run(
         @Parameters(paramLabel = "EXPERIMENT") Path file,
         @Option(names = "--seed", defaultValue = "1", paramLabel = "N") long seed,
         @Option(names = "--out", required = true, paramLabel = "DIR") Path out)
         throws Exception {
-      ExperimentRun.Result result = new ExperimentRun(Experiment.read(file), seed, out).play();
+      ExperimentRun.Result result = new ExperimentRun(Experiment.read(file), seed, out).run();
       Report.write(result, out);
       Files.writeString(out.resolve("summary.txt"), Report.text(result));
       System.out.print(Report.text(result));
-      return result.violations().isEmpty() ? CLEAN : BROKEN;
+      return result.violations().isEmpty() ? EXIT_OK : EXIT_VIOLATIONS;
     }
 
     @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         description =
-            "Load sidecars with membership and without in the same run; prints what it costs them.")
+            "Put the same load on sidecars with and without membership; prints the cost of membership.")
     int compare(
         @Option(
                 names = "--sidecars",
                 defaultValue = "12",
                 paramLabel = "N",
-                description = "Of each kind (3 to 30; default: 12).")
+                description =
+                    "Number of sidecars with membership, and of those without (3 to 30; default: 12).")
             int sidecars,
         @Option(names = "--seconds", defaultValue = "30", paramLabel = "S") int seconds,
         @Option(
                 names = "--rate",
                 defaultValue = "20",
                 paramLabel = "R",
-                description = "Ops a second to each.")
+                description = "Requests per second to each sidecar.")
             double rate,
         @Option(names = "--out", required = true, paramLabel = "DIR") Path out)
         throws Exception {
       if (sidecars < 3 || sidecars > 30 || seconds < 1 || rate <= 0 || rate > 1000) {
         throw new InvalidScenarioException(
             List.of(
-                "dillcross: --sidecars takes 3 to 30, --seconds 1 at least, --rate up to 1000"));
+                "dillcross: --sidecars must be 3 to 30, --seconds at least 1, --rate above 0 and at most 1000"));
       }
-      return ComparisonRun.play(sidecars, seconds, rate, out, System.out) ? CLEAN : BROKEN;
+      return ComparisonRun.run(sidecars, seconds, rate, out, System.out)
+          ? EXIT_OK
+          : EXIT_VIOLATIONS;
     }
 
     @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
-        description = "Play many seeds of one experiment, one after another; prints a row of all.")
+        description = "Run one experiment with each seed in turn; prints one summary row.")
     int sweep(
         @Parameters(paramLabel = "EXPERIMENT") Path file,
         @Option(names = "--seeds", required = true, paramLabel = "A..B") String seeds,
         @Option(names = "--out", required = true, paramLabel = "DIR") Path out)
         throws Exception {
       Experiment experiment = Experiment.read(file);
-      Seeds named = Seeds.of(seeds, 9);
+      Seeds seedRange = Seeds.of(seeds, 9);
       Histogram detect = new Histogram(3_600_000L, 3);
       Histogram agreed = new Histogram(3_600_000L, 3);
-      long broken = 0;
-      long wrong = 0;
-      double hours = 0;
+      long violations = 0;
+      long falseDeaths = 0;
+      double memberHours = 0;
       double bytes = 0;
       double cpu = 0;
-      for (long seed = named.from(); seed <= named.to(); seed++) {
+      for (long seed = seedRange.from(); seed <= seedRange.to(); seed++) {
         ExperimentRun.Result result =
-            new ExperimentRun(experiment, seed, out.resolve("seed-" + seed)).play();
+            new ExperimentRun(experiment, seed, out.resolve("seed-" + seed)).run();
         Files.writeString(out.resolve("seed-" + seed).resolve("summary.txt"), Report.text(result));
         detect.add(result.detectMs());
         agreed.recordValue(Math.max(0, result.agreedMs()));
-        wrong += result.falseDeaths();
-        hours += result.memberHours();
-        bytes += result.bytesASecond();
-        cpu += result.cpuMsASecond();
-        broken += result.violations().size();
+        falseDeaths += result.falseDeaths();
+        memberHours += result.memberHours();
+        bytes += result.bytesPerSecond();
+        cpu += result.cpuMsPerSecond();
+        violations += result.violations().size();
         for (String violation : result.violations()) {
           System.out.println("seed " + seed + ": " + violation);
         }
-        System.err.println("seed " + seed + " of " + named.to() + ": violations " + broken);
+        System.err.println("seed " + seed + " of " + seedRange.to() + ": violations " + violations);
       }
-      long count = named.count();
+      long count = seedRange.count();
       System.out.println(
           "| experiment | sidecars | seeds | detect p50 | p99 | worst | false deaths an hour | agreed p50 | worst | bytes/s a member | CPU ms/s a member | violations |");
       System.out.printf(
@@ -153,13 +156,13 @@
           detect.getValueAtPercentile(50) / 1e3,
           detect.getValueAtPercentile(99) / 1e3,
           detect.getMaxValue() / 1e3,
-          wrong / Math.max(1e-9, hours),
+          falseDeaths / Math.max(1e-9, memberHours),
           agreed.getValueAtPercentile(50) / 1e3,
           agreed.getMaxValue() / 1e3,
           bytes / count,
           cpu / count,
-          broken);
-      return broken == 0 ? CLEAN : BROKEN;
+          violations);
+      return violations == 0 ? EXIT_OK : EXIT_VIOLATIONS;
     }
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
+++ b/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
@@ -16,8 +16,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop clients of one sidecar: requests leave at their times whether or not earlier ones were
- * answered, and each is timed from when it was meant to leave.
+ * Open-loop load on one sidecar: requests are sent at a fixed rate whether or not earlier ones were
+ * answered, and each latency is measured from the scheduled send time, so that a slow generator or
+ * sidecar does not hide latency.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // outcomes are counted as they complete
 final class LoadGenerator implements AutoCloseable {
@@ -27,8 +28,9 @@
   final AtomicLong succeeded = new AtomicLong();
   final AtomicLong rejected = new AtomicLong();
   final AtomicLong failed = new AtomicLong();
-  final AtomicLong unheard = new AtomicLong(); // no sidecar there, or no answer
-  private final ScheduledExecutorService clock =
+  final AtomicLong unanswered =
+      new AtomicLong(); // sidecar not running or not ready, connection failed, or timed out
+  private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
             Thread thread = new Thread(task, "load");
@@ -40,30 +42,37 @@
           .version(HttpClient.Version.HTTP_1_1)
           .connectTimeout(Duration.ofMillis(TTL_MS))
           .build();
-  private final Supplier<String> address; // null while there is none
+  private final Supplier<String> address; // supplies null while the sidecar is not ready
   private final String name;
   private final long startNs = System.nanoTime();
-  private final long everyNs;
-  private long next;
+  private final long intervalNs;
+  private long sequence;
 
+  /**
+   * Starts sending at once.
+   *
+   * @param name the prefix of the request ids
+   * @param address supplies the {@code host:port} of the sidecar, or null while it is not ready
+   * @param perS requests per second
+   */
   LoadGenerator(String name, Supplier<String> address, double perS) {
     this.name = name;
     this.address = address;
-    everyNs = Math.round(1e9 / perS);
-    clock.scheduleAtFixedRate(this::due, 0, 1, TimeUnit.MILLISECONDS);
+    intervalNs = Math.round(1e9 / perS);
+    scheduler.scheduleAtFixedRate(this::sendDue, 0, 1, TimeUnit.MILLISECONDS);
   }
 
-  private void due() {
-    for (long at; (at = startNs + next * everyNs) <= System.nanoTime(); next++) {
-      one(at, name + "-" + next);
+  private void sendDue() {
+    for (long dueNs; (dueNs = startNs + sequence * intervalNs) <= System.nanoTime(); sequence++) {
+      send(dueNs, name + "-" + sequence);
     }
   }
 
-  private void one(long meantNs, String id) {
+  private void send(long scheduledNs, String id) {
     sent.incrementAndGet();
     String to = address.get();
     if (to == null) {
-      unheard.incrementAndGet();
+      unanswered.incrementAndGet();
       return;
     }
     HttpRequest request =
@@ -75,14 +84,15 @@
     client
         .sendAsync(request, HttpResponse.BodyHandlers.ofString())
         .whenComplete(
-            (answer, broken) -> {
-              if (broken != null) {
-                unheard.incrementAndGet();
+            (response, error) -> {
+              if (error != null) {
+                unanswered.incrementAndGet();
               } else {
-                latencyUs.recordValue(Math.min(59_000_000L, (System.nanoTime() - meantNs) / 1000));
-                (answer.statusCode() == 200
+                latencyUs.recordValue(
+                    Math.min(59_000_000L, (System.nanoTime() - scheduledNs) / 1000));
+                (response.statusCode() == 200
                         ? succeeded
-                        : answer.statusCode() == 503 ? rejected : failed)
+                        : response.statusCode() == 503 ? rejected : failed)
                     .incrementAndGet();
               }
             });
@@ -90,15 +100,16 @@
 
   @Override
   public void close() {
-    clock.shutdownNow();
+    scheduler.shutdownNow();
   }
 
-  static List<LoadGenerator> all(Fleet fleet, double perS) {
-    List<LoadGenerator> loads = new ArrayList<>();
+  /** Starts one generator for each member of the fleet, with {@code perS} requests per second. */
+  static List<LoadGenerator> startFor(Fleet fleet, double perS) {
+    List<LoadGenerator> generators = new ArrayList<>();
     for (int i = 0; i < fleet.size(); i++) {
       int member = i;
-      loads.add(new LoadGenerator(Fleet.name(i), () -> fleet.listensNow(member), perS));
+      generators.add(new LoadGenerator(Fleet.name(i), () -> fleet.clientAddress(member), perS));
     }
-    return loads;
+    return generators;
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/Main.java
+++ b/fleet/src/main/java/dillcross/fleet/Main.java
@@ -3,19 +3,19 @@
 import dillcross.emulator.cli.InvalidInputHandler;
 import picocli.CommandLine;
 
-/** Where the rig starts. */
+/** Entry point of the fleet test tool. */
 public final class Main {
   private Main() {}
 
   public static void main(String[] args) {
     System.setProperty("java.awt.headless", "true");
-    System.setProperty(
-        "sun.net.httpserver.nodelay",
-        "true"); // or stand-ins answer 40 ms late, as heads and bodies go apart
+    // The stand-in HTTP servers send header and body in separate segments; without TCP_NODELAY,
+    // Nagle's algorithm and delayed ACKs delay each response by 40 ms.
+    System.setProperty("sun.net.httpserver.nodelay", "true");
     System.exit(run(args));
   }
 
-  /** The exit status: 0 clean, 1 violations, 2 faulty input. */
+  /** Runs a command and returns its exit status: 0 success, 1 violations, 2 invalid input. */
   static int run(String... args) {
     return new CommandLine(new FleetCommand())
         .setExecutionExceptionHandler(new InvalidInputHandler())
--- a/fleet/src/main/java/dillcross/fleet/MemberSelector.java
+++ b/fleet/src/main/java/dillcross/fleet/MemberSelector.java
@@ -10,8 +10,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Chooses the members that a fault applies to, by the words of the experiment file: {@code any},
- * {@code half}, {@code all}, {@code others}, {@code sN}, {@code zone:NAME} or {@code share:X}.
+ * Selects the members that a fault applies to, by the selectors of the experiment file: {@code
+ * any}, {@code half}, {@code all}, {@code others}, {@code sN}, {@code zone:NAME} or {@code
+ * share:X}.
  */
 final class MemberSelector {
   private static final String ALL = "all";
@@ -34,28 +35,28 @@
   /**
    * The numbers of the selected members.
    *
-   * @param word as the experiment file gives it, already checked
+   * @param selector as given in the experiment file, already validated
    * @param excluded the members that {@code others} leaves out
    */
-  Set<Integer> select(String word, Set<Integer> excluded) {
+  Set<Integer> select(String selector, Set<Integer> excluded) {
     List<Integer> members =
         IntStream.range(0, experiment.sidecars())
             .boxed()
             .collect(Collectors.toCollection(ArrayList::new));
-    if (word.equals(OTHERS)) {
+    if (selector.equals(OTHERS)) {
       members.removeAll(excluded);
-    } else if (word.equals(ANY)) {
+    } else if (selector.equals(ANY)) {
       members = List.of(random.oneOf(members));
-    } else if (word.equals(HALF)) {
+    } else if (selector.equals(HALF)) {
       members = randomShare(members, HALF_SHARE);
-    } else if (word.startsWith(SHARE_PREFIX)) {
-      double share = Double.parseDouble(word.substring(SHARE_PREFIX.length()));
+    } else if (selector.startsWith(SHARE_PREFIX)) {
+      double share = Double.parseDouble(selector.substring(SHARE_PREFIX.length()));
       members = randomShare(members, share);
-    } else if (word.startsWith(ZONE_PREFIX)) {
-      String zone = word.substring(ZONE_PREFIX.length());
+    } else if (selector.startsWith(ZONE_PREFIX)) {
+      String zone = selector.substring(ZONE_PREFIX.length());
       members.removeIf(member -> !zoneOf(member).equals(zone));
-    } else if (!word.equals(ALL)) {
-      int number = Integer.parseInt(word.substring(MEMBER_PREFIX.length()));
+    } else if (!selector.equals(ALL)) {
+      int number = Integer.parseInt(selector.substring(MEMBER_PREFIX.length()));
       members.retainAll(Set.of(number));
     }
     return new TreeSet<>(members);
@@ -66,7 +67,7 @@
     return zones.get(member % zones.size());
   }
 
-  /** At least one member; shuffles the list. */
+  /** A random share of the members, at least one member; shuffles the list. */
   private List<Integer> randomShare(List<Integer> members, double share) {
     for (int i = members.size() - 1; i > 0; i--) {
       Collections.swap(members, i, (int) random.between(0L, i));
--- a/fleet/src/main/java/dillcross/fleet/MembershipView.java
+++ b/fleet/src/main/java/dillcross/fleet/MembershipView.java
@@ -14,8 +14,8 @@
  *
  * @param name the sidecar's own name
  * @param health its local health multiplier; 0 is healthy
- * @param states of the other members, by name
- * @param boots of the other members, by name
+ * @param states the states of the other members, by name
+ * @param boots the boot ids of the other members, by name; a restarted process has a higher one
  * @param counts its counters, by name
  */
 record MembershipView(
@@ -24,7 +24,7 @@
     Map<String, String> states,
     Map<String, Long> boots,
     Map<String, Long> counts) {
-  private static final int TIMEOUT_MS = 400; // of the connect, and of each read
+  private static final int TIMEOUT_MS = 400; // for connecting, and for each read
   private static final String REQUEST = "GET /-/members HTTP/1.1\r\nHost: a\r\n\r\n";
   private static final String STATUS_OK = "HTTP/1.1 200";
   private static final String END_OF_HEAD = "\r\n\r\n";
@@ -32,13 +32,14 @@
   /**
    * Requests the view of the sidecar with that admin address.
    *
-   * @throws IOException where there is no response, as from a process that is stopped
+   * @throws IOException if there is no valid response, for example because the process is stopped
    */
   static MembershipView of(String adminAddress) throws IOException {
     String response = request(adminAddress);
     int endOfHead = response.indexOf(END_OF_HEAD);
     if (endOfHead < 0 || !response.startsWith(STATUS_OK)) {
-      throw new IOException("no view: " + response.lines().findFirst().orElse("nothing"));
+      throw new IOException(
+          "no membership view: " + response.lines().findFirst().orElse("empty response"));
     }
     return parse(JSON.std.mapFrom(response.substring(endOfHead + END_OF_HEAD.length())));
   }
--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -14,7 +14,7 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** What a run came to, as text, as charts, and as one page that needs nothing else. */
+/** Writes the results of a run as text, as SVG charts, and as a self-contained HTML page. */
 final class Report {
   private Report() {}
 
@@ -28,7 +28,7 @@
             result.seed(),
             result.experiment().sidecars(),
             result.joinedMs() / 1000.0));
-    for (Schedule.Drawn drawn : result.faults()) {
+    for (Schedule.ScheduledFault drawn : result.faults()) {
       all.append(
           String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.describe()));
     }
@@ -40,7 +40,7 @@
             result.detectMs().getValueAtPercentile(50) / 1000.0,
             result.detectMs().getValueAtPercentile(99) / 1000.0,
             result.detectMs().getMaxValue() / 1000.0,
-            ExperimentRun.LOOK_MS));
+            ExperimentRun.POLL_INTERVAL_MS));
     all.append(
         String.format(
             Locale.ROOT,
@@ -52,8 +52,8 @@
         String.format(
             Locale.ROOT,
             "a member: %.0f bytes/s sent, %.1f ms CPU a second%n",
-            result.bytesASecond(),
-            result.cpuMsASecond()));
+            result.bytesPerSecond(),
+            result.cpuMsPerSecond()));
     all.append("counts ").append(result.counts()).append('\n');
     result.violations().forEach(v -> all.append("violation: ").append(v).append('\n'));
     return all.append("violations ").append(result.violations().size()).append('\n').toString();
@@ -82,7 +82,7 @@
                 + "</table>"));
   }
 
-  /** One page that needs nothing else. */
+  /** A self-contained HTML page; {@code rest} is inserted as HTML without escaping. */
   private static String page(String title, String text, String rest) {
     return "<!doctype html><html><head><meta charset=\"utf-8\"><title>"
         + escape(title)
@@ -96,12 +96,18 @@
         + "</body></html>\n";
   }
 
-  /** Without what a file of its own begins with. */
+  /** The SVG without the XML declaration and doctype, for embedding in HTML. */
   private static String inline(String svg) {
     return svg.substring(svg.indexOf("<svg"));
   }
 
-  /** The demo's: attempts by endpoint and requests by outcome, a second. */
+  /**
+   * Writes the charts and the page of the demo.
+   *
+   * @param attempts for each step, the total of attempts by endpoint
+   * @param requests for each step, the total of requests by outcome
+   * @param stepS the time between two steps, in seconds
+   */
   static void demo(
       Path out,
       List<String> news,
@@ -168,27 +174,27 @@
         .getStyler()
         .setLegendPosition(Styler.LegendPosition.OutsideS)
         .setLegendLayout(Styler.LegendLayout.Horizontal);
-    double[] s = result.moments().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
+    double[] s = result.samples().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
     add(
         chart,
         "held alive",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::alive).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::alive).toArray());
     add(
         chart,
         "held suspect",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::suspect).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::suspect).toArray());
     add(
         chart,
         "held dead or left",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::dead).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::dead).toArray());
     add(
         chart,
         "observer gives no view",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::unseen).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::unseen).toArray());
     return chart;
   }
 
--- a/fleet/src/main/java/dillcross/fleet/Schedule.java
+++ b/fleet/src/main/java/dillcross/fleet/Schedule.java
@@ -13,7 +13,7 @@
  *
  * @param faults in the order of their times
  */
-record Schedule(List<Drawn> faults) {
+record Schedule(List<ScheduledFault> faults) {
   private static final int MILLIS_PER_SECOND = 1000;
   private static final Set<Experiment.Kind> WITHOUT_PEERS =
       Set.of(Experiment.Kind.KILL, Experiment.Kind.PAUSE, Experiment.Kind.CLOCK);
@@ -27,12 +27,13 @@
    * @param of the members that it applies to
    * @param to the members that it separates them from, for faults between members
    */
-  record Drawn(long atMs, long forMs, Experiment.Fault fault, Set<Integer> of, Set<Integer> to) {
-    /** A line for reports. */
+  record ScheduledFault(
+      long atMs, long forMs, Experiment.Fault fault, Set<Integer> of, Set<Integer> to) {
+    /** Describes the fault in one line, for reports. */
     String describe() {
       String peers = WITHOUT_PEERS.contains(fault.kind()) ? "" : " to " + names(to);
       String duration = forMs > 0 ? " for " + forMs + " ms" : " for good";
-      return fault.kind().word() + " of " + names(of) + peers + duration;
+      return fault.kind().configName() + " of " + names(of) + peers + duration;
     }
 
     private static String names(Set<Integer> members) {
@@ -42,7 +43,7 @@
 
   /** Draws the faults of an experiment, each repetition from a random stream of its own. */
   static Schedule draw(Experiment experiment, long seed) {
-    List<Drawn> drawn = new ArrayList<>();
+    List<ScheduledFault> drawn = new ArrayList<>();
     RandomStream stream = RandomStream.of(seed).named("schedule");
     for (int i = 0; i < experiment.faults().size(); i++) {
       Experiment.Fault fault = experiment.faults().get(i);
@@ -51,11 +52,11 @@
         drawn.add(draw(experiment, fault, repetition, random));
       }
     }
-    drawn.sort(Comparator.comparingLong(Drawn::atMs));
+    drawn.sort(Comparator.comparingLong(ScheduledFault::atMs));
     return new Schedule(drawn);
   }
 
-  private static Drawn draw(
+  private static ScheduledFault draw(
       Experiment experiment, Experiment.Fault fault, int repetition, RandomStream random) {
     double firstSeconds = random.between(fault.atS().min(), fault.atS().max());
     long atMs = Math.round(MILLIS_PER_SECOND * (firstSeconds + repetition * fault.every()));
@@ -64,7 +65,7 @@
     MemberSelector selector = new MemberSelector(experiment, random);
     Set<Integer> of = selector.select(fault.of(), Set.of());
     Set<Integer> to = selector.select(fault.to(), of);
-    return new Drawn(atMs, forMs, fault, of, to);
+    return new ScheduledFault(atMs, forMs, fault, of, to);
   }
 
   /** When the last fault ends, in milliseconds from when all members have found each other. */
--- a/fleet/src/main/java/dillcross/fleet/StandInServices.java
+++ b/fleet/src/main/java/dillcross/fleet/StandInServices.java
@@ -17,11 +17,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Endpoints and the list service, in this process: each endpoint takes its time, and fails when
- * told to.
+ * Test endpoints and an endpoint list service, run inside this process. Each endpoint takes a
+ * configurable time per request and fails on demand.
  */
 final class StandInServices implements AutoCloseable {
-  /** One endpoint. */
+  /**
+   * An HTTP server that answers with 200 after {@code workMs}; with 500 after 1 ms while {@code
+   * fails}.
+   */
   static final class Endpoint {
     final String id;
     final String zone;
@@ -63,19 +66,21 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final HttpServer list = server(threads);
+  private final HttpServer sharedListServer = server(threads);
   final List<Endpoint> endpoints = new ArrayList<>();
-  private final Map<Integer, Map<Endpoint, TcpFaultProxy>> links =
-      new ConcurrentHashMap<>(); // by sidecar, where it has links of its own
-  private final Map<Integer, HttpServer> lists = new ConcurrentHashMap<>(); // likewise
-  private final long startedMs = System.currentTimeMillis() - 600_000; // warm
+  private final Map<Integer, Map<Endpoint, TcpFaultProxy>> proxiesBySidecar =
+      new ConcurrentHashMap<>(); // by sidecar; only those given a list by listFor
+  private final Map<Integer, HttpServer> listServers =
+      new ConcurrentHashMap<>(); // by sidecar, like proxiesBySidecar
+  private final long startedMs =
+      System.currentTimeMillis() - 600_000; // old enough to be past slow start
 
   StandInServices(int count, List<String> zones, long workMs) throws IOException {
     for (int i = 0; i < count; i++) {
       endpoints.add(new Endpoint("e" + i, zones.get(i % zones.size()), workMs, threads));
     }
-    list.createContext("/v1/servers", exchange -> watch(exchange, -1));
-    list.start();
+    sharedListServer.createContext("/v1/servers", exchange -> watch(exchange, -1));
+    sharedListServer.start();
   }
 
   private static HttpServer server(ExecutorService threads) throws IOException {
@@ -86,31 +91,39 @@
   }
 
   String listAddress() {
-    return "127.0.0.1:" + list.getAddress().getPort();
+    return "127.0.0.1:" + sharedListServer.getAddress().getPort();
   }
 
   /**
-   * A list for that sidecar alone, on which each endpoint is behind a link of its own; its address.
+   * Starts a list service for one sidecar, which lists each endpoint behind a proxy of its own.
+   *
+   * @return the {@code host:port} of the list service
    */
   String listFor(int sidecar) throws IOException {
-    Map<Endpoint, TcpFaultProxy> own = new LinkedHashMap<>();
+    Map<Endpoint, TcpFaultProxy> proxies = new LinkedHashMap<>();
     for (Endpoint endpoint : endpoints) {
-      own.put(endpoint, new TcpFaultProxy("127.0.0.1:" + endpoint.server.getAddress().getPort()));
+      proxies.put(
+          endpoint, new TcpFaultProxy("127.0.0.1:" + endpoint.server.getAddress().getPort()));
     }
-    links.put(sidecar, own);
+    proxiesBySidecar.put(sidecar, proxies);
     HttpServer server = server(threads);
     server.createContext("/v1/servers", exchange -> watch(exchange, sidecar));
     server.start();
-    lists.put(sidecar, server);
+    listServers.put(sidecar, server);
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  /** The link between that sidecar and an endpoint. */
-  TcpFaultProxy link(int sidecar, Endpoint endpoint) {
-    return links.get(sidecar).get(endpoint);
+  /** The proxy between the sidecar and the endpoint; requires {@link #listFor} for the sidecar. */
+  TcpFaultProxy proxy(int sidecar, Endpoint endpoint) {
+    return proxiesBySidecar.get(sidecar).get(endpoint);
   }
 
-  /** The whole list to who has none; then nothing changes, and a watch waits as long as it may. */
+  /**
+   * Answers a watch request: with the full list if the client has none yet; otherwise with an empty
+   * change, after the client's timeout or 20 s, as the list never changes.
+   *
+   * @param sidecar the sidecar whose proxies to list; -1 to list the endpoints directly
+   */
   private void watch(HttpExchange exchange, int sidecar) throws IOException {
     try (exchange) {
       String query = String.valueOf(exchange.getRequestURI().getQuery());
@@ -124,7 +137,7 @@
               "addr",
               sidecar < 0
                   ? "127.0.0.1:" + endpoint.server.getAddress().getPort()
-                  : link(sidecar, endpoint).address());
+                  : proxy(sidecar, endpoint).address());
           row.put("zone", endpoint.zone);
           row.put("kind", "small");
           row.put("cell", 0);
@@ -152,14 +165,14 @@
 
   @Override
   public void close() throws IOException {
-    for (Map<Endpoint, TcpFaultProxy> own : links.values()) {
-      for (TcpFaultProxy link : own.values()) {
-        link.close();
+    for (Map<Endpoint, TcpFaultProxy> proxies : proxiesBySidecar.values()) {
+      for (TcpFaultProxy proxy : proxies.values()) {
+        proxy.close();
       }
     }
-    lists.values().forEach(l -> l.stop(0));
+    listServers.values().forEach(l -> l.stop(0));
     endpoints.forEach(e -> e.server.stop(0));
-    list.stop(0);
+    sharedListServer.stop(0);
     threads.shutdownNow();
   }
 }
--- a/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
@@ -12,25 +12,25 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * One TCP link through the fault plane: who asks connects here, and what passes goes on to the one
- * asked. A cut closes nothing and loses nothing: bytes wait, as a cut network's do, until it heals
- * or somebody gives up.
+ * A TCP proxy that injects faults between clients and one target. A cut neither closes connections
+ * nor loses bytes: they are held back, as by retransmission on a broken network, until the cut ends
+ * or one side closes the connection.
  */
 final class TcpFaultProxy implements AutoCloseable {
   private static final int CHUNK = 4096;
-  private static final long LOOK_MS = 5;
+  private static final long POLL_INTERVAL_MS = 5;
 
-  private final ServerSocket entrance = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
+  private final ServerSocket listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
   private final InetSocketAddress target;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   final AtomicLong connections = new AtomicLong();
-  private volatile boolean cutForth; // what the asker sends waits
-  private volatile boolean cutBack; // ... what is answered
-  private volatile boolean
-      deaf; // an end of either side is not passed on: the other keeps a half-open connection
+  private volatile boolean cutToTarget; // bytes from client to target are held back
+  private volatile boolean cutToClient; // bytes from target to client are held back
+  // While true, the close of one side is not passed on: the other keeps a half-open connection.
+  private volatile boolean holdBackClose;
   private volatile long delayMs;
-  private volatile int bytesPerS; // 0 for as fast as it goes
-  private volatile boolean over;
+  private volatile int bytesPerS; // 0: no limit
+  private volatile boolean closed;
 
   TcpFaultProxy(String to) throws IOException {
     int colon = to.lastIndexOf(':');
@@ -40,34 +40,37 @@
   }
 
   String address() {
-    return "127.0.0.1:" + entrance.getLocalPort();
+    return "127.0.0.1:" + listener.getLocalPort();
   }
 
   /**
-   * Cuts either direction or both, or heals them. New connections are still taken by the plane, as
-   * a SYN's answer may be on its way.
+   * Sets which directions are cut. The proxy still accepts new connections during a cut, because
+   * the SYN-ACK of a real network may already be on its way.
+   *
+   * @param toTarget true to hold back bytes from client to target
+   * @param toClient true to hold back bytes from target to client
    */
-  void cut(boolean forth, boolean back) {
-    cutForth = forth;
-    cutBack = back;
+  void cut(boolean toTarget, boolean toClient) {
+    cutToTarget = toTarget;
+    cutToClient = toClient;
   }
 
-  /** Each chunk is late by so much. */
+  /** Delays each chunk (up to 4096 bytes), in both directions, by {@code ms} milliseconds. */
   void delay(long ms) {
     delayMs = ms;
   }
 
-  /** Whoever reads takes no more than that a second. */
-  void slow(int bytesASecond) {
-    bytesPerS = bytesASecond;
+  /** Limits each direction of each connection to this many bytes per second; 0 for no limit. */
+  void limitRate(int maxBytesPerS) {
+    bytesPerS = maxBytesPerS;
   }
 
-  /** An end of one side is kept from the other while it lasts. */
-  void halfOpen(boolean now) {
-    deaf = now;
+  /** While {@code enabled} is true, does not pass on the close of one side to the other. */
+  void halfOpen(boolean enabled) {
+    holdBackClose = enabled;
   }
 
-  /** Ends all that is open, by a reset. */
+  /** Closes all open connections with a TCP reset (RST). */
   void reset() throws IOException {
     for (Socket socket : open) {
       socket.setSoLinger(true, 0);
@@ -76,24 +79,24 @@
   }
 
   private static void start(Runnable task) {
-    Thread thread = new Thread(task, "link");
+    Thread thread = new Thread(task, "tcp-fault-proxy");
     thread.setDaemon(true);
     thread.start();
   }
 
   private void accept() {
-    while (!over) {
+    while (!closed) {
       try {
-        Socket client = entrance.accept();
+        Socket client = listener.accept();
         connections.incrementAndGet();
-        start(() -> join(client));
-      } catch (IOException closed) {
+        start(() -> connect(client));
+      } catch (IOException listenerClosed) {
         return;
       }
     }
   }
 
-  private void join(Socket client) {
+  private void connect(Socket client) {
     Socket server = new Socket();
     try {
       open.add(client);
@@ -103,37 +106,37 @@
       server.connect(target, 2000);
       start(() -> pump(client, server, true));
       pump(server, client, false);
-    } catch (IOException nobodyThere) {
+    } catch (IOException unreachable) {
       close(client);
       close(server);
     }
   }
 
-  private void pump(Socket from, Socket to, boolean forth) {
+  private void pump(Socket from, Socket to, boolean toTarget) {
     byte[] chunk = new byte[CHUNK];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count; (count = in.read(chunk)) >= 0; ) {
-        rest(delayMs);
-        while ((forth ? cutForth : cutBack) && !over) {
-          rest(LOOK_MS);
+        sleep(delayMs);
+        while ((toTarget ? cutToTarget : cutToClient) && !closed) {
+          sleep(POLL_INTERVAL_MS);
         }
         int max = bytesPerS;
         out.write(chunk, 0, count);
-        rest(max == 0 ? 0 : 1000L * count / max);
+        sleep(max == 0 ? 0 : 1000L * count / max);
       }
-    } catch (IOException broken) {
-      // as at its end: the other side hears of it below
+    } catch (IOException connectionLost) {
+      // Handled like end of stream: both sockets are closed below.
     }
-    while (deaf && !over) {
-      rest(LOOK_MS);
+    while (holdBackClose && !closed) {
+      sleep(POLL_INTERVAL_MS);
     }
     close(from);
     close(to);
   }
 
-  private static void rest(long ms) {
+  private static void sleep(long ms) {
     if (ms > 0) {
       try {
         Thread.sleep(ms);
@@ -148,14 +151,14 @@
     try {
       socket.close();
     } catch (IOException closedAlready) {
-      // nothing is left to close
+      // no further cleanup is possible
     }
   }
 
   @Override
   public void close() throws IOException {
-    over = true;
-    entrance.close();
+    closed = true;
+    listener.close();
     open.forEach(this::close);
   }
 }
--- a/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
+++ b/fleet/src/test/java/dillcross/fleet/ExperimentTest.java
@@ -19,7 +19,7 @@
   @TempDir private Path folder;
 
   @Test
-  void theScheduleIsTheSameForTheSameSeedAndAnotherForAnother() throws Exception {
+  void scheduleDependsOnTheSeedAlone() throws Exception {
     assertEquals(descriptions(3), descriptions(3));
     assertNotEquals(descriptions(3), descriptions(4));
   }
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void allThatShipAreRead() throws Exception {
+  void allShippedExperimentsAreValid() throws Exception {
     try (Stream<Path> files = Files.list(SHIPPED)) {
       for (Path file : files.toList()) {
         assertTrue(Schedule.draw(Experiment.read(file), 1).endMs() >= 0, file.toString());
@@ -51,12 +51,13 @@
         "[[fault]];kind = \"kill\";wen = 3 | 3 | wen",
         "[[fault]];kind = | 2 | "
       })
-  void aFaultNamesLineAndKey(String text, int line, String key) throws Exception {
+  void invalidFileIsReportedWithLineAndKey(String text, int line, String key) throws Exception {
     Path file = folder.resolve("x.toml");
     Files.writeString(file, text.replace(';', '\n'));
-    String said =
+    String message =
         assertThrows(InvalidScenarioException.class, () -> Experiment.read(file)).getMessage();
-    assertTrue(said.contains("line " + line) && said.contains(key == null ? "" : key), said);
+    assertTrue(
+        message.contains("line " + line) && message.contains(key == null ? "" : key), message);
     assertEquals(2, Main.run("fleet", "run", file.toString(), "--out", folder.toString()));
   }
 }
--- a/fleet/src/test/java/dillcross/fleet/MembersIT.java
+++ b/fleet/src/test/java/dillcross/fleet/MembersIT.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several processes of the program, and faults between them. Waits are for what has to come in the
- * end and are far longer than it takes; nothing fails for being a little slow.
+ * Runs several sidecar processes with network faults between them. The waits are much longer than
+ * the expected times, so that a slow machine does not fail a test.
  */
 @Timeout(value = 80, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MembersIT {
   private static final int INTERVAL_MS = 200;
-  private static final long LONG_MS = 25_000;
+  private static final long MAX_WAIT_MS = 25_000;
   @TempDir private Path folder;
   private Fleet fleet;
 
@@ -39,13 +39,13 @@
   private void agreed(Set<Integer> members, String why) throws Exception {
     assertNotEquals(
         -1,
-        Fleet.until(LONG_MS, () -> fleet.agree(members)),
+        Fleet.waitUntil(MAX_WAIT_MS, () -> fleet.agree(members)),
         () -> why + ": " + members.stream().map(m -> fleet.view(m)).toList());
   }
 
   private long sum(String count) {
-    return fleet.all().stream()
-        .filter(fleet::runs)
+    return fleet.allMembers().stream()
+        .filter(fleet::isRunning)
         .map(fleet::view)
         .mapToLong(v -> v == null ? 0 : v.counts().get(count))
         .sum();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void allFindEachOtherAtOnceThoughOneSeedIsDead() throws Exception {
+  void membersFindEachOtherAlthoughOneSeedIsDead() throws Exception {
     fleet =
         new Fleet(
             Fleet.root(),
@@ -72,97 +72,103 @@
     for (int i = 0; i < 6; i++) {
       fleet.start(i); // the first seed never starts
     }
-    agreed(fleet.those(i -> i < 6), "six find each other");
+    agreed(fleet.membersWhere(i -> i < 6), "six find each other");
     assertEquals(0, sum("deaths"));
   }
 
   @Test
-  void aQuarterKilledInOneInstantIsFoundAndItsReturnNotified() throws Exception {
+  void simultaneousDeathsAndRestartsAreDetected() throws Exception {
     fleet(8, List.of(0));
-    agreed(fleet.all(), "all find each other");
+    agreed(fleet.allMembers(), "all find each other");
     long boot = fleet.view(3).boots().get("s6");
     fleet.kill(6);
     fleet.kill(7);
-    agreed(fleet.those(i -> i < 6), "two are found dead");
+    agreed(fleet.membersWhere(i -> i < 6), "both deaths are detected");
     fleet.start(6);
     fleet.start(7);
-    agreed(fleet.all(), "both are back");
-    assertTrue(fleet.view(3).boots().get("s6") > boot, "the new process is told from the old one");
+    agreed(fleet.allMembers(), "both have rejoined");
+    assertTrue(
+        fleet.view(3).boots().get("s6") > boot,
+        "the new process has a higher boot id than the old one");
   }
 
   @Test
-  void aPausedMemberBlamesItselfAndNotTheOthers() throws Exception {
+  void pausedMemberDeclaresNoOtherDeadWhenResumed() throws Exception {
     fleet(5, List.of(0));
-    agreed(fleet.all(), "all find each other");
+    agreed(fleet.allMembers(), "all find each other");
     fleet.signal(4, "STOP");
-    agreed(fleet.those(i -> i < 4), "the others hold it for dead");
+    agreed(fleet.membersWhere(i -> i < 4), "the others report the paused member as dead");
     fleet.signal(4, "CONT");
-    agreed(fleet.all(), "it is back");
+    agreed(fleet.allMembers(), "it is back");
     MembershipView woken = fleet.view(4);
-    assertTrue(woken.counts().get("paused") > 0, "it found itself late: " + woken);
-    assertEquals(0, woken.counts().get("deaths"), "it holds nobody for dead on waking: " + woken);
+    assertTrue(woken.counts().get("paused") > 0, "the resumed member noticed its pause: " + woken);
+    assertEquals(
+        0,
+        woken.counts().get("deaths"),
+        "the resumed member declared no other member dead: " + woken);
   }
 
   @Test
-  void aOneSidedCutKillsNobody() throws Exception {
+  void oneWayCutCausesNoDeath() throws Exception {
     fleet(5, List.of(0));
-    agreed(fleet.all(), "all find each other");
-    fleet.plane.faults.add(Fleet.cut(Set.of(0), Set.of(1))); // 1 hears nothing from 0
+    agreed(fleet.allMembers(), "all find each other");
+    fleet.datagramProxy.faults.add(Fleet.cut(Set.of(0), Set.of(1))); // drops what 0 sends to 1
     long probes = sum("probes");
     assertNotEquals(
-        -1, Fleet.until(LONG_MS, () -> sum("probes") > probes + 5 * 40), "probes go on");
-    assertEquals(0, sum("deaths"), "others reach both");
-    fleet.plane.faults.clear();
-    agreed(fleet.all(), "all is well again");
+        -1, Fleet.waitUntil(MAX_WAIT_MS, () -> sum("probes") > probes + 5 * 40), "probes go on");
+    assertEquals(0, sum("deaths"), "indirect probes reach both members");
+    fleet.datagramProxy.faults.clear();
+    agreed(fleet.allMembers(), "all agree after the cut");
   }
 
   @Test
-  void twoHalvesBecomeOneAgain() throws Exception {
+  void partitionedHalvesMergeAgain() throws Exception {
     fleet(6, List.of(0));
-    agreed(fleet.all(), "all find each other");
-    Set<Integer> one = fleet.those(i -> i < 3);
-    Set<Integer> other = fleet.those(i -> i >= 3);
+    agreed(fleet.allMembers(), "all find each other");
+    Set<Integer> one = fleet.membersWhere(i -> i < 3);
+    Set<Integer> other = fleet.membersWhere(i -> i >= 3);
     fleet.split(one, other);
-    agreed(one, "one half holds the other for dead");
-    agreed(other, "and the other way round");
-    fleet.plane.faults.clear();
-    agreed(fleet.all(), "they find each other again");
-    assertTrue(sum("refuted") >= 6, "each refuted its death");
+    agreed(one, "the first half reports the second as dead");
+    agreed(other, "the second half reports the first as dead");
+    fleet.datagramProxy.faults.clear();
+    agreed(fleet.allMembers(), "all find each other again");
+    assertTrue(sum("refuted") >= 6, "each member refuted its death");
   }
 
   @Test
-  void thirtyPerCentOfDatagramsLostAndOthersLateTwiceAndOutOfOrder() throws Exception {
+  void toleratesLossDelayDuplicationAndReordering() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 6, List.of("east", "west"), List.of(0), INTERVAL_MS, 7);
-    Set<Integer> all = fleet.all();
-    fleet.plane.faults.add(new LinkFault(all, all, 0.3, 0, 20_000, 0.2, 0));
+    Set<Integer> all = fleet.allMembers();
+    fleet.datagramProxy.faults.add(new LinkFault(all, all, 0.3, 0, 20_000, 0.2, 0));
     fleet.startAll();
     assertNotEquals(
         -1,
-        Fleet.until(
-            LONG_MS, () -> all.stream().map(fleet::view).allMatch(v -> v != null && v.live() == 5)),
-        "they find each other all the same");
+        Fleet.waitUntil(
+            MAX_WAIT_MS,
+            () -> all.stream().map(fleet::view).allMatch(v -> v != null && v.live() == 5)),
+        "all find each other in spite of the loss");
     fleet.kill(5);
     assertNotEquals(
         -1,
-        Fleet.until(
-            LONG_MS,
+        Fleet.waitUntil(
+            MAX_WAIT_MS,
             () ->
-                fleet.those(i -> i < 5).stream()
+                fleet.membersWhere(i -> i < 5).stream()
                     .map(fleet::view)
                     .allMatch(v -> v != null && v.states().get("s5").equals("dead"))),
-        "a death is found all the same");
-    fleet.plane.faults.clear();
-    agreed(fleet.those(i -> i < 5), "nobody else is held dead when the loss ends");
+        "a death is detected in spite of the loss");
+    fleet.datagramProxy.faults.clear();
+    agreed(fleet.membersWhere(i -> i < 5), "no other member is reported dead when the loss ends");
   }
 
   @Test
-  void aFloodAndGarbledDatagramsChangeNothing() throws Exception {
+  void floodAndCorruptedDatagramsDoNotChangeMembership() throws Exception {
     fleet(4, List.of(0));
-    agreed(fleet.all(), "all find each other");
-    Set<Integer> all = fleet.all();
-    fleet.plane.faults.add(new LinkFault(all, all, 0, 0, 0, 0, 0.2));
+    agreed(fleet.allMembers(), "all find each other");
+    Set<Integer> all = fleet.allMembers();
+    fleet.datagramProxy.faults.add(new LinkFault(all, all, 0, 0, 0, 0, 0.2));
     try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-      String[] to = fleet.plane.address(1).split(":");
+      String[] to = fleet.datagramProxy.address(1).split(":");
       byte[] noise = new byte[900];
       for (int i = 0; i < 4000; i++) {
         new java.util.Random(i).nextBytes(noise);
@@ -173,31 +179,34 @@
     }
     assertNotEquals(
         -1,
-        Fleet.until(
-            LONG_MS,
+        Fleet.waitUntil(
+            MAX_WAIT_MS,
             () ->
                 fleet.view(1) != null
                     && fleet.view(1).counts().get("malformed") > 20
                     && fleet.view(1).counts().get("flooded") > 0),
-        () -> "both are counted: " + fleet.view(1));
-    fleet.plane.faults.clear();
-    agreed(all, "all know just each other");
+        () -> "malformed and rate-limited datagrams are counted: " + fleet.view(1));
+    fleet.datagramProxy.faults.clear();
+    agreed(all, "all report exactly the four members");
   }
 
   @Test
-  void aRollingRestartAndAClockThatWentBack() throws Exception {
+  void rollingRestartWithAClockSetBack() throws Exception {
     fleet(4, List.of(0, 1));
-    agreed(fleet.all(), "all find each other");
+    agreed(fleet.allMembers(), "all find each other");
     for (int i = 0; i < 4; i++) {
       fleet.signal(i, "TERM");
       int leaving = i;
-      assertNotEquals(-1, Fleet.until(LONG_MS, () -> !fleet.child(leaving).alive()), "it ends");
       assertNotEquals(
           -1,
-          Fleet.until(
-              LONG_MS,
+          Fleet.waitUntil(MAX_WAIT_MS, () -> !fleet.child(leaving).alive()),
+          "the process ends after SIGTERM");
+      assertNotEquals(
+          -1,
+          Fleet.waitUntil(
+              MAX_WAIT_MS,
               () ->
-                  fleet.those(m -> m != leaving).stream()
+                  fleet.membersWhere(m -> m != leaving).stream()
                       .map(fleet::view)
                       .allMatch(
                           v ->
@@ -205,107 +214,116 @@
                                   && !v.states()
                                       .getOrDefault("s" + leaving, "left")
                                       .equals("alive"))),
-          "the others know");
-      fleet.kill(i); // its guard
-      fleet.shift(i, i == 3 ? -3_600_000 : 0); // an hour back
+          "the others no longer report the member as alive");
+      fleet.kill(i); // closes the guard of the ended process
+      fleet.setClockShift(i, i == 3 ? -3_600_000 : 0); // the clock of s3 goes back by an hour
       fleet.start(i);
-      agreed(fleet.all(), "it is back");
+      agreed(fleet.allMembers(), "it is back");
     }
   }
 
   @Test
-  void twoOfOneNameBothStay() throws Exception {
+  void membersWithTheSameNameBothRemain() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 4, List.of("east"), List.of(0), INTERVAL_MS, 7);
     for (int i = 0; i < 3; i++) {
       fleet.start(i);
     }
-    agreed(fleet.those(i -> i < 3), "three find each other");
+    agreed(fleet.membersWhere(i -> i < 3), "three find each other");
     fleet.start(3, "s2");
     assertNotEquals(
         -1,
-        Fleet.until(
-            LONG_MS,
+        Fleet.waitUntil(
+            MAX_WAIT_MS,
             () ->
                 fleet.view(0) != null
                     && fleet.view(0).live() == 3
                     && new TreeSet<>(fleet.view(0).states().keySet())
                         .stream().anyMatch(n -> n.startsWith("s2~"))),
-        () -> "the first goes by another name: " + fleet.view(0));
+        () -> "the first s2 is renamed: " + fleet.view(0));
     assertEquals("s2", fleet.view(3).name());
   }
 
   @Test
-  void requestsAreServedWhileMembersComeAndGo() throws Exception {
+  void requestsAreServedDuringMembershipChanges() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 3, List.of("east"), List.of(0), INTERVAL_MS, 7);
     try (StandInServices standIns = new StandInServices(3, List.of("east"), 5)) {
-      fleet.lists(standIns.listAddress());
+      fleet.setListAddress(standIns.listAddress());
       fleet.startAll();
-      agreed(fleet.all(), "all find each other");
-      assertNotEquals(-1, Fleet.until(LONG_MS, () -> fleet.listensNow(0) != null));
-      try (LoadGenerator load = new LoadGenerator("c", () -> fleet.listensNow(0), 50)) {
-        assertNotEquals(-1, Fleet.until(LONG_MS, () -> load.succeeded.get() > 20));
+      agreed(fleet.allMembers(), "all find each other");
+      assertNotEquals(-1, Fleet.waitUntil(MAX_WAIT_MS, () -> fleet.clientAddress(0) != null));
+      try (LoadGenerator load = new LoadGenerator("c", () -> fleet.clientAddress(0), 50)) {
+        assertNotEquals(-1, Fleet.waitUntil(MAX_WAIT_MS, () -> load.succeeded.get() > 20));
         fleet.kill(2);
-        fleet.plane.faults.add(Fleet.cut(Set.of(0), Set.of(1)));
+        fleet.datagramProxy.faults.add(Fleet.cut(Set.of(0), Set.of(1)));
         assertNotEquals(
             -1,
-            Fleet.until(LONG_MS, () -> fleet.view(0).states().get("s2").equals("dead")),
-            "the killed one is found");
-        assertNotEquals(-1, Fleet.until(LONG_MS, () -> load.succeeded.get() > 200), "ops go on");
-        assertEquals(0, load.unheard.get(), "each that was sent was answered");
+            Fleet.waitUntil(MAX_WAIT_MS, () -> fleet.view(0).states().get("s2").equals("dead")),
+            "the killed member is reported dead");
+        assertNotEquals(
+            -1,
+            Fleet.waitUntil(MAX_WAIT_MS, () -> load.succeeded.get() > 200),
+            "requests still succeed");
+        assertEquals(0, load.unanswered.get(), "every request was answered");
       }
     }
   }
 
   @Test
-  void oneSidecarCutOffFromAZoneOfEndpointsServesOnAndGoesBack() throws Exception {
+  void sidecarCutOffFromAZoneUsesAnotherZoneAndReturns() throws Exception {
     fleet = new Fleet(Fleet.root(), folder, 2, List.of("east", "west"), List.of(0), INTERVAL_MS, 7);
     try (StandInServices standIns = new StandInServices(4, List.of("east", "west"), 5)) {
-      fleet.lists(0, standIns.listFor(0));
-      fleet.lists(1, standIns.listFor(1));
+      fleet.setListAddress(0, standIns.listFor(0));
+      fleet.setListAddress(1, standIns.listFor(1));
       fleet.startAll();
       assertNotEquals(
           -1,
-          Fleet.until(LONG_MS, () -> fleet.listensNow(0) != null && fleet.listensNow(1) != null));
+          Fleet.waitUntil(
+              MAX_WAIT_MS, () -> fleet.clientAddress(0) != null && fleet.clientAddress(1) != null));
       List<StandInServices.Endpoint> east =
           standIns.endpoints.stream().filter(e -> e.zone.equals("east")).toList();
-      try (LoadGenerator one = new LoadGenerator("a", () -> fleet.listensNow(0), 40);
-          LoadGenerator other = new LoadGenerator("b", () -> fleet.listensNow(1), 40)) {
+      try (LoadGenerator one = new LoadGenerator("a", () -> fleet.clientAddress(0), 40);
+          LoadGenerator other = new LoadGenerator("b", () -> fleet.clientAddress(1), 40)) {
         assertNotEquals(
             -1,
-            Fleet.until(LONG_MS, () -> one.succeeded.get() > 40 && east.get(0).attempts.get() > 0),
-            "its own zone is in use");
-        east.forEach(e -> standIns.link(0, e).cut(true, true)); // closes nothing
+            Fleet.waitUntil(
+                MAX_WAIT_MS, () -> one.succeeded.get() > 40 && east.get(0).attempts.get() > 0),
+            "the endpoints of its own zone are in use");
+        east.forEach(
+            e -> standIns.proxy(0, e).cut(true, true)); // holds bytes back; connections stay open
         long before = one.succeeded.get();
         assertNotEquals(
             -1,
-            Fleet.until(LONG_MS, () -> one.succeeded.get() > before + 100),
-            "it serves on from the other zone");
-        east.forEach(e -> standIns.link(0, e).cut(false, false));
+            Fleet.waitUntil(MAX_WAIT_MS, () -> one.succeeded.get() > before + 100),
+            "requests succeed through the other zone");
+        east.forEach(e -> standIns.proxy(0, e).cut(false, false));
         long connections =
-            east.stream().mapToLong(e -> standIns.link(0, e).connections.get()).sum();
+            east.stream().mapToLong(e -> standIns.proxy(0, e).connections.get()).sum();
         assertNotEquals(
             -1,
-            Fleet.until(
-                LONG_MS,
+            Fleet.waitUntil(
+                MAX_WAIT_MS,
                 () ->
-                    east.stream().mapToLong(e -> standIns.link(0, e).connections.get()).sum()
+                    east.stream().mapToLong(e -> standIns.proxy(0, e).connections.get()).sum()
                         > connections),
-            "it goes back");
-        assertEquals(0, one.unheard.get() + other.unheard.get(), "each op was answered");
+            "the sidecar reconnects to its own zone");
+        assertEquals(
+            0,
+            one.unanswered.get() + other.unanswered.get(),
+            "every request was answered by a sidecar");
         assertEquals(
             (float) other.sent.get(),
             (float) (other.succeeded.get() + other.rejected.get() + other.failed.get()),
             40,
-            "the other sidecar saw nothing of it");
+            "the other sidecar is not affected");
         assertTrue(other.succeeded.get() > 0.9 * other.sent.get() - 40);
       }
     }
   }
 
   @Test
-  void noProcessOutlivesTheOneThatStartedIt() throws Exception {
+  void sidecarsEndWithTheProcessThatStartedThem() throws Exception {
     Path root = Fleet.root();
-    Process rig =
+    Process parent =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -316,22 +334,22 @@
             .redirectErrorStream(true)
             .start();
     List<Long> children;
-    try (var said =
+    try (var output =
         new java.io.BufferedReader(
             new java.io.InputStreamReader(
-                rig.getInputStream(), java.nio.charset.StandardCharsets.UTF_8))) {
-      children = List.of(said.readLine().split(" ")).stream().map(Long::parseLong).toList();
+                parent.getInputStream(), java.nio.charset.StandardCharsets.UTF_8))) {
+      children = List.of(output.readLine().split(" ")).stream().map(Long::parseLong).toList();
       assertTrue(children.stream().allMatch(pid -> ProcessHandle.of(pid).isPresent()));
-      rig.destroyForcibly().waitFor(); // SIGKILL: it can tidy up nothing
+      parent.destroyForcibly().waitFor(); // SIGKILL: the process cannot clean up
     }
     assertNotEquals(
         -1,
-        Fleet.until(
-            LONG_MS,
+        Fleet.waitUntil(
+            MAX_WAIT_MS,
             () ->
                 children.stream()
                     .noneMatch(
                         pid -> ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false))));
-    assertFalse(rig.isAlive());
+    assertFalse(parent.isAlive());
   }
 }
--- a/fleet/src/test/java/dillcross/fleet/OrphanProcesses.java
+++ b/fleet/src/test/java/dillcross/fleet/OrphanProcesses.java
@@ -3,7 +3,10 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** A rig that is killed: starts three processes, one of them stopped, names them, and waits. */
+/**
+ * Program that a test kills with SIGKILL: starts three sidecars, pauses one of them, prints their
+ * process ids, and waits.
+ */
 final class OrphanProcesses {
   private OrphanProcesses() {}
 
