--- a/fleet/src/main/java/dillcross/fleet/ChildProcess.java
+++ b/fleet/src/main/java/dillcross/fleet/ChildProcess.java
@@ -170,9 +170,8 @@
 
   @Override
   public void close() throws IOException {
-    guard
-        .getOutputStream()
-        .close(); // the guard then kills the sidecar, even one stopped by SIGSTOP
+    // At end of file, the guard kills the sidecar, even one that is stopped by SIGSTOP.
+    guard.getOutputStream().close();
     try {
       if (!guard.waitFor(5, TimeUnit.SECONDS)) {
         guard.destroyForcibly();
--- a/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
@@ -31,8 +31,10 @@
 
   private final Selector selector = Selector.open();
   private final List<DatagramChannel> sockets = new ArrayList<>(); // index: member
-  private final AtomicReferenceArray<SocketAddress>
-      memberAddresses; // the bound address of each member; null until known
+
+  // The address to which each member is bound; null until known.
+  private final AtomicReferenceArray<SocketAddress> memberAddresses;
+
   private final RandomStream[][] randomStreams;
   private final PriorityQueue<DelayedDatagram> delayed =
       new PriorityQueue<>(
--- a/fleet/src/main/java/dillcross/fleet/Demo.java
+++ b/fleet/src/main/java/dillcross/fleet/Demo.java
@@ -111,6 +111,11 @@
     }
   }
 
+  /**
+   * The total of one counter over all generators.
+   *
+   * @param outcome 0 for sent, 1 succeeded, 2 rejected, 3 failed, any other number for unanswered
+   */
   private static long sum(List<LoadGenerator> loads, int outcome) {
     return loads.stream()
         .mapToLong(
@@ -125,6 +130,11 @@
         .sum();
   }
 
+  /**
+   * Performs the scripted event with this number, from 0.
+   *
+   * @return its description; null for the last event, which only ends the demo
+   */
   private static String runEvent(int event, Fleet fleet, StandInServices standIns)
       throws IOException, InterruptedException {
     switch (event) {
--- a/fleet/src/main/java/dillcross/fleet/Experiment.java
+++ b/fleet/src/main/java/dillcross/fleet/Experiment.java
@@ -58,8 +58,8 @@
    * @param of the members affected: any, half, all, others, sN, zone:NAME or share:X
    * @param to the members at the other end, for faults between members; same syntax
    * @param share the share of datagrams affected, 0 to 1, for loss, twice and garble
-   * @param ms the delay of datagrams, or the shift of a clock, in milliseconds
-   * @param every the seconds between two repetitions
+   * @param ms in milliseconds: the delay for delay, the jitter for twice, the shift for clock
+   * @param every the seconds by which each repetition is later than the one before
    * @param times how many times the fault occurs
    */
   record Fault(
--- a/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
+++ b/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
@@ -40,7 +40,8 @@
    * @param detectMs milliseconds from a kill until an observer reported the member as dead or left,
    *     one value for each observer; resolution {@link #POLL_INTERVAL_MS}
    * @param falseDeaths the number of (observer, subject) pairs in which the subject was reported
-   *     dead or left although it was running and neither was paused or cut off
+   *     dead or left although it was running and not paused, neither was on the smaller side of a
+   *     two-way cut, and neither recovered from a fault within the settle time
    * @param memberHours the number of members times the observed time in hours
    * @param joinedMs milliseconds from the start until all members found each other; -1 if they did
    *     not within 60 s
@@ -72,13 +73,11 @@
   private final long seed;
   private final Path out;
   private final Map<String, String> lastStates = new HashMap<>(); // state by "observer subject"
-  private final Map<String, Long> highestBoots =
-      new HashMap<>(); // highest boot id by "observer subject"
+  private final Map<String, Long> highestBoots = new HashMap<>(); // boot id by "observer subject"
   private final Map<Integer, Long> killedMs = new TreeMap<>(); // kill time by member that is down
   private final Set<Integer> paused = new TreeSet<>();
   private final Set<Integer> cutOff = new TreeSet<>(); // smaller side of each two-way cut
-  private final Map<Integer, Long> recoveredAtMs =
-      new HashMap<>(); // when a member last recovered from a fault
+  private final Map<Integer, Long> recoveredAtMs = new HashMap<>(); // end of a member's last fault
   private final Set<String> falseDeathPairs = new TreeSet<>();
   private final Set<String> detectedPairs = new TreeSet<>();
   private final List<Sample> samples = new ArrayList<>();
--- a/fleet/src/main/java/dillcross/fleet/Fleet.java
+++ b/fleet/src/main/java/dillcross/fleet/Fleet.java
@@ -24,10 +24,11 @@
   private final List<Integer> seeds;
   private final ChildProcess[] children;
   private final long[] clockShiftMs;
-  private final Set<Integer> withoutMembership =
-      new TreeSet<>(); // members that start without membership
-  private String defaultListAddress =
-      "127.0.0.1:1"; // used by members without a list of their own; nothing listens on port 1
+  private final Set<Integer> withoutMembership = new TreeSet<>(); // members started without it
+
+  // Used by members without a list service of their own. Nothing listens on port 1.
+  private String defaultListAddress = "127.0.0.1:1";
+
   private final String[] listAddresses; // by member; null where a member uses the default list
   final DatagramFaultProxy datagramProxy;
 
@@ -312,8 +313,8 @@
    *
    * @return the two faults, which the caller removes to heal the partition
    */
-  List<LinkFault> split(Set<Integer> left, Set<Integer> right) {
-    List<LinkFault> faults = List.of(cut(left, right), cut(right, left));
+  List<LinkFault> split(Set<Integer> first, Set<Integer> second) {
+    List<LinkFault> faults = List.of(cut(first, second), cut(second, first));
     datagramProxy.faults.addAll(faults);
     return faults;
   }
--- a/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
+++ b/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
@@ -28,8 +28,10 @@
   final AtomicLong succeeded = new AtomicLong();
   final AtomicLong rejected = new AtomicLong();
   final AtomicLong failed = new AtomicLong();
-  final AtomicLong unanswered =
-      new AtomicLong(); // sidecar not running or not ready, connection failed, or timed out
+
+  /** Requests while the sidecar was not ready, and those that failed to connect or timed out. */
+  final AtomicLong unanswered = new AtomicLong();
+
   private final ScheduledExecutorService scheduler =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -18,6 +18,7 @@
 final class Report {
   private Report() {}
 
+  /** The summary of a run, as lines of plain text. */
   static String text(ExperimentRun.Result result) {
     StringBuilder all = new StringBuilder();
     all.append(
@@ -28,9 +29,10 @@
             result.seed(),
             result.experiment().sidecars(),
             result.joinedMs() / 1000.0));
-    for (Schedule.ScheduledFault drawn : result.faults()) {
+    for (Schedule.ScheduledFault scheduled : result.faults()) {
       all.append(
-          String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.describe()));
+          String.format(
+              Locale.ROOT, "%8.1f s  %s%n", scheduled.atMs() / 1000.0, scheduled.describe()));
     }
     all.append(
         String.format(
@@ -59,6 +61,7 @@
     return all.append("violations ").append(result.violations().size()).append('\n').toString();
   }
 
+  /** Writes the chart and the HTML page of a run to an existing directory. */
   static void write(ExperimentRun.Result result, Path out) throws IOException {
     String chart = svg(held(result));
     Files.writeString(out.resolve("held.svg"), chart);
--- a/fleet/src/main/java/dillcross/fleet/StandInServices.java
+++ b/fleet/src/main/java/dillcross/fleet/StandInServices.java
@@ -68,12 +68,14 @@
           });
   private final HttpServer sharedListServer = server(threads);
   final List<Endpoint> endpoints = new ArrayList<>();
+
+  // Both maps hold only the sidecars for which listFor was called.
   private final Map<Integer, Map<Endpoint, TcpFaultProxy>> proxiesBySidecar =
-      new ConcurrentHashMap<>(); // by sidecar; only those given a list by listFor
-  private final Map<Integer, HttpServer> listServers =
-      new ConcurrentHashMap<>(); // by sidecar, like proxiesBySidecar
-  private final long startedMs =
-      System.currentTimeMillis() - 600_000; // old enough to be past slow start
+      new ConcurrentHashMap<>();
+  private final Map<Integer, HttpServer> listServers = new ConcurrentHashMap<>();
+
+  // The start time of all endpoints in the list: 10 minutes ago, so that slow start is over.
+  private final long startedMs = System.currentTimeMillis() - 600_000;
 
   StandInServices(int count, List<String> zones, long workMs) throws IOException {
     for (int i = 0; i < count; i++) {
@@ -90,6 +92,7 @@
     return server;
   }
 
+  /** The {@code host:port} of the list service that lists the endpoints directly. */
   String listAddress() {
     return "127.0.0.1:" + sharedListServer.getAddress().getPort();
   }
