--- a/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
@@ -54,6 +54,7 @@
   private long order;
   private volatile boolean closed;
 
+  /** Opens one socket for each member and starts forwarding at once. */
   DatagramFaultProxy(int members, long seed) throws IOException {
     memberAddresses = new AtomicReferenceArray<>(members);
     randomStreams = new RandomStream[members][members];
--- a/fleet/src/main/java/dillcross/fleet/Fleet.java
+++ b/fleet/src/main/java/dillcross/fleet/Fleet.java
@@ -98,6 +98,7 @@
     return children[member] != null;
   }
 
+  /** The process of the member; null if the member is not running. */
   ChildProcess child(int member) {
     return children[member];
   }
@@ -138,6 +139,7 @@
     start(member, name(member));
   }
 
+  /** Starts the member under a name that may also be that of another member. */
   void start(int member, String advertisedName) throws IOException {
     Path config = out.resolve(name(member) + ".json");
     Path operator = out.resolve(name(member) + ".toml");
@@ -222,6 +224,7 @@
     }
   }
 
+  /** Sends STOP, CONT, TERM or KILL to the member. Does nothing if the member is not running. */
   void signal(int member, String name) throws IOException, InterruptedException {
     if (children[member] != null) {
       children[member].signal(name);
--- a/fleet/src/main/java/dillcross/fleet/MembershipView.java
+++ b/fleet/src/main/java/dillcross/fleet/MembershipView.java
@@ -16,7 +16,7 @@
  * @param health its local health multiplier; 0 is healthy
  * @param states the states of the other members, by name
  * @param boots the boot ids of the other members, by name; a restarted process has a higher one
- * @param counts its counters, by name
+ * @param counts the membership counters of the sidecar, by name
  */
 record MembershipView(
     String name,
@@ -73,7 +73,7 @@
     return new MembershipView((String) self.get("name"), health, states, boots, counts);
   }
 
-  /** How many other members are alive or suspect. */
+  /** The number of other members that this sidecar reports as alive or suspect. */
   long live() {
     return states.values().stream()
         .filter(state -> state.equals("alive") || state.equals("suspect"))
--- a/fleet/src/main/java/dillcross/fleet/Schedule.java
+++ b/fleet/src/main/java/dillcross/fleet/Schedule.java
@@ -11,7 +11,7 @@
  * The faults of one experiment run, drawn from the seed alone, so that one seed gives the same
  * schedule on every machine.
  *
- * @param faults in the order of their times
+ * @param faults the faults, ordered by start time
  */
 record Schedule(List<ScheduledFault> faults) {
   private static final int MILLIS_PER_SECOND = 1000;
@@ -22,10 +22,11 @@
    * One fault with its time.
    *
    * @param atMs its start, in milliseconds from when all members have found each other
-   * @param forMs its duration, in milliseconds; 0 for a fault that does not end
-   * @param fault as the experiment describes it
-   * @param of the members that it applies to
-   * @param to the members that it separates them from, for faults between members
+   * @param forMs its duration, in milliseconds; a member killed for 0 ms is not restarted
+   * @param fault the fault as described in the experiment file
+   * @param of the members affected
+   * @param to the members at the other end, for faults between members; unused by kill, pause and
+   *     clock
    */
   record ScheduledFault(
       long atMs, long forMs, Experiment.Fault fault, Set<Integer> of, Set<Integer> to) {
@@ -68,7 +69,10 @@
     return new ScheduledFault(atMs, forMs, fault, of, to);
   }
 
-  /** When the last fault ends, in milliseconds from when all members have found each other. */
+  /**
+   * The end of the last fault, in milliseconds from when all members have found each other; 0 if
+   * there are no faults.
+   */
   long endMs() {
     return faults.stream().mapToLong(drawn -> drawn.atMs + drawn.forMs).max().orElse(0);
   }
--- a/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
@@ -28,10 +28,11 @@
   private volatile boolean cutToClient; // bytes from target to client are held back
   // While true, the close of one side is not passed on: the other keeps a half-open connection.
   private volatile boolean holdBackClose;
-  private volatile long delayMs;
+  private volatile long delayMs; // before each chunk is forwarded; 0: none
   private volatile int bytesPerS; // 0: no limit
   private volatile boolean closed;
 
+  /** Listens on a free loopback port at once; {@code to} is the {@code host:port} of the target. */
   TcpFaultProxy(String to) throws IOException {
     int colon = to.lastIndexOf(':');
     target =
@@ -112,6 +113,9 @@
     }
   }
 
+  /**
+   * Copies bytes in one direction, applying the faults, until either side closes; then closes both.
+   */
   private void pump(Socket from, Socket to, boolean toTarget) {
     byte[] chunk = new byte[CHUNK];
     try {
--- a/fleet/src/test/java/dillcross/fleet/MembersIT.java
+++ b/fleet/src/test/java/dillcross/fleet/MembersIT.java
@@ -36,13 +36,15 @@
     fleet.startAll();
   }
 
-  private void agreed(Set<Integer> members, String why) throws Exception {
+  /** Waits until each of these members reports exactly these members as alive. */
+  private void assertAgreement(Set<Integer> members, String why) throws Exception {
     assertNotEquals(
         -1,
         Fleet.waitUntil(MAX_WAIT_MS, () -> fleet.agree(members)),
         () -> why + ": " + members.stream().map(m -> fleet.view(m)).toList());
   }
 
+  /** The sum of one membership counter over the running members; silent members add 0. */
   private long sum(String count) {
     return fleet.allMembers().stream()
         .filter(fleet::isRunning)
@@ -72,21 +74,21 @@
     for (int i = 0; i < 6; i++) {
       fleet.start(i); // the first seed never starts
     }
-    agreed(fleet.membersWhere(i -> i < 6), "six find each other");
+    assertAgreement(fleet.membersWhere(i -> i < 6), "six find each other");
     assertEquals(0, sum("deaths"));
   }
 
   @Test
   void simultaneousDeathsAndRestartsAreDetected() throws Exception {
     fleet(8, List.of(0));
-    agreed(fleet.allMembers(), "all find each other");
+    assertAgreement(fleet.allMembers(), "all find each other");
     long boot = fleet.view(3).boots().get("s6");
     fleet.kill(6);
     fleet.kill(7);
-    agreed(fleet.membersWhere(i -> i < 6), "both deaths are detected");
+    assertAgreement(fleet.membersWhere(i -> i < 6), "both deaths are detected");
     fleet.start(6);
     fleet.start(7);
-    agreed(fleet.allMembers(), "both have rejoined");
+    assertAgreement(fleet.allMembers(), "both have rejoined");
     assertTrue(
         fleet.view(3).boots().get("s6") > boot,
         "the new process has a higher boot id than the old one");
@@ -95,11 +97,11 @@
   @Test
   void pausedMemberDeclaresNoOtherDeadWhenResumed() throws Exception {
     fleet(5, List.of(0));
-    agreed(fleet.allMembers(), "all find each other");
+    assertAgreement(fleet.allMembers(), "all find each other");
     fleet.signal(4, "STOP");
-    agreed(fleet.membersWhere(i -> i < 4), "the others report the paused member as dead");
+    assertAgreement(fleet.membersWhere(i -> i < 4), "the others report the paused member as dead");
     fleet.signal(4, "CONT");
-    agreed(fleet.allMembers(), "it is back");
+    assertAgreement(fleet.allMembers(), "the resumed member has rejoined");
     MembershipView woken = fleet.view(4);
     assertTrue(woken.counts().get("paused") > 0, "the resumed member noticed its pause: " + woken);
     assertEquals(
@@ -111,27 +113,29 @@
   @Test
   void oneWayCutCausesNoDeath() throws Exception {
     fleet(5, List.of(0));
-    agreed(fleet.allMembers(), "all find each other");
+    assertAgreement(fleet.allMembers(), "all find each other");
     fleet.datagramProxy.faults.add(Fleet.cut(Set.of(0), Set.of(1))); // drops what 0 sends to 1
     long probes = sum("probes");
     assertNotEquals(
-        -1, Fleet.waitUntil(MAX_WAIT_MS, () -> sum("probes") > probes + 5 * 40), "probes go on");
+        -1,
+        Fleet.waitUntil(MAX_WAIT_MS, () -> sum("probes") > probes + 5 * 40),
+        "members still send probes");
     assertEquals(0, sum("deaths"), "indirect probes reach both members");
     fleet.datagramProxy.faults.clear();
-    agreed(fleet.allMembers(), "all agree after the cut");
+    assertAgreement(fleet.allMembers(), "all agree after the cut");
   }
 
   @Test
   void partitionedHalvesMergeAgain() throws Exception {
     fleet(6, List.of(0));
-    agreed(fleet.allMembers(), "all find each other");
-    Set<Integer> one = fleet.membersWhere(i -> i < 3);
-    Set<Integer> other = fleet.membersWhere(i -> i >= 3);
-    fleet.split(one, other);
-    agreed(one, "the first half reports the second as dead");
-    agreed(other, "the second half reports the first as dead");
+    assertAgreement(fleet.allMembers(), "all find each other");
+    Set<Integer> first = fleet.membersWhere(i -> i < 3);
+    Set<Integer> second = fleet.membersWhere(i -> i >= 3);
+    fleet.split(first, second);
+    assertAgreement(first, "the first half reports the second as dead");
+    assertAgreement(second, "the second half reports the first as dead");
     fleet.datagramProxy.faults.clear();
-    agreed(fleet.allMembers(), "all find each other again");
+    assertAgreement(fleet.allMembers(), "all find each other again");
     assertTrue(sum("refuted") >= 6, "each member refuted its death");
   }
 
@@ -158,21 +162,22 @@
                     .allMatch(v -> v != null && v.states().get("s5").equals("dead"))),
         "a death is detected in spite of the loss");
     fleet.datagramProxy.faults.clear();
-    agreed(fleet.membersWhere(i -> i < 5), "no other member is reported dead when the loss ends");
+    assertAgreement(
+        fleet.membersWhere(i -> i < 5), "no other member is reported dead when the loss ends");
   }
 
   @Test
   void floodAndCorruptedDatagramsDoNotChangeMembership() throws Exception {
     fleet(4, List.of(0));
-    agreed(fleet.allMembers(), "all find each other");
+    assertAgreement(fleet.allMembers(), "all find each other");
     Set<Integer> all = fleet.allMembers();
     fleet.datagramProxy.faults.add(new LinkFault(all, all, 0, 0, 0, 0, 0.2));
-    try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+    try (DatagramSocket outsider = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
       String[] to = fleet.datagramProxy.address(1).split(":");
       byte[] noise = new byte[900];
       for (int i = 0; i < 4000; i++) {
         new java.util.Random(i).nextBytes(noise);
-        stranger.send(
+        outsider.send(
             new DatagramPacket(
                 noise, i % 900, InetAddress.getByName(to[0]), Integer.parseInt(to[1])));
       }
@@ -187,13 +192,13 @@
                     && fleet.view(1).counts().get("flooded") > 0),
         () -> "malformed and rate-limited datagrams are counted: " + fleet.view(1));
     fleet.datagramProxy.faults.clear();
-    agreed(all, "all report exactly the four members");
+    assertAgreement(all, "all report exactly the four members");
   }
 
   @Test
   void rollingRestartWithAClockSetBack() throws Exception {
     fleet(4, List.of(0, 1));
-    agreed(fleet.allMembers(), "all find each other");
+    assertAgreement(fleet.allMembers(), "all find each other");
     for (int i = 0; i < 4; i++) {
       fleet.signal(i, "TERM");
       int leaving = i;
@@ -218,7 +223,7 @@
       fleet.kill(i); // closes the guard of the ended process
       fleet.setClockShift(i, i == 3 ? -3_600_000 : 0); // the clock of s3 goes back by an hour
       fleet.start(i);
-      agreed(fleet.allMembers(), "it is back");
+      assertAgreement(fleet.allMembers(), "the restarted member has rejoined");
     }
   }
 
@@ -228,7 +233,7 @@
     for (int i = 0; i < 3; i++) {
       fleet.start(i);
     }
-    agreed(fleet.membersWhere(i -> i < 3), "three find each other");
+    assertAgreement(fleet.membersWhere(i -> i < 3), "three find each other");
     fleet.start(3, "s2");
     assertNotEquals(
         -1,
@@ -249,7 +254,7 @@
     try (StandInServices standIns = new StandInServices(3, List.of("east"), 5)) {
       fleet.setListAddress(standIns.listAddress());
       fleet.startAll();
-      agreed(fleet.allMembers(), "all find each other");
+      assertAgreement(fleet.allMembers(), "all find each other");
       assertNotEquals(-1, Fleet.waitUntil(MAX_WAIT_MS, () -> fleet.clientAddress(0) != null));
       try (LoadGenerator load = new LoadGenerator("c", () -> fleet.clientAddress(0), 50)) {
         assertNotEquals(-1, Fleet.waitUntil(MAX_WAIT_MS, () -> load.succeeded.get() > 20));
