--- a/fleet/src/main/java/dillcross/fleet/ComparisonRun.java
+++ b/fleet/src/main/java/dillcross/fleet/ComparisonRun.java
@@ -19,7 +19,9 @@
    * Runs the comparison and prints a table.
    *
    * @param groupSize the number of sidecars with membership, and of those without
+   * @param seconds the duration of the measurement, after a warm-up of 5 s
    * @param rate requests per second to each sidecar
+   * @param out the directory for configuration files and logs
    * @return true if every request to the measured sidecars got a response
    */
   static boolean run(int groupSize, int seconds, double rate, Path out, PrintStream print)
--- a/fleet/src/main/java/dillcross/fleet/Demo.java
+++ b/fleet/src/main/java/dillcross/fleet/Demo.java
@@ -20,8 +20,11 @@
   private static final int KILLED = 1;
   private static final long STEP_MS = 500;
   private final PrintStream out;
-  private final boolean live;
-  private final List<double[]> attempts = new ArrayList<>(); // for each step, the total by endpoint
+  private final boolean live; // redraw the terminal screen instead of appending lines
+
+  // For each step, the totals of attempts by endpoint.
+  private final List<double[]> attempts = new ArrayList<>();
+
   // For each step, the totals of requests that succeeded, were rejected or failed, went unanswered.
   private final List<double[]> requests = new ArrayList<>();
 
--- a/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
+++ b/fleet/src/main/java/dillcross/fleet/ExperimentRun.java
@@ -74,9 +74,9 @@
   private final Path out;
   private final Map<String, String> lastStates = new HashMap<>(); // state by "observer subject"
   private final Map<String, Long> highestBoots = new HashMap<>(); // boot id by "observer subject"
-  private final Map<Integer, Long> killedMs = new TreeMap<>(); // kill time by member that is down
+  private final Map<Integer, Long> killedMs = new TreeMap<>(); // by member, until its restart
   private final Set<Integer> paused = new TreeSet<>();
-  private final Set<Integer> cutOff = new TreeSet<>(); // smaller side of each two-way cut
+  private final Set<Integer> cutOff = new TreeSet<>(); // smaller side of each active two-way cut
   private final Map<Integer, Long> recoveredAtMs = new HashMap<>(); // end of a member's last fault
   private final Set<String> falseDeathPairs = new TreeSet<>();
   private final Set<String> detectedPairs = new TreeSet<>();
--- a/fleet/src/main/java/dillcross/fleet/Fleet.java
+++ b/fleet/src/main/java/dillcross/fleet/Fleet.java
@@ -24,7 +24,7 @@
   private final List<Integer> seeds;
   private final ChildProcess[] children;
   private final long[] clockShiftMs;
-  private final Set<Integer> withoutMembership = new TreeSet<>(); // members started without it
+  private final Set<Integer> withoutMembership = new TreeSet<>(); // by member number
 
   // Used by members without a list service of their own. Nothing listens on port 1.
   private String defaultListAddress = "127.0.0.1:1";
--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -63,7 +63,7 @@
 
   /** Writes the chart and the HTML page of a run to an existing directory. */
   static void write(ExperimentRun.Result result, Path out) throws IOException {
-    String chart = svg(held(result));
+    String chart = svg(stateChart(result));
     Files.writeString(out.resolve("held.svg"), chart);
     StringBuilder rows = new StringBuilder();
     for (Map.Entry<String, Long> count : result.counts().entrySet()) {
@@ -113,32 +113,32 @@
    */
   static void demo(
       Path out,
-      List<String> news,
+      List<String> events,
       String summary,
       List<String> endpoints,
       List<double[]> attempts,
       List<double[]> requests,
       double stepS)
       throws IOException {
-    String first = svg(rates("pushes to each endpoint", endpoints, attempts, stepS));
-    String second =
+    String attemptsChart = svg(rateChart("pushes to each endpoint", endpoints, attempts, stepS));
+    String requestsChart =
         svg(
-            rates(
+            rateChart(
                 "ops of clients",
                 List.of("acked", "nacked or failed", "no sidecar there"),
                 requests,
                 stepS));
-    Files.writeString(out.resolve("pushes.svg"), first);
-    Files.writeString(out.resolve("ops.svg"), second);
+    Files.writeString(out.resolve("pushes.svg"), attemptsChart);
+    Files.writeString(out.resolve("ops.svg"), requestsChart);
     Files.writeString(
         out.resolve("report.html"),
         page(
             "dillcross demo",
-            String.join("\n", news) + "\n" + summary,
-            inline(first) + inline(second)));
+            String.join("\n", events) + "\n" + summary,
+            inline(attemptsChart) + inline(requestsChart)));
   }
 
-  private static XYChart rates(
+  private static XYChart rateChart(
       String title, List<String> names, List<double[]> sums, double stepS) {
     XYChart chart =
         new XYChartBuilder()
@@ -164,7 +164,7 @@
     return chart;
   }
 
-  private static XYChart held(ExperimentRun.Result result) {
+  private static XYChart stateChart(ExperimentRun.Result result) {
     XYChart chart =
         new XYChartBuilder()
             .width(900)
