--- a/fleet/src/main/java/dillcross/fleet/Report.java
+++ b/fleet/src/main/java/dillcross/fleet/Report.java
@@ -14,10 +14,11 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** What a run came to, as text, as charts, and as one page that needs nothing else. */
+/** Writes the results of a run as text, as SVG charts, and as a self-contained HTML page. */
 final class Report {
   private Report() {}
 
+  /** The summary of a run, as lines of plain text. */
   static String text(ExperimentRun.Result result) {
     StringBuilder all = new StringBuilder();
     all.append(
@@ -28,9 +29,10 @@
             result.seed(),
             result.experiment().sidecars(),
             result.joinedMs() / 1000.0));
-    for (Schedule.Drawn drawn : result.faults()) {
+    for (Schedule.ScheduledFault scheduled : result.faults()) {
       all.append(
-          String.format(Locale.ROOT, "%8.1f s  %s%n", drawn.atMs() / 1000.0, drawn.describe()));
+          String.format(
+              Locale.ROOT, "%8.1f s  %s%n", scheduled.atMs() / 1000.0, scheduled.describe()));
     }
     all.append(
         String.format(
@@ -40,7 +42,7 @@
             result.detectMs().getValueAtPercentile(50) / 1000.0,
             result.detectMs().getValueAtPercentile(99) / 1000.0,
             result.detectMs().getMaxValue() / 1000.0,
-            ExperimentRun.LOOK_MS));
+            ExperimentRun.POLL_INTERVAL_MS));
     all.append(
         String.format(
             Locale.ROOT,
@@ -52,15 +54,16 @@
         String.format(
             Locale.ROOT,
             "a member: %.0f bytes/s sent, %.1f ms CPU a second%n",
-            result.bytesASecond(),
-            result.cpuMsASecond()));
+            result.bytesPerSecond(),
+            result.cpuMsPerSecond()));
     all.append("counts ").append(result.counts()).append('\n');
     result.violations().forEach(v -> all.append("violation: ").append(v).append('\n'));
     return all.append("violations ").append(result.violations().size()).append('\n').toString();
   }
 
+  /** Writes the chart and the HTML page of a run to an existing directory. */
   static void write(ExperimentRun.Result result, Path out) throws IOException {
-    String chart = svg(held(result));
+    String chart = svg(stateChart(result));
     Files.writeString(out.resolve("held.svg"), chart);
     StringBuilder rows = new StringBuilder();
     for (Map.Entry<String, Long> count : result.counts().entrySet()) {
@@ -82,7 +85,7 @@
                 + "</table>"));
   }
 
-  /** One page that needs nothing else. */
+  /** A self-contained HTML page; {@code rest} is inserted as HTML without escaping. */
   private static String page(String title, String text, String rest) {
     return "<!doctype html><html><head><meta charset=\"utf-8\"><title>"
         + escape(title)
@@ -96,40 +99,46 @@
         + "</body></html>\n";
   }
 
-  /** Without what a file of its own begins with. */
+  /** The SVG without the XML declaration and doctype, for embedding in HTML. */
   private static String inline(String svg) {
     return svg.substring(svg.indexOf("<svg"));
   }
 
-  /** The demo's: attempts by endpoint and requests by outcome, a second. */
+  /**
+   * Writes the charts and the page of the demo.
+   *
+   * @param attempts for each step, the total of attempts by endpoint
+   * @param requests for each step, the total of requests by outcome
+   * @param stepS the time between two steps, in seconds
+   */
   static void demo(
       Path out,
-      List<String> news,
+      List<String> events,
       String summary,
       List<String> endpoints,
       List<double[]> attempts,
       List<double[]> requests,
       double stepS)
       throws IOException {
-    String first = svg(rates("pushes to each endpoint", endpoints, attempts, stepS));
-    String second =
+    String attemptsChart = svg(rateChart("pushes to each endpoint", endpoints, attempts, stepS));
+    String requestsChart =
         svg(
-            rates(
+            rateChart(
                 "ops of clients",
                 List.of("acked", "nacked or failed", "no sidecar there"),
                 requests,
                 stepS));
-    Files.writeString(out.resolve("pushes.svg"), first);
-    Files.writeString(out.resolve("ops.svg"), second);
+    Files.writeString(out.resolve("pushes.svg"), attemptsChart);
+    Files.writeString(out.resolve("ops.svg"), requestsChart);
     Files.writeString(
         out.resolve("report.html"),
         page(
             "dillcross demo",
-            String.join("\n", news) + "\n" + summary,
-            inline(first) + inline(second)));
+            String.join("\n", events) + "\n" + summary,
+            inline(attemptsChart) + inline(requestsChart)));
   }
 
-  private static XYChart rates(
+  private static XYChart rateChart(
       String title, List<String> names, List<double[]> sums, double stepS) {
     XYChart chart =
         new XYChartBuilder()
@@ -155,7 +164,7 @@
     return chart;
   }
 
-  private static XYChart held(ExperimentRun.Result result) {
+  private static XYChart stateChart(ExperimentRun.Result result) {
     XYChart chart =
         new XYChartBuilder()
             .width(900)
@@ -168,27 +177,27 @@
         .getStyler()
         .setLegendPosition(Styler.LegendPosition.OutsideS)
         .setLegendLayout(Styler.LegendLayout.Horizontal);
-    double[] s = result.moments().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
+    double[] s = result.samples().stream().mapToDouble(m -> m.ms() / 1000.0).toArray();
     add(
         chart,
         "held alive",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::alive).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::alive).toArray());
     add(
         chart,
         "held suspect",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::suspect).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::suspect).toArray());
     add(
         chart,
         "held dead or left",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::dead).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::dead).toArray());
     add(
         chart,
         "observer gives no view",
         s,
-        result.moments().stream().mapToDouble(ExperimentRun.Moment::unseen).toArray());
+        result.samples().stream().mapToDouble(ExperimentRun.Sample::unseen).toArray());
     return chart;
   }
 
