--- a/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
@@ -6,7 +6,7 @@
 import dillcross.emulator.scenario.Seeds;
 import dillcross.emulator.search.Crossings;
 import dillcross.emulator.search.Crossings.Case;
-import dillcross.emulator.search.Crossings.Event;
+import dillcross.emulator.search.Crossings.Variant;
 import dillcross.emulator.search.Shrink;
 import dillcross.emulator.simulation.Simulation;
 import dillcross.emulator.trace.Sha256;
@@ -24,22 +24,22 @@
 import java.util.concurrent.Future;
 
 /**
- * One call of {@code emulate crossings}: what is played is the same for the same words, and told in
- * the same order.
+ * Implements {@code emulate crossings}: runs combinations of faults on several threads. The same
+ * arguments give the same runs, reported in the same order.
  */
 final class CrossingsCommand {
-  private static final long PROGRESS_NS = 2_000_000_000L;
+  private static final long PROGRESS_INTERVAL_NS = 2_000_000_000L;
 
   private final List<Path> files;
-  private final String pair; // null for all
-  private final Seeds triples; // null for pairs
+  private final String pair; // null to run all pairs
+  private final Seeds triples; // null to run pairs
   private final boolean brief;
   private final long seed;
-  private final Path out; // null where nothing is written
+  private final Path out; // directory for failing scenarios; null to write none
   private final int jobs;
-  private long played;
+  private long completedRuns;
   private long violations;
-  private int written;
+  private int writtenScenarios;
 
   CrossingsCommand(
       List<Path> files, String pair, Seeds triples, boolean brief, long seed, Path out, int jobs) {
@@ -52,27 +52,35 @@
     this.jobs = jobs;
   }
 
-  /** Whether all of it was clean. */
-  boolean run(PrintStream say, PrintStream progress)
+  /**
+   * Runs all combinations.
+   *
+   * @param report receives the results, whose digest is compared between builds
+   * @param progress receives progress reports
+   * @return whether no run broke a rule
+   */
+  boolean run(PrintStream report, PrintStream progress)
       throws InterruptedException, IOException, InvalidScenarioException {
-    List<Event> known = Crossings.events();
-    List<Event> first = known;
-    List<Event> second = known;
+    List<Variant> known = Crossings.variants();
+    List<Variant> first = known;
+    List<Variant> second = known;
     if (pair != null) {
-      String[] words = pair.split(",", -1);
-      if (words.length != 2) {
+      String[] names = pair.split(",", -1);
+      if (names.length != 2) {
         throw new InvalidScenarioException(
-            List.of("dillcross: --pairs takes two kinds as A,B, and not " + pair));
+            List.of("dillcross: --pairs requires two fault kinds as A,B; got " + pair));
       }
-      first = named(known, words[0]);
-      second = named(known, words[1]);
+      first = named(known, names[0]);
+      second = named(known, names[1]);
     }
     MessageDigest digest = Sha256.newDigest();
     for (Path file : files) {
       Scenario scenario = ScenarioReader.read(file);
       if (!scenario.faults().isEmpty()) {
         throw new InvalidScenarioException(
-            List.of(file + ": has troubles of its own, and crossings brings them"));
+            List.of(
+                file
+                    + ": declares faults ([[trouble]]); crossings requires a scenario without them"));
       }
       Crossings crossings = new Crossings(scenario, seed);
       List<Case> cases =
@@ -82,78 +90,82 @@
           n++) {
         cases.add(crossings.triple(n));
       }
-      play(file, crossings, cases, digest, say, progress);
+      runAll(file, crossings, cases, digest, report, progress);
     }
-    say.println(Sha256.format(digest));
-    say.println("crossings " + played + " violations " + violations);
+    report.println(Sha256.format(digest));
+    report.println("crossings " + completedRuns + " violations " + violations);
     return violations == 0;
   }
 
-  private static List<Event> named(List<Event> known, String word) throws InvalidScenarioException {
-    List<Event> found =
-        known.stream().filter(e -> e.word().equals(word) || e.kind().word().equals(word)).toList();
+  private static List<Variant> named(List<Variant> known, String name)
+      throws InvalidScenarioException {
+    List<Variant> found =
+        known.stream().filter(v -> v.word().equals(name) || v.kind().word().equals(name)).toList();
     if (found.isEmpty()) {
       throw new InvalidScenarioException(
           List.of(
-              "dillcross: --pairs knows no "
-                  + word
-                  + "; known are "
-                  + String.join(", ", known.stream().map(Event::word).toList())));
+              "dillcross: --pairs: unknown fault kind "
+                  + name
+                  + "; known kinds: "
+                  + String.join(", ", known.stream().map(Variant::word).toList())));
     }
     return found;
   }
 
-  private void play(
+  private void runAll(
       Path file,
       Crossings crossings,
       List<Case> cases,
       MessageDigest digest,
-      PrintStream say,
+      PrintStream report,
       PrintStream progress)
       throws InterruptedException, IOException {
     ExecutorService threads = Executors.newFixedThreadPool(jobs);
     try {
-      List<Future<Simulation.Result>> days =
-          cases.stream().map(one -> threads.submit(() -> crossings.play(one))).toList();
+      List<Future<Simulation.Result>> runs =
+          cases.stream().map(one -> threads.submit(() -> crossings.run(one))).toList();
       long reportedNs = System.nanoTime();
       for (int i = 0; i < cases.size(); i++) {
-        Simulation.Result day = days.get(i).get();
-        digest.update(day.digest().getBytes(StandardCharsets.US_ASCII));
-        played++;
-        violations += day.violationCount();
-        if (!day.clean()) {
-          say.println(
+        Simulation.Result result = runs.get(i).get();
+        digest.update(result.digest().getBytes(StandardCharsets.US_ASCII));
+        completedRuns++;
+        violations += result.violationCount();
+        if (!result.clean()) {
+          report.println(
               cases.get(i).name()
                   + "  violations "
-                  + day.violationCount()
+                  + result.violationCount()
                   + "  "
-                  + day.violations().get(0).toString().strip());
-          replay(file, cases.get(i), say);
+                  + result.violations().get(0).toString().strip());
+          writeReplay(file, cases.get(i), report);
         }
-        if (System.nanoTime() - reportedNs > PROGRESS_NS) {
+        if (System.nanoTime() - reportedNs > PROGRESS_INTERVAL_NS) {
           reportedNs = System.nanoTime();
           progress.println((i + 1) + " of " + cases.size() + " crossings of " + file);
         }
       }
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a day failed: " + e.getCause(), e.getCause());
+      throw new IllegalStateException("a simulation run failed: " + e.getCause(), e.getCause());
     } finally {
       threads.shutdownNow();
     }
   }
 
-  /** The line that plays it again; `explain` and `shrink` take the same words. */
-  private void replay(Path file, Case one, PrintStream say) throws IOException {
+  /**
+   * Writes a failing case as a scenario, and prints the command that runs it again; {@code explain}
+   * and {@code shrink} take the same arguments.
+   */
+  private void writeReplay(Path file, Case failing, PrintStream report) throws IOException {
     if (out != null) {
       Files.createDirectories(out);
-      Path to = out.resolve("crossing-" + ++written + ".toml");
+      Path to = out.resolve("crossing-" + ++writtenScenarios + ".toml");
       Files.writeString(
           to,
           "# "
-              + one.name()
+              + failing.name()
               + System.lineSeparator()
-              + Shrink.write(Files.readString(file), one.faults()));
-      say.println("    bin/dillcross emulate run " + to + " --seed " + one.seed());
+              + Shrink.write(Files.readString(file), failing.faults()));
+      report.println("    bin/dillcross emulate run " + to + " --seed " + failing.seed());
     }
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -26,16 +26,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line of the emulator. */
+/** The commands of the emulator. */
 @Command(
     name = "dillcross",
     mixinStandardHelpOptions = true,
     subcommands = EmulateCommand.Emulate.class,
-    description = "dillcross and its tools.")
+    description = "The dillcross sidecar's command-line tools.")
 final class EmulateCommand implements Runnable {
-  private static final int CLEAN = 0;
-  private static final int BROKEN = 1;
-  private static final int FAULTY = 2;
+  private static final int EXIT_CLEAN = 0;
+  private static final int EXIT_RULES_BROKEN = 1;
+  private static final int EXIT_INVALID_INPUT = 2;
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -47,9 +47,9 @@
       name = "emulate",
       mixinStandardHelpOptions = true,
       description =
-          "Play days of the whole program on a virtual clock, against faults drawn from seeds.",
+          "Run sidecars in a deterministic simulation, with faults drawn from seeds, and check rules.",
       exitCodeListHeading = "%nExit status:%n",
-      exitCodeList = {"0:clean", "1:rules broken", "2:faulty input"})
+      exitCodeList = {"0:no rule broken", "1:rules broken", "2:invalid input"})
   static final class Emulate implements Runnable {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -62,166 +62,169 @@
     @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Play one day and say what became of it.")
+        description = "Run a scenario with one seed and print a summary.")
     int run(
         @Parameters(paramLabel = "SCENARIO") Path file,
         @Option(names = "--seed", required = true, paramLabel = "N") long seed,
         @Option(
                 names = "--trace",
                 paramLabel = "FILE",
-                description = "Write each event there, as JSON lines.")
+                description = "Write all trace events to this file, as JSON lines.")
             Path trace)
         throws IOException, InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
-      Simulation.Result day;
-      try (OutputStream lines =
+      Simulation.Result result;
+      try (OutputStream traceOutput =
           trace == null
               ? OutputStream.nullOutputStream()
               : new BufferedOutputStream(Files.newOutputStream(trace))) {
-        day =
+        result =
             Simulation.run(
-                scenario, seed, FaultInjector.draw(scenario, RandomStream.of(seed)), lines, null);
+                scenario,
+                seed,
+                FaultInjector.draw(scenario, RandomStream.of(seed)),
+                traceOutput,
+                null);
       } catch (IOException e) {
-        System.err.println("dillcross: the trace can't be written: " + e);
-        return FAULTY;
+        System.err.println("dillcross: cannot write the trace: " + e);
+        return EXIT_INVALID_INPUT;
       }
-      summary(scenario, day, System.out);
-      return day.clean() ? CLEAN : BROKEN;
+      printSummary(scenario, result, System.out);
+      return result.clean() ? EXIT_CLEAN : EXIT_RULES_BROKEN;
     }
 
     @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
-        description = "Play many seeds; tell which break a rule.")
+        description = "Run a scenario with many seeds and list those that break a rule.")
     int sweep(
         @Parameters(paramLabel = "SCENARIO") Path file,
         @Option(names = "--seeds", required = true, paramLabel = "A..B") String seeds,
         @Option(
                 names = "--jobs",
                 paramLabel = "J",
-                description = "Days at a time (default: one a core).")
+                description = "Number of threads (default: number of cores).")
             Integer jobs,
-        @Option(names = "--quiet", description = "No progress.") boolean quiet)
+        @Option(names = "--quiet", description = "Print no progress reports.") boolean quiet)
         throws InterruptedException, InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
-      Seeds named = Seeds.of(seeds, 18);
+      Seeds seedRange = Seeds.of(seeds, 18);
       int cores = jobs == null ? Runtime.getRuntime().availableProcessors() : jobs;
       if (cores < 1) {
-        System.err.println("dillcross: --jobs has to be 1 at least");
-        return FAULTY;
+        System.err.println("dillcross: --jobs must be at least 1");
+        return EXIT_INVALID_INPUT;
       }
-      long[] state = {0, System.nanoTime()}; // days done, when last told
-      double[] values = {0, 0}; // earned, possible
-      Sweep.Result all =
+      long[] progress = {0, System.nanoTime()}; // finished runs; time in ns of the last report
+      double[] values = {0, 0}; // sums of the earned and of the possible value
+      Sweep.Result total =
           new Sweep(
                   scenario,
                   cores,
-                  day -> {
-                    state[0]++;
-                    values[0] += day.earnedValue();
-                    values[1] += day.possibleValue();
-                    if (!day.clean()) {
+                  result -> {
+                    progress[0]++;
+                    values[0] += result.earnedValue();
+                    values[1] += result.possibleValue();
+                    if (!result.clean()) {
                       System.out.println(
                           "seed "
-                              + day.seed()
+                              + result.seed()
                               + "  violations "
-                              + day.violationCount()
+                              + result.violationCount()
                               + "  "
-                              + day.violations().get(0).toString().strip());
+                              + result.violations().get(0).toString().strip());
                     }
-                    if (!quiet && System.nanoTime() - state[1] > 2_000_000_000L) {
-                      state[1] = System.nanoTime();
-                      System.err.println(state[0] + " of " + named.count() + " seeds");
+                    if (!quiet && System.nanoTime() - progress[1] > 2_000_000_000L) {
+                      progress[1] = System.nanoTime();
+                      System.err.println(progress[0] + " of " + seedRange.count() + " seeds");
                     }
                   })
-              .play(named.from(), named.to());
-      double s = all.ns() / 1e9;
+              .run(seedRange.from(), seedRange.to());
+      double s = total.ns() / 1e9;
       System.out.printf(
           Locale.ROOT,
           "%.1f s with %d jobs, %.0f s simulated: %.0f seeds, %.0f steps, %.0f turns, %.0f ops a second%n",
           s,
           cores,
-          all.simulatedUs() / 1e6,
-          all.seeds() / s,
-          all.steps() / s,
-          all.turns() / s,
-          all.requests() / s);
+          total.simulatedUs() / 1e6,
+          total.seeds() / s,
+          total.steps() / s,
+          total.iterations() / s,
+          total.requests() / s);
       System.out.printf(
           Locale.ROOT,
           "steps %d  ops %d  benefit %.4f of what was asked for%n",
-          all.steps(),
-          all.requests(),
+          total.steps(),
+          total.requests(),
           values[0] / Math.max(1e-9, values[1]));
-      System.out.println(all.digest());
-      System.out.println("seeds " + all.seeds() + " violations " + all.broken());
-      return all.broken() == 0 ? CLEAN : BROKEN;
+      System.out.println(total.digest());
+      System.out.println("seeds " + total.seeds() + " violations " + total.broken());
+      return total.broken() == 0 ? EXIT_CLEAN : EXIT_RULES_BROKEN;
     }
 
     @Command(
         name = "shrink",
         mixinStandardHelpOptions = true,
-        description =
-            "Cut a failing day to the fewest troubles, and write a scenario that replays it.")
+        description = "Reduce a failing run to few faults, and write a scenario that repeats it.")
     int shrink(
         @Parameters(paramLabel = "SCENARIO") Path file,
         @Option(names = "--seed", required = true, paramLabel = "N") long seed,
         @Option(
                 names = "--out",
                 paramLabel = "FILE",
-                description = "Where to write it (default: standard output).")
+                description = "File to write the scenario to (default: standard output).")
             Path out)
         throws IOException, InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
-      Shrink.Result few = Shrink.of(scenario, seed, System.err::println);
-      if (few == null) {
+      Shrink.Result reduced = Shrink.of(scenario, seed, System.err::println);
+      if (reduced == null) {
         System.out.println("seed " + seed + " breaks no rule");
-        return CLEAN;
+        return EXIT_CLEAN;
       }
-      String text = Shrink.write(Files.readString(file, StandardCharsets.UTF_8), few);
+      String text = Shrink.write(Files.readString(file, StandardCharsets.UTF_8), reduced);
       if (out == null) {
         System.out.print(text);
       } else {
         try {
           Files.writeString(out, text);
         } catch (IOException e) {
-          System.err.println("dillcross: the scenario can't be written: " + e);
-          return FAULTY;
+          System.err.println("dillcross: cannot write the scenario: " + e);
+          return EXIT_INVALID_INPUT;
         }
       }
       System.err.printf(
           Locale.ROOT,
-          "%d of %d troubles and %s s are left after %d plays; with --seed %d it breaks: %s%n",
-          few.faults().size(),
-          few.before(),
-          few.seconds(),
-          few.plays(),
-          few.seed(),
-          few.rule().words);
-      return BROKEN;
+          "%d of %d faults and %s s remain after %d runs; with --seed %d it breaks: %s%n",
+          reduced.faults().size(),
+          reduced.before(),
+          reduced.seconds(),
+          reduced.runs(),
+          reduced.seed(),
+          reduced.rule().words);
+      return EXIT_RULES_BROKEN;
     }
 
     @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description =
-            "Play memberships of many sidecars under faults; prints a table of what was found, how soon and how wrongly.")
+            "Simulate the membership protocol under network and process faults; print a table of detection times, false detections and convergence.")
     int members(
         @Option(
                 names = "--members",
                 defaultValue = "60",
                 paramLabel = "N",
-                description = "How many (4 to 4000; default: 60).")
+                description = "Number of members (4 to 4000; default: 60).")
             int members,
         @Option(names = "--seeds", defaultValue = "1..10", paramLabel = "A..B") String seeds,
         @Option(
                 names = "--fault",
                 paramLabel = "WORD",
                 description =
-                    "none, loss30, one-way, flapping-cut, halves, pauses, slow or all (default: each of them).")
+                    "none, loss30, one-way, flapping-cut, halves, pauses, slow or all (default: a row for each of these).")
             String fault,
         @Option(names = "--jobs", paramLabel = "J") Integer jobs)
         throws InterruptedException, InvalidScenarioException {
-      Seeds named = Seeds.of(seeds, 9);
+      Seeds seedRange = Seeds.of(seeds, 9);
       List<MembershipTrial.Fault> faults =
           java.util.Arrays.stream(MembershipTrial.Fault.values())
               .filter(f -> fault == null || f.word().equals(fault))
@@ -229,48 +232,51 @@
       if (members < 4 || members > 4000 || faults.isEmpty()) {
         System.err.println(
             "dillcross: "
-                + (faults.isEmpty() ? "--fault knows no " + fault : "--members takes 4 to 4000"));
-        return FAULTY;
+                + (faults.isEmpty()
+                    ? "--fault: unknown fault " + fault
+                    : "--members must be from 4 to 4000"));
+        return EXIT_INVALID_INPUT;
       }
       int cores = jobs == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, jobs);
       return MembershipTrial.table(
-              members, named.from(), named.to(), faults, cores, System.out::println)
-          ? CLEAN
-          : BROKEN;
+              members, seedRange.from(), seedRange.to(), faults, cores, System.out::println)
+          ? EXIT_CLEAN
+          : EXIT_RULES_BROKEN;
     }
 
     @Command(
         name = "crossings",
         mixinStandardHelpOptions = true,
         description =
-            "Play every ordered pair of kinds of event at moments of one op's life; then triples, drawn by seed.")
+            "Run all ordered pairs of fault kinds, timed relative to the stages of a request, or random triples of them.")
     int crossings(
         @Parameters(
                 paramLabel = "SCENARIO",
                 arity = "0..*",
                 description =
-                    "Without troubles (default: scenarios/crossings.toml and crossings-strict.toml).")
+                    "Scenarios without [[trouble]] sections (default: scenarios/crossings.toml and crossings-strict.toml).")
             List<Path> files,
         @Option(
                 names = "--pairs",
                 paramLabel = "A,B",
                 description =
-                    "This pair only, in this order (a kind, or one with its mode: resets-before).")
+                    "Run this pair only, in this order (a fault kind, or one with its mode as in resets-before).")
             String pair,
         @Option(
                 names = "--triples",
                 paramLabel = "A..B",
-                description = "So many triples, drawn by these numbers, and no pairs.")
+                description = "Run random triples drawn with the seeds A to B, and no pairs.")
             String triples,
         @Option(
                 names = "--brief",
-                description = "Each pair once, at moments and distances by turns.")
+                description =
+                    "Run each pair once, with stages and offsets in rotation, instead of at all of them.")
             boolean brief,
         @Option(names = "--seed", defaultValue = "1", paramLabel = "N") long seed,
         @Option(
                 names = "--out",
                 paramLabel = "DIR",
-                description = "Write there what breaks a rule, as scenarios.")
+                description = "Write runs that break a rule to this directory, as scenarios.")
             Path out,
         @Option(names = "--jobs", paramLabel = "J") Integer jobs)
         throws InterruptedException, IOException, InvalidScenarioException {
@@ -288,21 +294,21 @@
                   out,
                   jobs == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, jobs))
               .run(System.out, System.err)
-          ? CLEAN
-          : BROKEN;
+          ? EXIT_CLEAN
+          : EXIT_RULES_BROKEN;
     }
 
     @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Tell the story of one op.")
+        description = "List the events of one request, and the faults around it.")
     int explain(
         @Parameters(paramLabel = "SCENARIO") Path file,
         @Option(names = "--seed", required = true, paramLabel = "N") long seed,
         @Option(
                 names = "--op",
                 paramLabel = "ID",
-                description = "Which (default: the first that broke a rule).")
+                description = "Request id (default: the first that broke a rule).")
             String request)
         throws InvalidScenarioException {
       Scenario scenario = ScenarioReader.read(file);
@@ -311,26 +317,26 @@
         System.err.println(
             "dillcross: "
                 + (request == null
-                    ? "no op broke a rule; name one with --op"
-                    : "the day has no op " + request));
-        return FAULTY;
+                    ? "no request broke a rule; select one with --op"
+                    : "the run has no request " + request));
+        return EXIT_INVALID_INPUT;
       }
       lines.forEach(System.out::println);
-      return lines.get(lines.size() - 1).startsWith("broke: ") ? BROKEN : CLEAN;
+      return lines.get(lines.size() - 1).startsWith("broke: ") ? EXIT_RULES_BROKEN : EXIT_CLEAN;
     }
   }
 
-  static void summary(Scenario scenario, Simulation.Result day, PrintStream out) {
+  private static void printSummary(Scenario scenario, Simulation.Result result, PrintStream out) {
     out.printf(
         Locale.ROOT,
         "%s, seed %d: %.1f s simulated, %d steps, %d turns of %d sidecars%n",
         scenario.name(),
-        day.seed(),
-        day.simulatedUs() / 1e6,
-        day.steps(),
-        day.iterations(),
+        result.seed(),
+        result.simulatedUs() / 1e6,
+        result.steps(),
+        result.iterations(),
         scenario.sidecars().count());
-    for (Drawn drawn : day.faults()) {
+    for (Drawn drawn : result.faults()) {
       out.printf(
           Locale.ROOT,
           "%10.1f ms  %s of %s for %.1f ms%n",
@@ -342,22 +348,22 @@
     out.printf(
         Locale.ROOT,
         "ops %d: acked %d (in time %d), nacked %d, failed %d, left or ended %d, with no sidecar there %d; tried again %d; pushes %d; restarts %d%n",
-        day.requests(),
-        day.succeeded(),
-        day.inTime(),
-        day.rejected(),
-        day.failed(),
-        day.excused(),
-        day.notAccepted(),
-        day.retries(),
-        day.attempts(),
-        day.restarts());
+        result.requests(),
+        result.succeeded(),
+        result.inTime(),
+        result.rejected(),
+        result.failed(),
+        result.excused(),
+        result.notAccepted(),
+        result.retries(),
+        result.attempts(),
+        result.restarts());
     out.printf(
         Locale.ROOT,
         "benefit %.4f of what was asked for%n",
-        day.earnedValue() / Math.max(1e-9, day.possibleValue()));
-    day.violations().forEach(out::println);
-    out.println(day.digest());
-    out.println("violations " + day.violationCount());
+        result.earnedValue() / Math.max(1e-9, result.possibleValue()));
+    result.violations().forEach(out::println);
+    out.println(result.digest());
+    out.println("violations " + result.violationCount());
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/cli/InvalidInputHandler.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/InvalidInputHandler.java
@@ -3,9 +3,12 @@
 import dillcross.emulator.scenario.InvalidScenarioException;
 import picocli.CommandLine;
 
-/** Reports an invalid scenario as the caller's fault, alike for every command. */
+/**
+ * Prints the message of an invalid scenario or argument and exits with status 2, without a stack
+ * trace.
+ */
 public final class InvalidInputHandler implements CommandLine.IExecutionExceptionHandler {
-  private static final int STATUS = 2;
+  private static final int EXIT_INVALID_INPUT = 2;
 
   @Override
   public int handleExecutionException(Exception e, CommandLine line, CommandLine.ParseResult parsed)
@@ -14,6 +17,6 @@
       throw e;
     }
     System.err.println(e.getMessage());
-    return STATUS;
+    return EXIT_INVALID_INPUT;
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/cli/Main.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/Main.java
@@ -5,7 +5,7 @@
 import java.util.logging.Logger;
 import picocli.CommandLine;
 
-/** Where the emulator starts. */
+/** Entry point of the emulator. */
 public final class Main {
   private Main() {}
 
@@ -13,9 +13,12 @@
     System.exit(run(args));
   }
 
-  /** The exit status: 0 clean, 1 rules broken, 2 faulty input. */
+  /**
+   * Runs a command; the exit status is 0 if no rule is broken, 1 if one is, 2 for invalid input.
+   */
   static int run(String... args) {
-    LogManager.getLogManager().reset(); // thousands of sidecars say each that they are ready
+    // A sweep starts thousands of sidecars, each of which would log that it is ready.
+    LogManager.getLogManager().reset();
     Logger.getLogger("dillcross").setLevel(Level.OFF);
     return new CommandLine(new EmulateCommand())
         .setExecutionExceptionHandler(new InvalidInputHandler())
--- a/emulator/src/main/java/dillcross/emulator/search/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Crossings.java
@@ -9,173 +9,198 @@
 import dillcross.emulator.simulation.Simulation;
 import java.io.OutputStream;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 
 /**
- * Events that cross: each ordered pair of what a world can bring, at a moment of one request's life
- * and aimed at what that request touches, in the same microsecond, one turn apart, and at the first
- * one's end. Triples are drawn.
+ * Generates combinations of two or three faults on one scenario: all ordered pairs of fault
+ * variants, and random triples. The first fault starts at a stage of a request's life, and faults
+ * on an endpoint or sidecar hit the one that handles this request. Each further fault starts
+ * together with the one before, one event loop iteration later, or when that one ends.
  */
 public final class Crossings {
-  private static final long WARM_US =
-      1_000_000; // of a day, before the first arrival, from which troubles are timed
-  private static final long LASTS_US = 300_000;
-  private static final List<String> MOMENTS = List.of("ask", "push", "begin", "reply", "answer");
+  /**
+   * Duration of the warm-up, from the start of a run to the first arrival, from which faults count.
+   */
+  private static final long WARM_UP_US = 1_000_000;
 
-  /** One kind of event; the mode is null where it has none. */
-  public record Event(Kind kind, String mode) {
+  private static final long FAULT_DURATION_US = 300_000;
+
+  /** Trace events at which a first fault can start, from the client's send to its response. */
+  private static final List<String> STAGES = List.of("ask", "push", "begin", "reply", "answer");
+
+  /** A fault kind with one of its modes; the mode is null for a kind without modes. */
+  public record Variant(Kind kind, String mode) {
+    /** The name on the command line and in reports, for example {@code resets-before}. */
     public String word() {
       return kind.word() + (mode == null ? "" : "-" + mode);
     }
   }
 
-  /** When the second of a pair comes. */
-  public enum Apart {
+  /** The start of a fault relative to the fault before it. */
+  private enum Offset {
+    /** Both faults start at the same time. */
     SAME,
+    /** The later fault starts one event loop iteration after the earlier one. */
     TURN,
+    /** The later fault starts when the earlier one ends. */
     END,
+    /** The later fault starts one event loop iteration after the earlier one has ended. */
     AFTER_END
   }
 
-  /** One day to be played: its name says what crosses, where and how. */
+  /** A combination to run: its name lists the scenario, the stage, the faults and their offsets. */
   public record Case(String name, long seed, List<Drawn> faults) {}
 
-  /** Something that happened to a request on the day on which nothing goes wrong. */
+  /** A trace event, its time in µs after the first arrival, and the id of its request or null. */
+  private record StageEvent(long atUs, String stage, String request) {}
+
+  /** A stage of a request in the run without faults, and the peers that handled the request. */
   private record Moment(long atUs, String endpoint, String sidecar) {}
 
   private final Scenario scenario;
   private final long seed;
-  private final Map<String, List<Moment>> moments = new LinkedHashMap<>();
-  private int made;
+  private final Map<String, List<Moment>> momentsByStage = new LinkedHashMap<>();
+  private int createdCases;
 
-  /** Over a scenario without troubles, played with that seed. */
+  /**
+   * Runs the scenario once without faults, to find the times at which requests reach each stage.
+   *
+   * @param scenario a scenario without faults
+   * @param seed seed of that run and of all combinations
+   */
   public Crossings(Scenario scenario, long seed) {
     this.scenario = scenario;
     this.seed = seed;
-    Map<String, String> endpoints =
-        new LinkedHashMap<>(); // by request, where its first attempt went
-    MOMENTS.forEach(m -> moments.put(m, new ArrayList<>()));
-    List<Object[]> events = new ArrayList<>();
+    Map<String, String> firstEndpoints = new LinkedHashMap<>(); // by request id
+    STAGES.forEach(stage -> momentsByStage.put(stage, new ArrayList<>()));
+    List<StageEvent> events = new ArrayList<>();
     Simulation.run(
         scenario,
         seed,
         List.of(),
         OutputStream.nullOutputStream(),
-        (us, what, pairs) -> {
-          if (moments.containsKey(what)) {
-            String request = word(pairs, "op");
-            String to = what.equals("push") ? word(pairs, "to") : word(pairs, "at");
-            if (request != null && to != null && to.startsWith("e")) {
-              endpoints.putIfAbsent(request, to);
+        (us, what, fields) -> {
+          if (momentsByStage.containsKey(what)) {
+            String request = field(fields, "op");
+            String receiver = what.equals("push") ? field(fields, "to") : field(fields, "at");
+            if (request != null && receiver != null && receiver.startsWith("e")) {
+              firstEndpoints.putIfAbsent(request, receiver);
             }
-            events.add(new Object[] {us - WARM_US, what, request});
+            events.add(new StageEvent(us - WARM_UP_US, what, request));
           }
         });
-    double end = scenario.seconds() * 1e6;
-    for (Object[] event : events) {
-      long atUs = (Long) event[0];
-      String request = (String) event[2];
+    double endUs = scenario.seconds() * 1e6;
+    for (StageEvent event : events) {
+      String request = event.request;
       if (request != null
-          && endpoints.containsKey(request)
-          && atUs > end / 4
-          && atUs < end * 3 / 4) {
-        moments
-            .get((String) event[1])
-            .add(
-                new Moment(
-                    atUs, endpoints.get(request), request.substring(0, request.indexOf('-'))));
+          && firstEndpoints.containsKey(request)
+          && event.atUs > endUs / 4
+          && event.atUs < endUs * 3 / 4) {
+        String sidecar = request.substring(0, request.indexOf('-'));
+        momentsByStage
+            .get(event.stage)
+            .add(new Moment(event.atUs, firstEndpoints.get(request), sidecar));
       }
     }
   }
 
-  private static String word(Object[] pairs, String key) {
-    for (int i = 0; i + 1 < pairs.length; i += 2) {
-      if (key.equals(pairs[i])) {
-        return String.valueOf(pairs[i + 1]);
+  /** The value of a trace field as text; null if the event has no such field. */
+  private static String field(Object[] namesAndValues, String name) {
+    for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
+      if (name.equals(namesAndValues[i])) {
+        return String.valueOf(namesAndValues[i + 1]);
       }
     }
     return null;
   }
 
-  /** All kinds of event. */
-  public static List<Event> events() {
-    List<Event> all = new ArrayList<>();
+  /** All fault kinds, each in all of its modes. */
+  public static List<Variant> variants() {
+    List<Variant> all = new ArrayList<>();
     for (Kind kind : Kind.values()) {
       List<String> modes =
           switch (kind) {
             case RESETS -> List.of("before", "after", "answer");
             case LIST_OUT -> List.of("refuse", "silent", "error");
-            default -> java.util.Collections.singletonList(null);
+            default -> Collections.singletonList(null);
           };
-      modes.forEach(mode -> all.add(new Event(kind, mode)));
+      modes.forEach(mode -> all.add(new Variant(kind, mode)));
     }
     return all;
   }
 
-  /** Every ordered pair of these; each at all moments and distances, or at one of them by turns. */
-  public List<Case> pairs(List<Event> first, List<Event> second, boolean all) {
+  /**
+   * Every pair of a variant of {@code first} followed by one of {@code second}.
+   *
+   * @param all true for a case per stage and offset of each pair; false for one case per pair,
+   *     which takes the next stage and offset in rotation
+   */
+  public List<Case> pairs(List<Variant> first, List<Variant> second, boolean all) {
     List<Case> cases = new ArrayList<>();
-    int turn = 0;
-    for (Event one : first) {
-      for (Event other : second) {
-        for (int i = 0; i < (all ? MOMENTS.size() * Apart.values().length : 1); i++) {
-          int at = all ? i : turn++;
-          Apart apart = Apart.values()[at % Apart.values().length];
-          String moment = MOMENTS.get(at / Apart.values().length % MOMENTS.size());
-          cases.add(crossing(moment, List.of(one, other), List.of(apart)));
+    int rotation = 0;
+    for (Variant one : first) {
+      for (Variant other : second) {
+        for (int i = 0; i < (all ? STAGES.size() * Offset.values().length : 1); i++) {
+          int index = all ? i : rotation++;
+          Offset offset = Offset.values()[index % Offset.values().length];
+          String stage = STAGES.get(index / Offset.values().length % STAGES.size());
+          cases.add(newCase(stage, List.of(one, other), List.of(offset)));
         }
       }
     }
     return cases;
   }
 
-  /** A triple drawn by that number. */
+  /** Three random variants at a random stage; the same number always selects the same ones. */
   public Case triple(long number) {
     RandomStream random = RandomStream.of(number).named("triple");
-    List<Event> events = events();
-    List<Event> three = List.of(random.oneOf(events), random.oneOf(events), random.oneOf(events));
-    List<Apart> aparts =
-        List.of(random.oneOf(List.of(Apart.values())), random.oneOf(List.of(Apart.values())));
-    return crossing(random.oneOf(MOMENTS), three, aparts);
+    List<Variant> variants = variants();
+    List<Variant> three =
+        List.of(random.oneOf(variants), random.oneOf(variants), random.oneOf(variants));
+    List<Offset> offsets =
+        List.of(random.oneOf(List.of(Offset.values())), random.oneOf(List.of(Offset.values())));
+    return newCase(random.oneOf(STAGES), three, offsets);
   }
 
-  private Case crossing(String moment, List<Event> events, List<Apart> aparts) {
-    List<Moment> known = moments.get(moment);
-    Moment at = known.get((int) (made++ * 7919L % known.size()));
+  private Case newCase(String stage, List<Variant> variants, List<Offset> offsets) {
+    List<Moment> moments = momentsByStage.get(stage);
+    Moment moment = moments.get((int) (createdCases++ * 7919L % moments.size()));
     List<Drawn> faults = new ArrayList<>();
-    StringBuilder name = new StringBuilder(scenario.name() + " " + moment);
-    long atUs = at.atUs;
-    for (int i = 0; i < events.size(); i++) {
+    StringBuilder name = new StringBuilder(scenario.name() + " " + stage);
+    long startUs = moment.atUs;
+    for (int i = 0; i < variants.size(); i++) {
       if (i > 0) {
-        long turnUs = scenario.sidecars().iterationUs();
-        atUs +=
-            switch (aparts.get(i - 1)) {
+        long iterationUs = scenario.sidecars().iterationUs();
+        startUs +=
+            switch (offsets.get(i - 1)) {
               case SAME -> 0;
-              case TURN -> turnUs;
-              case END -> LASTS_US;
-              case AFTER_END -> LASTS_US + turnUs;
+              case TURN -> iterationUs;
+              case END -> FAULT_DURATION_US;
+              case AFTER_END -> FAULT_DURATION_US + iterationUs;
             };
-        name.append(' ').append(aparts.get(i - 1).name().toLowerCase(java.util.Locale.ROOT));
+        name.append(' ').append(offsets.get(i - 1).name().toLowerCase(Locale.ROOT));
       }
-      faults.add(drawn(events.get(i), i, at, atUs));
-      name.append(' ').append(events.get(i).word());
+      faults.add(fault(variants.get(i), i, moment, startUs));
+      name.append(' ').append(variants.get(i).word());
     }
     return new Case(name.toString(), seed, faults);
   }
 
-  private Drawn drawn(Event event, int number, Moment at, long atUs) {
+  private Drawn fault(Variant variant, int index, Moment moment, long startUs) {
     List<String> zones = scenario.endpoints().zones();
     String target =
-        switch (event.kind.targetType()) {
-          case ENDPOINT -> at.endpoint;
-          case SIDECAR, CLIENTS -> at.sidecar;
-          case ZONE -> zones.get(Integer.parseInt(at.endpoint.substring(1)) % zones.size());
+        switch (variant.kind.targetType()) {
+          case ENDPOINT -> moment.endpoint;
+          case SIDECAR, CLIENTS -> moment.sidecar;
+          case ZONE -> zones.get(Integer.parseInt(moment.endpoint.substring(1)) % zones.size());
           default -> "all";
         };
     double factor =
-        switch (event.kind) {
+        switch (variant.kind) {
           case SLOW -> 10;
           case NARROW -> 1;
           case LIST_SLOW -> 300;
@@ -183,23 +208,24 @@
           case PIECES -> 150;
           default -> 3;
         };
-    String mode = event.mode == null ? "after" : event.mode;
-    Fault from =
+    String mode = variant.mode == null ? "after" : variant.mode;
+    Fault fault =
         new Fault(
-            "c" + number + "-" + event.word(),
-            event.kind,
-            Range.of(atUs / 1000.0),
-            Range.of(LASTS_US / 1000.0),
+            "c" + index + "-" + variant.word(),
+            variant.kind,
+            Range.of(startUs / 1000.0),
+            Range.of(FAULT_DURATION_US / 1000.0),
             target,
             Range.of(factor),
             0.8,
             mode,
             1);
-    return new Drawn(from, atUs, LASTS_US, target, factor);
+    return new Drawn(fault, startUs, FAULT_DURATION_US, target, factor);
   }
 
-  /** Plays it. */
-  public Simulation.Result play(Case of) {
-    return Simulation.run(scenario, of.seed, of.faults, OutputStream.nullOutputStream(), null);
+  /** Runs the scenario with the faults of the case; may be called by several threads at once. */
+  public Simulation.Result run(Case crossing) {
+    return Simulation.run(
+        scenario, crossing.seed, crossing.faults, OutputStream.nullOutputStream(), null);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/search/Explain.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Explain.java
@@ -11,25 +11,34 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The story of one request: what became of it, and what went wrong round it meanwhile. */
+/** Lists the trace events of one request, with the faults and process events of the same period. */
 public final class Explain {
-  private record Event(long us, String what, Object[] pairs) {
-    Object figure(String name) {
-      for (int i = 0; i < pairs.length; i += 2) {
-        if (pairs[i].equals(name)) {
-          return pairs[i + 1];
+  /** A trace event; {@code fields} holds names and values in turn. */
+  private record Event(long us, String what, Object[] fields) {
+    /** The value of that field; null if the event has no such field. */
+    Object field(String name) {
+      for (int i = 0; i < fields.length; i += 2) {
+        if (fields[i].equals(name)) {
+          return fields[i + 1];
         }
       }
       return null;
     }
   }
 
-  private static final long ROUND_US = 3_000_000; // how long before it troubles are told of
-  private static final Set<String> ABOUT_ALL =
+  /** Faults and process events are listed from this time before the request's first event. */
+  private static final long CONTEXT_US = 3_000_000;
+
+  /** Names of the trace events that are listed although they belong to no request. */
+  private static final Set<String> CONTEXT_EVENTS =
       Set.of(
           "trouble", "die", "vanish", "back", "drain", "join", "start", "term", "kill", "exit",
           "stall", "ready");
-  private static final Map<String, String> WORDS =
+
+  /**
+   * Output text of trace events, by their name; events without an entry appear under their name.
+   */
+  private static final Map<String, String> DESCRIPTIONS =
       Map.ofEntries(
           Map.entry("ask", "asked"),
           Map.entry("push", "a push has come"),
@@ -47,27 +56,30 @@
   private Explain() {}
 
   /**
-   * Lines; empty where the day had no such request. Without a request's id the ids of the first
-   * requests that broke a rule are told.
+   * Repeats the run and describes one request.
+   *
+   * @param request id of the request; null selects the first one that broke a rule
+   * @return lines of text, with times relative to the request's first event; empty if there is no
+   *     such request
    */
   public static List<String> of(Scenario scenario, long seed, String request) {
     List<Event> events = new ArrayList<>();
-    Simulation.Result day =
+    Simulation.Result result =
         Simulation.run(
             scenario,
             seed,
             FaultInjector.draw(scenario, RandomStream.of(seed)),
             OutputStream.nullOutputStream(),
-            (us, what, pairs) -> events.add(new Event(us, what, pairs)));
+            (us, what, fields) -> events.add(new Event(us, what, fields)));
     String id =
         request != null
             ? request
-            : day.violations().stream()
+            : result.violations().stream()
                 .filter(v -> v.request() != null)
                 .map(v -> v.request())
                 .findFirst()
                 .orElse(null);
-    List<Event> own = events.stream().filter(e -> id != null && id.equals(e.figure("op"))).toList();
+    List<Event> own = events.stream().filter(e -> id != null && id.equals(e.field("op"))).toList();
     List<String> lines = new ArrayList<>();
     if (own.isEmpty()) {
       return lines;
@@ -78,31 +90,32 @@
         String.format(
             Locale.ROOT, "op %s, seed %d, from %.3f ms of the day on", id, seed, fromUs / 1000.0));
     for (Event e : events) {
-      boolean about = id.equals(e.figure("op"));
-      boolean round = ABOUT_ALL.contains(e.what) && e.us >= fromUs - ROUND_US && e.us <= untilUs;
-      if (about || round) {
+      boolean isOwn = id.equals(e.field("op"));
+      boolean isContext =
+          CONTEXT_EVENTS.contains(e.what) && e.us >= fromUs - CONTEXT_US && e.us <= untilUs;
+      if (isOwn || isContext) {
         lines.add(
             String.format(
                 Locale.ROOT,
                 "%+12.3f ms  %s%s%s",
                 (e.us - fromUs) / 1000.0,
-                about ? "" : "        (",
+                isOwn ? "" : "        (",
                 line(e),
-                about ? "" : ")"));
+                isOwn ? "" : ")"));
       }
     }
-    day.violations().stream()
+    result.violations().stream()
         .filter(v -> id.equals(v.request()))
         .forEach(v -> lines.add("broke: " + v.rule().words + ": " + v.what()));
     return lines;
   }
 
   private static String line(Event e) {
-    StringBuilder line = new StringBuilder(WORDS.getOrDefault(e.what, e.what));
-    for (int i = 0; i < e.pairs.length; i += 2) {
-      String name = (String) e.pairs[i];
-      if (!name.equals("op") && !name.equals("sent") && e.pairs[i + 1] != null) {
-        line.append(' ').append(name).append(' ').append(e.pairs[i + 1]);
+    StringBuilder line = new StringBuilder(DESCRIPTIONS.getOrDefault(e.what, e.what));
+    for (int i = 0; i < e.fields.length; i += 2) {
+      String name = (String) e.fields[i];
+      if (!name.equals("op") && !name.equals("sent") && e.fields[i + 1] != null) {
+        line.append(' ').append(name).append(' ').append(e.fields[i + 1]);
       }
     }
     return line.toString();
--- a/emulator/src/main/java/dillcross/emulator/search/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Shrink.java
@@ -15,18 +15,19 @@
 import java.util.stream.LongStream;
 
 /**
- * Cuts a failing day to the fewest troubles that still break the same rule: leaves out halves,
- * quarters and then single ones (delta debugging) until none can go, then shortens the day and
- * those that are left.
+ * Reduces a failing run to few faults that still break the same rule (delta debugging): removes
+ * halves, quarters and then single faults as long as the rule is still broken, then shortens the
+ * run and the remaining faults.
  */
 public final class Shrink {
-  private static final int OTHERS = 12; // seeds that are tried beside the one that still fails
+  /** Number of further seeds to try when a reduced run no longer fails with the current seed. */
+  private static final int ALTERNATIVE_SEEDS = 12;
 
   private final Scenario scenario;
-  private long seed; // for all but the troubles, which are fixed
+  private long seed; // the last one that failed; the faults are given and do not depend on it
   private final Rule rule;
   private final Consumer<String> progress;
-  private int plays;
+  private int runs;
 
   private Shrink(Scenario scenario, long seed, Rule rule, Consumer<String> progress) {
     this.scenario = scenario;
@@ -35,11 +36,25 @@
     this.progress = progress;
   }
 
-  /** What is left of a failing day. */
+  /**
+   * The reduced run.
+   *
+   * @param rule the rule that it breaks
+   * @param seed seed with which it breaks the rule
+   * @param seconds virtual duration of the arrivals
+   * @param faults the remaining faults
+   * @param before number of faults of the original run
+   * @param runs number of simulation runs that the reduction took
+   */
   public record Result(
-      Rule rule, long seed, double seconds, List<Drawn> faults, int before, int plays) {}
+      Rule rule, long seed, double seconds, List<Drawn> faults, int before, int runs) {}
 
-  /** Null where the day breaks no rule. */
+  /**
+   * Reduces the run of the scenario with that seed.
+   *
+   * @param progress receives a line of text after each successful reduction
+   * @return the reduced run; null if the original run breaks no rule
+   */
   public static Result of(Scenario scenario, long seed, Consumer<String> progress) {
     Simulation.Result first = Simulation.run(scenario, seed);
     if (first.clean()) {
@@ -47,13 +62,13 @@
     }
     Rule rule = first.violations().get(0).rule();
     Shrink shrink = new Shrink(scenario, seed, rule, progress);
-    List<Drawn> few = shrink.fewest(first.faults());
-    double seconds = shrink.shortest(few);
-    List<Drawn> brief = shrink.briefest(few, seconds);
-    return new Result(rule, shrink.seed, seconds, brief, first.faults().size(), shrink.plays);
+    List<Drawn> few = shrink.removeFaults(first.faults());
+    double seconds = shrink.shortenRun(few);
+    List<Drawn> shortened = shrink.shortenFaults(few, seconds);
+    return new Result(rule, shrink.seed, seconds, shortened, first.faults().size(), shrink.runs);
   }
 
-  private static Scenario lasting(Scenario s, double seconds) {
+  private static Scenario withSeconds(Scenario s, double seconds) {
     return new Scenario(
         s.name(),
         seconds,
@@ -68,74 +83,76 @@
         s.faults());
   }
 
-  /** With the seed that failed last, or with one of some others, which then is kept. */
+  /** Whether the rule is broken with the current seed or a following one, which is then kept. */
   private boolean fails(List<Drawn> faults, double seconds) {
-    Scenario of = lasting(scenario, seconds);
-    if (fails(of, seed, faults)) {
-      plays++;
+    Scenario shortened = withSeconds(scenario, seconds);
+    if (fails(shortened, seed, faults)) {
+      runs++;
       return true;
     }
-    plays += 1 + OTHERS;
-    OptionalLong other =
-        LongStream.rangeClosed(seed + 1, seed + OTHERS)
+    runs += 1 + ALTERNATIVE_SEEDS;
+    OptionalLong alternative =
+        LongStream.rangeClosed(seed + 1, seed + ALTERNATIVE_SEEDS)
             .parallel()
-            .filter(s -> fails(of, s, faults))
+            .filter(s -> fails(shortened, s, faults))
             .min();
-    seed = other.orElse(seed);
-    return other.isPresent();
+    seed = alternative.orElse(seed);
+    return alternative.isPresent();
   }
 
-  private boolean fails(Scenario of, long with, List<Drawn> faults) {
-    return Simulation.run(of, with, faults, OutputStream.nullOutputStream(), null)
+  private boolean fails(Scenario shortened, long runSeed, List<Drawn> faults) {
+    return Simulation.run(shortened, runSeed, faults, OutputStream.nullOutputStream(), null)
         .violations()
         .stream()
         .anyMatch(v -> v.rule() == rule);
   }
 
-  private List<Drawn> fewest(List<Drawn> all) {
-    List<Drawn> left = new ArrayList<>(all);
-    for (int part = Math.max(1, left.size() / 2); part >= 1; part = part == 1 ? 0 : part / 2) {
-      for (int at = 0; at < left.size(); ) {
-        List<Drawn> without = new ArrayList<>(left);
-        without.subList(at, Math.min(left.size(), at + part)).clear();
+  private List<Drawn> removeFaults(List<Drawn> all) {
+    List<Drawn> remaining = new ArrayList<>(all);
+    for (int size = Math.max(1, remaining.size() / 2); size >= 1; size = size == 1 ? 0 : size / 2) {
+      for (int at = 0; at < remaining.size(); ) {
+        List<Drawn> without = new ArrayList<>(remaining);
+        without.subList(at, Math.min(remaining.size(), at + size)).clear();
         if (fails(without, scenario.seconds())) {
-          left = without;
-          progress.accept(left.size() + " troubles left");
+          remaining = without;
+          progress.accept(remaining.size() + " faults remain");
         } else {
-          at += part;
+          at += size;
         }
       }
     }
-    return left;
+    return remaining;
   }
 
-  private double shortest(List<Drawn> faults) {
+  private double shortenRun(List<Drawn> faults) {
     double seconds = scenario.seconds();
     for (double next = seconds / 2; next >= 0.2 && fails(faults, next); next /= 2) {
       seconds = next;
-      progress.accept(seconds + " s left");
+      progress.accept("duration reduced to " + seconds + " s");
     }
     return seconds;
   }
 
-  private List<Drawn> briefest(List<Drawn> faults, double seconds) {
-    List<Drawn> left = new ArrayList<>(faults);
-    for (int i = 0; i < left.size(); i++) {
-      for (long us = left.get(i).forUs() / 2; us >= 1000; us /= 2) {
-        Drawn was = left.get(i);
-        left.set(i, new Drawn(was.from(), was.atUs(), us, was.target(), was.factor()));
-        if (!fails(left, seconds)) {
-          left.set(i, was);
+  private List<Drawn> shortenFaults(List<Drawn> faults, double seconds) {
+    List<Drawn> remaining = new ArrayList<>(faults);
+    for (int i = 0; i < remaining.size(); i++) {
+      for (long us = remaining.get(i).forUs() / 2; us >= 1000; us /= 2) {
+        Drawn previous = remaining.get(i);
+        remaining.set(
+            i,
+            new Drawn(previous.from(), previous.atUs(), us, previous.target(), previous.factor()));
+        if (!fails(remaining, seconds)) {
+          remaining.set(i, previous);
           break;
         }
       }
     }
-    return left;
+    return remaining;
   }
 
   /**
-   * A scenario that replays it: the text of the first without its troubles, and those that are
-   * left, fixed.
+   * A scenario file that repeats the reduced run: the text of the original with the reduced
+   * duration, and with the remaining faults at fixed times in place of its own.
    */
   public static String write(String text, Result result) {
     StringBuilder out = new StringBuilder();
@@ -153,7 +170,7 @@
         .toString();
   }
 
-  /** The text of a scenario with these troubles, fixed, in place of its own. */
+  /** The text of a scenario file with the given faults, at fixed times, in place of its own. */
   public static String write(String text, List<Drawn> faults) {
     StringBuilder out = new StringBuilder(ScenarioReader.withoutFaults(text).stripTrailing());
     for (Drawn drawn : faults) {
--- a/emulator/src/main/java/dillcross/emulator/search/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Sweep.java
@@ -14,71 +14,89 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Many seeds of one scenario, several at a time; what comes of it does not depend on how many. */
+/** Runs a scenario with many seeds on several threads. Results do not depend on their number. */
 public final class Sweep {
   /**
-   * What became of all of them; the digest is over those of the days in the order of their seeds.
+   * Totals over all runs.
+   *
+   * @param seeds number of runs
+   * @param broken number of rule violations
+   * @param steps number of events that ran on the virtual clocks
+   * @param requests number of requests, including retries
+   * @param iterations number of event loop iterations of all sidecars
+   * @param simulatedUs virtual duration in µs
+   * @param ns real duration in ns
+   * @param digest digest of the runs' digests in the order of their seeds
    */
   public record Result(
       long seeds,
       long broken,
       long steps,
       long requests,
-      long turns,
+      long iterations,
       long simulatedUs,
       long ns,
       String digest) {}
 
   private final Scenario scenario;
   private final int jobs;
-  private final Map<Long, Simulation.Result> early = new TreeMap<>(); // done before their turn
+
+  /** Finished runs by seed, which wait for a run with a smaller seed to be reported. */
+  private final Map<Long, Simulation.Result> unreported = new TreeMap<>();
+
   private final MessageDigest digest;
-  private final Consumer<Simulation.Result> each;
-  private long next;
+  private final Consumer<Simulation.Result> listener;
+  private long nextSeed; // the smallest seed that has not been reported
   private long seeds;
   private long broken;
   private long steps;
   private long requests;
-  private long turns;
+  private long iterations;
   private long simulatedUs;
 
-  /** {@code each} hears of the days one at a time and in the order of their seeds. */
-  public Sweep(Scenario scenario, int jobs, Consumer<Simulation.Result> each) {
+  /**
+   * Prepares a sweep.
+   *
+   * @param jobs number of threads
+   * @param listener receives the results one at a time and in the order of their seeds, on any of
+   *     the threads
+   */
+  public Sweep(Scenario scenario, int jobs, Consumer<Simulation.Result> listener) {
     this.scenario = scenario;
     this.jobs = jobs;
-    this.each = each;
+    this.listener = listener;
     digest = Sha256.newDigest();
   }
 
-  /** Plays the seeds from one to the other. */
-  public Result play(long from, long to) throws InterruptedException {
+  /** Runs the scenario with the seeds from {@code from} to {@code to}, both included, once. */
+  public Result run(long from, long to) throws InterruptedException {
     long startNs = System.nanoTime();
-    next = from;
-    AtomicLong seed = new AtomicLong(from);
-    Semaphore ahead =
-        new Semaphore(64 * jobs); // a slow day must not let the others fill the memory
+    nextSeed = from;
+    AtomicLong nextUnstarted = new AtomicLong(from);
+    // Limits the finished runs that wait for a slow one with a smaller seed, to bound the memory.
+    Semaphore permits = new Semaphore(64 * jobs);
     ExecutorService threads = Executors.newFixedThreadPool(jobs);
     try {
-      var all =
+      var workers =
           java.util.stream.IntStream.range(0, jobs)
               .mapToObj(
                   i ->
                       threads.submit(
                           () -> {
-                            ahead.acquire();
-                            for (long s; (s = seed.getAndIncrement()) <= to; ) {
-                              ahead.release(done(Simulation.run(scenario, s)));
-                              ahead.acquire();
+                            permits.acquire();
+                            for (long s; (s = nextUnstarted.getAndIncrement()) <= to; ) {
+                              permits.release(complete(Simulation.run(scenario, s)));
+                              permits.acquire();
                             }
-                            ahead.release(1); // what it holds goes to those that still play
+                            permits.release(1); // acquired for a run that this thread did not start
                             return null;
                           }))
               .toList();
-      for (var one : all) {
-        one.get();
+      for (var worker : workers) {
+        worker.get();
       }
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a day failed: " + e.getCause(), e.getCause());
+      throw new IllegalStateException("a simulation run failed: " + e.getCause(), e.getCause());
     } finally {
       threads.shutdownNow();
     }
@@ -87,25 +105,31 @@
         broken,
         steps,
         requests,
-        turns,
+        iterations,
         simulatedUs,
         System.nanoTime() - startNs,
         Sha256.format(digest));
   }
 
-  /** Reports what has become complete in the order of the seeds; how many days that were. */
-  private synchronized int done(Simulation.Result day) {
-    early.put(day.seed(), day);
+  /**
+   * Adds a finished run, and reports all runs that now follow in the order of the seeds.
+   *
+   * @return number of runs that were reported
+   */
+  private synchronized int complete(Simulation.Result result) {
+    unreported.put(result.seed(), result);
     int reported = 0;
-    for (Simulation.Result one; (one = early.remove(next)) != null; next++, reported++) {
+    for (Simulation.Result one;
+        (one = unreported.remove(nextSeed)) != null;
+        nextSeed++, reported++) {
       digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
       seeds++;
       broken += one.violationCount();
       steps += one.steps();
       requests += one.requests();
-      turns += one.iterations();
+      iterations += one.iterations();
       simulatedUs += one.simulatedUs();
-      each.accept(one);
+      listener.accept(one);
     }
     return reported;
   }
--- a/emulator/src/test/java/dillcross/emulator/EmulateIT.java
+++ b/emulator/src/test/java/dillcross/emulator/EmulateIT.java
@@ -104,9 +104,10 @@
   void eventsThatCrossBreakNoRule() throws IOException, InterruptedException {
     String[] files = {"../scenarios/crossings.toml", "../scenarios/crossings-strict.toml"};
     List<String> pairs = dillcross("crossings", files[0], files[1], "--brief");
-    int kinds = dillcross.emulator.search.Crossings.events().size();
+    int variants = dillcross.emulator.search.Crossings.variants().size();
     assertEquals("status 0", last(pairs), pairs.toString());
-    assertEquals("crossings " + 2 * kinds * kinds + " violations 0", pairs.get(pairs.size() - 2));
+    assertEquals(
+        "crossings " + 2 * variants * variants + " violations 0", pairs.get(pairs.size() - 2));
     List<String> triples =
         dillcross("crossings", files[0], files[1], "--triples", "1..150", "--jobs", "2");
     assertEquals("status 0", last(triples), triples.toString());
@@ -142,13 +143,15 @@
     assertEquals("status 1", last(dillcross("shrink", words[3], "--seed", words[5])));
     List<String> wrong = dillcross("crossings", strict.toString(), "--pairs", "die,nothing");
     assertTrue(
-        wrong.get(0).startsWith("dillcross: --pairs knows no nothing; known are die, vanish"),
+        wrong
+            .get(0)
+            .startsWith("dillcross: --pairs: unknown fault kind nothing; known kinds: die, vanish"),
         wrong.toString());
     assertEquals("status 2", last(wrong));
     assertEquals("status 2", last(dillcross("crossings", strict.toString(), "--pairs", "die")));
     assertEquals(
         List.of(
-            "../scenarios/cold.toml: has troubles of its own, and crossings brings them",
+            "../scenarios/cold.toml: declares faults ([[trouble]]); crossings requires a scenario without them",
             "status 2"),
         dillcross("crossings", "../scenarios/cold.toml"));
     assertEquals("status 2", last(dillcross("crossings", folder.resolve("none.toml").toString())));
--- a/emulator/src/test/java/dillcross/emulator/SweepTest.java
+++ b/emulator/src/test/java/dillcross/emulator/SweepTest.java
@@ -45,7 +45,7 @@
                 ScenarioReader.read(file),
                 JOBS,
                 day -> day.violations().forEach(v -> broken.add("seed " + day.seed() + " " + v)))
-            .play(1, to);
+            .run(1, to);
     assertEquals(List.of(), broken, file.toString());
     assertEquals(to, all.seeds());
     return all;
@@ -122,8 +122,8 @@
   void howManyAreAtWorkChangesNothing() throws InvalidScenarioException, InterruptedException {
     Scenario mixed = ScenarioReader.read(SCENARIOS.resolve("mixed.toml"));
     List<Long> order = new ArrayList<>();
-    String alone = new Sweep(mixed, 1, day -> {}).play(5, 30).digest();
-    assertEquals(alone, new Sweep(mixed, 7, day -> order.add(day.seed())).play(5, 30).digest());
+    String alone = new Sweep(mixed, 1, day -> {}).run(5, 30).digest();
+    assertEquals(alone, new Sweep(mixed, 7, day -> order.add(day.seed())).run(5, 30).digest());
     assertEquals(
         java.util.stream.LongStream.rangeClosed(5, 30).boxed().toList(),
         order,
