--- a/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -199,7 +199,7 @@
           reduced.seconds(),
           reduced.runs(),
           reduced.seed(),
-          reduced.rule().words);
+          reduced.rule().description);
       return EXIT_RULES_BROKEN;
     }
 
--- a/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
@@ -16,72 +16,98 @@
 import java.util.stream.LongStream;
 
 /**
- * All sequences of so many steps of three members: what is in flight is delivered, in either order,
- * lost or delivered twice; time passes; a member stands still, crashes, starts again, also with its
- * clock gone back; a pair is cut, both ways or one. After each sequence faults stop, and the views
- * have to be true. Each sequence is played anew from the start, with the sidecar's own class.
+ * Explores all sequences of a given number of steps in a cluster of three instances of the
+ * sidecar's {@link Membership}. A step delivers, reorders, loses or duplicates a datagram, advances
+ * time, suspends, crashes or restarts a member, or cuts links. Each sequence runs in a new cluster;
+ * after its steps all faults end, and the tables of all members must become correct.
  */
 public final class Explorer {
-  /** What a step can be. */
+  /** One step; the digits in a name are the numbers of the members concerned. */
   enum Step {
+    /** A third of an interval passes, in which no datagram arrives. */
     PASS,
+    /** The oldest datagram in flight arrives. */
     DELIVER,
+    /** The newest datagram in flight arrives. */
     DELIVER_LAST,
+    /** The oldest datagram in flight is lost. */
     LOSE,
+    /** The oldest datagram in flight arrives and stays in flight. */
     TWICE,
+    /** The member is suspended for longer than a suspicion lasts. */
     PAUSE_0,
     PAUSE_1,
     PAUSE_2,
+    /** The member's process ends. */
     CRASH_0,
     CRASH_1,
     CRASH_2,
+    /** A new process of the member starts. */
     RESTART_0,
     RESTART_1,
     RESTART_2,
+    /** A new process of the member starts with its clock set back. */
     RESTART_2_CLOCK_BACK,
+    /** Members 0 and 1 cannot reach each other for longer than a suspicion lasts. */
     CUT_0_1,
+    /** Datagrams from member 0 to member 1 are lost for longer than a suspicion lasts. */
     CUT_0_TO_1,
+    /** Member 2 is isolated for longer than a suspicion lasts. */
     CUT_2_OFF
   }
 
   private static final Step[] STEPS = Step.values();
   private static final int MEMBERS = 3;
-  private static final long INTERVAL = 1_000_000;
-  private static final long LONG = 25 * INTERVAL; // longer than any suspicion of three
-  private static final long SETTLE = 90 * INTERVAL;
-  private static final long WAY = 1000;
-  private static final int MOST_TURNS = 50_000; // far more than the longest run takes
+  private static final long INTERVAL_US = 1_000_000;
+  private static final long LONG_FAULT_US =
+      25 * INTERVAL_US; // longer than any suspicion among three members
+  private static final long CONVERGENCE_US = 90 * INTERVAL_US;
+  private static final long LATENCY_US = 1000;
+  private static final int MAX_ITERATIONS = 50_000; // far more than the longest run takes
 
-  private record Flying(int from, int to, Packet packet, long atUs) {}
+  /** A packet in flight, and when it arrives unless a step delivers it earlier. */
+  private record PacketInFlight(int from, int to, Packet packet, long atUs) {}
 
-  private final Membership[] members = new Membership[MEMBERS];
+  private final Membership[] members = new Membership[MEMBERS]; // null for a crashed member
   private final long[] boots = new long[MEMBERS];
   private final long[] incarnations = new long[MEMBERS];
   private final boolean[] paused = new boolean[MEMBERS];
-  private final boolean[][] cut = new boolean[MEMBERS][MEMBERS];
-  private final Map<String, Long> seen =
-      new HashMap<>(); // by observer and subject, the newest boot
-  private final List<Flying> flying = new ArrayList<>();
+  private final boolean[][] cut = new boolean[MEMBERS][MEMBERS]; // by sender and receiver
+
+  /** The newest boot number in an observer's table, by the observer's process and the subject. */
+  private final Map<String, Long> newestBoots = new HashMap<>();
+
+  private final List<PacketInFlight> inFlight = new ArrayList<>();
   private final long seed;
-  private long now = 1_000_000_000L;
-  private boolean lossy; // a step may have hidden a member from another
-  private boolean excused; // ... or from all
-  private String broken;
+  private long nowUs = 1_000_000_000L;
+
+  /** Whether a step has lost a datagram, after which a death without a cut may be correct. */
+  private boolean hasLost;
+
+  /**
+   * Whether a step has made a member unreachable for all others, after which deaths are correct.
+   */
+  private boolean hasIsolated;
+
+  private String violation; // description of the first broken rule; null while none is broken
 
   private Explorer(long seed) {
     this.seed = seed;
   }
 
-  /** How many sequences there are. */
+  /** Number of sequences with that many steps. */
   public static long sequences(int depth) {
     return Math.round(Math.pow(STEPS.length, depth));
   }
 
   /**
-   * Plays all sequences of that many steps from several moments of a round of probes; null where
-   * none breaks a rule, else how one does.
+   * Runs all sequences of that many steps, on all cores. The sequences start at five different
+   * phases of the probe interval in turn.
+   *
+   * @param explored is incremented after each sequence
+   * @return a sequence that breaks a rule and how; null if none does
    */
-  public static String explore(int depth, long seed, AtomicLong played) {
+  public static String explore(int depth, long seed, AtomicLong explored) {
     AtomicReference<String> found = new AtomicReference<>();
     LongStream.range(0, sequences(depth))
         .parallel()
@@ -94,26 +120,26 @@
                   steps[i] = STEPS[(int) (rest % STEPS.length)];
                   rest /= STEPS.length;
                 }
-                String broke = new Explorer(seed + number % 5).play(steps);
-                played.incrementAndGet();
-                if (broke != null) {
-                  found.compareAndSet(null, List.of(steps) + ": " + broke);
+                String violation = new Explorer(seed + number % 5).run(steps);
+                explored.incrementAndGet();
+                if (violation != null) {
+                  found.compareAndSet(null, List.of(steps) + ": " + violation);
                 }
               }
             });
     return found.get();
   }
 
-  private String play(Step[] steps) {
+  private String run(Step[] steps) {
     for (int i = 0; i < MEMBERS; i++) {
       start(i, 0);
     }
-    run(20 * INTERVAL + (seed % 5) * INTERVAL / 5);
-    if (broken != null || !agree()) {
-      return broken != null ? broken : "they do not find each other";
+    advance(20 * INTERVAL_US + (seed % 5) * INTERVAL_US / 5);
+    if (violation != null || !areTablesCorrect()) {
+      return violation != null ? violation : "the members do not find each other";
     }
     for (Step step : steps) {
-      take(step);
+      perform(step);
     }
     for (int i = 0; i < MEMBERS; i++) {
       paused[i] = false;
@@ -121,69 +147,76 @@
         cut[i][j] = false;
       }
     }
-    run(SETTLE);
-    if (broken == null && !agree()) {
-      broken =
-          "views are not true " + SETTLE / INTERVAL + " intervals after the last fault: " + views();
+    advance(CONVERGENCE_US);
+    if (violation == null && !areTablesCorrect()) {
+      violation =
+          "tables are not correct "
+              + CONVERGENCE_US / INTERVAL_US
+              + " intervals after the last fault: "
+              + tables();
     }
-    return broken;
+    return violation;
   }
 
-  private void take(Step step) {
+  private void perform(Step step) {
     String name = step.name();
     int member = name.chars().filter(Character::isDigit).map(c -> c - '0').findFirst().orElse(0);
     switch (step) {
-      case PASS -> pass(now + INTERVAL / 3);
+      case PASS -> runTimers(nowUs + INTERVAL_US / 3);
       case DELIVER -> deliver(0, false);
-      case DELIVER_LAST -> deliver(flying.size() - 1, false);
+      case DELIVER_LAST -> deliver(inFlight.size() - 1, false);
       case TWICE -> deliver(0, true);
       case LOSE -> {
-        lossy = true;
-        if (!flying.isEmpty()) {
-          flying.remove(0);
+        hasLost = true;
+        if (!inFlight.isEmpty()) {
+          inFlight.remove(0);
         }
       }
       case PAUSE_0, PAUSE_1, PAUSE_2 -> {
-        excused = true;
+        hasIsolated = true;
         paused[member] = true;
-        run(LONG);
+        advance(LONG_FAULT_US);
         paused[member] = false;
         long deaths = members[member] == null ? 0 : members[member].counters().deaths();
-        run(INTERVAL / 2);
-        if (members[member] != null && !lossy && members[member].counters().deaths() > deaths) {
-          broken = "s" + member + " wakes and holds others for dead that it gave no chance";
+        advance(INTERVAL_US / 2);
+        if (members[member] != null && !hasLost && members[member].counters().deaths() > deaths) {
+          violation =
+              "s"
+                  + member
+                  + " declares members dead right after a pause, without probing them again";
         }
       }
       case CRASH_0, CRASH_1, CRASH_2 -> {
-        excused = true;
+        hasIsolated = true;
         members[member] = null;
       }
       case RESTART_0, RESTART_1, RESTART_2 -> {
-        excused = true;
+        hasIsolated = true;
         start(member, 0);
       }
       case RESTART_2_CLOCK_BACK -> {
-        excused = true;
-        start(2, -500 * INTERVAL);
+        hasIsolated = true;
+        start(2, -500 * INTERVAL_US);
       }
       case CUT_0_1, CUT_0_TO_1 -> {
         long deaths = deaths();
         cut[0][1] = true;
         cut[1][0] = step == Step.CUT_0_1;
-        run(LONG);
+        advance(LONG_FAULT_US);
         cut[0][1] = false;
         cut[1][0] = false;
-        if (deaths() > deaths && !excused && !lossy) {
-          broken = "one pair is cut, a third member reaches both, and one is held dead";
+        if (deaths() > deaths && !hasIsolated && !hasLost) {
+          violation =
+              "a member is declared dead although only one link is cut and the third member reaches both";
         }
       }
       case CUT_2_OFF -> {
-        excused = true;
+        hasIsolated = true;
         for (int i = 0; i < 2; i++) {
           cut[i][2] = true;
           cut[2][i] = true;
         }
-        run(LONG);
+        advance(LONG_FAULT_US);
         for (int i = 0; i < 2; i++) {
           cut[i][2] = false;
           cut[2][i] = false;
@@ -208,13 +241,13 @@
     return "10.0.0." + member + ":1";
   }
 
-  private void start(int member, long shiftUs) {
-    boots[member] = Math.max(1, now + shiftUs);
+  private void start(int member, long clockShiftUs) {
+    boots[member] = Math.max(1, nowUs + clockShiftUs);
     incarnations[member] = 0;
     members[member] =
         new Membership(
             seed + member,
-            now,
+            nowUs,
             new MemberRecord(
                 name(member),
                 address(member),
@@ -224,92 +257,92 @@
                 MemberState.ALIVE,
                 ""),
             new MembershipSettings(
-                List.of(address(0), address(1)), INTERVAL, 300_000, 16, 1200, 100_000));
-    flying.removeIf(f -> f.to == member);
+                List.of(address(0), address(1)), INTERVAL_US, 300_000, 16, 1200, 100_000));
+    inFlight.removeIf(f -> f.to == member);
   }
 
   private void deliver(int index, boolean twice) {
-    if (index >= 0 && index < flying.size()) {
-      Flying one = twice ? flying.get(index) : flying.remove(index);
+    if (index >= 0 && index < inFlight.size()) {
+      PacketInFlight one = twice ? inFlight.get(index) : inFlight.remove(index);
       if (members[one.to] != null && !paused[one.to]) {
-        members[one.to].onPacket(now, one.packet);
-        take(one.to);
+        members[one.to].onPacket(nowUs, one.packet);
+        sendAndCheck(one.to);
       }
     }
   }
 
   /**
-   * Takes what a member wants to send, and looks whether what it says of itself and of others never
-   * runs back.
+   * Sends the member's pending packets, and checks that its own boot and incarnation numbers and
+   * the boot numbers in its table have not decreased.
    */
-  private void take(int member) {
+  private void sendAndCheck(int member) {
     for (OutboundPacket sent; (sent = members[member].next()) != null; ) {
       int to = sent.receiver().charAt(7) - '0';
       if (!cut[member][to] && to != member) {
-        flying.add(new Flying(member, to, sent.packet(), now + WAY));
+        inFlight.add(new PacketInFlight(member, to, sent.packet(), nowUs + LATENCY_US));
       }
     }
     MemberRecord self = members[member].self();
     if (self.boot() < boots[member]
         || (self.boot() == boots[member] && self.incarnation() < incarnations[member])) {
-      broken = name(member) + " runs back";
+      violation = name(member) + "'s own boot or incarnation number has decreased";
     }
     boots[member] = self.boot();
     incarnations[member] = self.incarnation();
     for (Member held : members[member].members()) {
       String pair = boots[member] + name(member) + held.record().name();
-      if (seen.merge(pair, held.record().boot(), Math::max) > held.record().boot()) {
-        broken = name(member) + " goes back to an older process of " + held.record().name();
+      if (newestBoots.merge(pair, held.record().boot(), Math::max) > held.record().boot()) {
+        violation = name(member) + " lists an older process again of " + held.record().name();
       }
     }
   }
 
-  /** Time passes; what is in flight stays there. */
-  private void pass(long untilUs) {
-    now = untilUs;
+  /** Sets the time and runs the timers that are due; delivers no datagrams. */
+  private void runTimers(long atUs) {
+    nowUs = atUs;
     for (int i = 0; i < MEMBERS; i++) {
-      if (members[i] != null && !paused[i] && members[i].nextDueUs() <= now) {
-        members[i].onTime(now);
-        take(i);
+      if (members[i] != null && !paused[i] && members[i].nextDueUs() <= nowUs) {
+        members[i].onTime(nowUs);
+        sendAndCheck(i);
       }
     }
   }
 
-  /** The ordinary course: each datagram comes in its time, each timer runs out in its. */
-  private void run(long forUs) {
-    long until = now + forUs;
-    for (int turns = 0; broken == null; turns++) {
-      if (turns > MOST_TURNS) {
-        broken = "timers that run out without end";
+  /** Advances time with each datagram and each timer at the time when it is due. */
+  private void advance(long durationUs) {
+    long until = nowUs + durationUs;
+    for (int iterations = 0; violation == null; iterations++) {
+      if (iterations > MAX_ITERATIONS) {
+        violation = "timers keep expiring: more than " + MAX_ITERATIONS + " iterations";
         return;
       }
       long next = Long.MAX_VALUE;
       for (int i = 0; i < MEMBERS; i++) {
         next = members[i] == null || paused[i] ? next : Math.min(next, members[i].nextDueUs());
       }
-      for (Flying one : flying) {
+      for (PacketInFlight one : inFlight) {
         next = Math.min(next, one.atUs);
       }
       if (next > until) {
-        now = until;
+        nowUs = until;
         return;
       }
-      now = Math.max(now, next);
-      for (int i = 0; i < flying.size(); ) {
-        if (flying.get(i).atUs <= now) {
+      nowUs = Math.max(nowUs, next);
+      for (int i = 0; i < inFlight.size(); ) {
+        if (inFlight.get(i).atUs <= nowUs) {
           deliver(i, false);
         } else {
           i++;
         }
       }
-      pass(now);
+      runTimers(nowUs);
     }
   }
 
-  private boolean agree() {
+  private boolean areTablesCorrect() {
     for (int i = 0; i < MEMBERS; i++) {
       for (int j = 0; j < MEMBERS && members[i] != null; j++) {
-        if (i != j && (members[j] != null) != holds(i, j)) {
+        if (i != j && (members[j] != null) != listsAsAlive(i, j)) {
           return false;
         }
       }
@@ -317,21 +350,21 @@
     return true;
   }
 
-  private boolean holds(int observer, int subject) {
+  private boolean listsAsAlive(int observer, int subject) {
     return members[observer].members().stream()
         .anyMatch(
             m ->
                 m.record().name().equals(name(subject)) && m.record().state() == MemberState.ALIVE);
   }
 
-  private String views() {
+  private String tables() {
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < MEMBERS; i++) {
       all.append(name(i))
           .append(
               members[i] == null
-                  ? " is not there"
-                  : " holds "
+                  ? " does not run"
+                  : " lists "
                       + members[i].members().stream()
                           .map(
                               m ->
--- a/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
@@ -15,22 +15,30 @@
 import java.util.function.IntPredicate;
 
 /**
- * Many memberships in virtual time, with the datagrams between them: the sidecar's own class and
- * codec on a network that loses, delays, doubles and cuts by a seed. One thread, no clock; the same
- * seed plays the same.
+ * Many instances of the sidecar's {@link Membership} in virtual time, connected by a simulated
+ * network that loses, delays and duplicates datagrams. Members are numbered from 0. Runs with the
+ * same seed are identical. Times are virtual and in µs; one thread.
  */
 public final class MembershipCluster {
-  /** What is wrong on the way, while it lasts; from whom to whom. */
+  /**
+   * A fault of the network, in effect while it is in {@link #faults()}.
+   *
+   * @param from the senders concerned, by number
+   * @param to the receivers concerned, by number
+   * @param loss probability from 0 to 1 that a datagram is lost
+   * @param jitterUs maximum additional delay in µs
+   * @param duplication probability from 0 to 1 that a datagram is delivered twice
+   */
   public record LinkFault(
-      IntPredicate from, IntPredicate to, double loss, long jitterUs, double twice) {}
+      IntPredicate from, IntPredicate to, double loss, long jitterUs, double duplication) {}
 
   private static final class Node {
     final int number;
-    Membership membership; // null where it does not run
+    Membership membership; // null while the process does not run
     long boot;
-    long pausedUntilUs; // the process stands still: what comes waits in its socket
-    final List<Incoming> waiting = new ArrayList<>();
-    long wakeUs = Long.MAX_VALUE; // the latest one that was put in
+    long pausedUntilUs; // 0 if never paused
+    final List<Incoming> received = new ArrayList<>(); // datagrams that arrived during a pause
+    long wakeUs = Long.MAX_VALUE; // the timer in effect; Long.MAX_VALUE if none
 
     Node(int number) {
       this.number = number;
@@ -39,8 +47,10 @@
 
   private record Incoming(String from, byte[] bytes) {}
 
-  private static final int SOCKET = 300; // datagrams that wait in one that is not read
-  private final VirtualClock time = new VirtualClock(1_000_000_000L);
+  /** Number of datagrams that a paused process's socket holds; further ones are lost. */
+  private static final int RECEIVE_QUEUE_SIZE = 300;
+
+  private final VirtualClock clock = new VirtualClock(1_000_000_000L);
   private final List<Node> nodes = new ArrayList<>();
   private final List<LinkFault> faults = new ArrayList<>();
   private final RandomStream random;
@@ -50,22 +60,26 @@
   private final int seedCount;
   private final long intervalUs;
   private final long timeoutUs;
-  private final long wayUs;
+  private final long latencyUs;
   private long packets;
   private long bytes;
 
   /**
-   * @param seedCount how many of the first members are seeds
-   * @param wayUs of a datagram, up to twice that between zones
+   * Creates a cluster in which no member runs yet.
+   *
+   * @param zones number of zones, to which members belong in rotation
+   * @param seedCount number of members, from the first on, that all others join through
+   * @param intervalUs time between two probes of a member
+   * @param latencyUs mean latency of a datagram within a zone; twice that between zones
    */
   public MembershipCluster(
-      int members, int zones, int seedCount, long intervalUs, long wayUs, long seed) {
+      int members, int zones, int seedCount, long intervalUs, long latencyUs, long seed) {
     this.seed = seed;
     this.zones = zones;
     this.seedCount = seedCount;
     this.intervalUs = intervalUs;
     timeoutUs = 3 * intervalUs / 10;
-    this.wayUs = wayUs;
+    this.latencyUs = latencyUs;
     random = RandomStream.of(seed).named("swarm");
     for (int i = 0; i < members; i++) {
       nodes.add(new Node(i));
@@ -73,18 +87,20 @@
   }
 
   public long now() {
-    return time.now();
+    return clock.now();
   }
 
+  /** Number of datagrams sent, including lost ones. */
   public long packets() {
     return packets;
   }
 
-  /** Carried, as encoded. */
+  /** Total payload of the datagrams sent, including lost ones. */
   public long bytes() {
     return bytes;
   }
 
+  /** The network faults in effect; may be changed at any time. */
   public List<LinkFault> faults() {
     return faults;
   }
@@ -97,7 +113,7 @@
     return "10.0." + (member >> 8) + "." + (member & 255) + ":7000";
   }
 
-  private static int member(String address) {
+  private static int memberAt(String address) {
     String[] parts = address.split("[.:]");
     return Integer.parseInt(parts[2]) << 8 | Integer.parseInt(parts[3]);
   }
@@ -106,10 +122,10 @@
     return "z" + member % zones;
   }
 
-  /** Starts a process in that place, by a wall clock that is apart by so much. */
-  public void start(int member, long shiftUs) {
+  /** Starts a new process of the member, whose wall clock is ahead of the others by the shift. */
+  public void start(int member, long clockShiftUs) {
     Node node = nodes.get(member);
-    node.boot = Math.max(1, now() + shiftUs);
+    node.boot = Math.max(1, now() + clockShiftUs);
     List<String> seeds = new ArrayList<>();
     for (int i = 0; i < seedCount; i++) {
       seeds.add(address(i));
@@ -121,12 +137,13 @@
             new MemberRecord(
                 name(member), address(member), zone(member), node.boot, 0, MemberState.ALIVE, ""),
             new MembershipSettings(seeds, intervalUs, timeoutUs, 4096, 1200, 20_000));
-    node.waiting.clear();
+    node.received.clear();
     node.pausedUntilUs = 0;
     node.wakeUs = Long.MAX_VALUE;
-    turn(node);
+    runTimersAndSend(node);
   }
 
+  /** Ends the member's process without notice to the others. */
   public void kill(int member) {
     nodes.get(member).membership = null;
   }
@@ -135,29 +152,30 @@
     return nodes.get(member).membership != null;
   }
 
-  /** Its process stands still for so long: no timer runs, what comes waits. */
-  public void pause(int member, long forUs) {
+  /** Suspends the member's process: no timer runs, and datagrams wait in its socket. */
+  public void pause(int member, long durationUs) {
     Node node = nodes.get(member);
-    node.pausedUntilUs = now() + forUs;
-    Membership of = node.membership;
-    time.at(
+    node.pausedUntilUs = now() + durationUs;
+    Membership paused = node.membership;
+    clock.at(
         node.pausedUntilUs,
         () -> {
-          if (node.membership == of && of != null) {
-            List<Incoming> came = List.copyOf(node.waiting);
-            node.waiting.clear();
-            came.forEach(c -> hear(node, c));
-            turn(node);
+          if (node.membership == paused && paused != null) {
+            List<Incoming> received = List.copyOf(node.received);
+            node.received.clear();
+            received.forEach(incoming -> handle(node, incoming));
+            runTimersAndSend(node);
           }
         });
   }
 
-  public Membership of(int member) {
+  /** The member's own instance; null while its process does not run. */
+  public Membership membership(int member) {
     return nodes.get(member).membership;
   }
 
-  /** What one holds of another; null where it knows of none. */
-  public MemberState holds(int observer, int subject) {
+  /** The state of {@code subject} in the table of a running observer; null if it has no entry. */
+  public MemberState stateSeenBy(int observer, int subject) {
     for (Member m : nodes.get(observer).membership.members()) {
       if (m.record().name().equals(name(subject))) {
         return m.record().state();
@@ -166,20 +184,21 @@
     return null;
   }
 
-  public void after(long us, Runnable what) {
-    time.after(us, what);
+  /** Schedules an action, which runs within {@link #advance}. */
+  public void schedule(long delayUs, Runnable action) {
+    clock.after(delayUs, action);
   }
 
-  /** Plays on to that time. */
-  public void pass(long us) {
-    long until = now() + us;
-    boolean more = true;
-    while (more) {
-      more = time.step(until); // each event does its own
+  /** Advances virtual time by the duration, and runs all events that are due until then. */
+  public void advance(long durationUs) {
+    long untilUs = now() + durationUs;
+    boolean hasMore = true;
+    while (hasMore) {
+      hasMore = clock.step(untilUs);
     }
   }
 
-  private void turn(Node node) {
+  private void runTimersAndSend(Node node) {
     if (node.membership == null || now() < node.pausedUntilUs) {
       return;
     }
@@ -187,42 +206,44 @@
       node.membership.onTime(now());
     }
     for (OutboundPacket sent; (sent = node.membership.next()) != null; ) {
-      send(node.number, member(sent.receiver()), codec.encode(sent.packet()));
+      send(node.number, memberAt(sent.receiver()), codec.encode(sent.packet()));
     }
-    long due = Math.max(now() + 1, node.membership.nextDueUs());
-    if (due < node.wakeUs || node.wakeUs <= now()) {
-      node.wakeUs = due;
-      Membership of = node.membership;
-      time.at(
-          due,
+    long dueUs = Math.max(now() + 1, node.membership.nextDueUs());
+    if (dueUs < node.wakeUs || node.wakeUs <= now()) {
+      node.wakeUs = dueUs;
+      Membership scheduled = node.membership;
+      clock.at(
+          dueUs,
           () -> {
-            if (node.membership == of) {
-              if (node.wakeUs == due) {
+            if (node.membership == scheduled) {
+              if (node.wakeUs == dueUs) {
                 node.wakeUs = Long.MAX_VALUE;
               }
-              turn(node);
+              runTimersAndSend(node);
             }
           });
     }
   }
 
-  private void send(int from, int to, byte[] what) {
+  private void send(int from, int to, byte[] datagram) {
     packets++;
-    bytes += what.length;
-    long us = (long) (wayUs * random.between(0.7, 1.3) * (from % zones == to % zones ? 1 : 2));
+    bytes += datagram.length;
+    long delayUs =
+        (long) (latencyUs * random.between(0.7, 1.3) * (from % zones == to % zones ? 1 : 2));
     int copies = 1;
     for (LinkFault fault : faults) {
       if (fault.from.test(from) && fault.to.test(to)) {
         if (random.happens(fault.loss)) {
           return;
         }
-        us += random.between(0L, fault.jitterUs);
-        copies += random.happens(fault.twice) ? 1 : 0;
+        delayUs += random.between(0L, fault.jitterUs);
+        copies += random.happens(fault.duplication) ? 1 : 0;
       }
     }
     for (int i = 0; i < copies && to < nodes.size(); i++) {
-      time.at(
-          now() + us + i * 100L, () -> arrive(nodes.get(to), new Incoming(address(from), what)));
+      clock.at(
+          now() + delayUs + i * 100L,
+          () -> arrive(nodes.get(to), new Incoming(address(from), datagram)));
     }
   }
 
@@ -231,16 +252,16 @@
       return;
     }
     if (now() < node.pausedUntilUs) {
-      if (node.waiting.size() < SOCKET) {
-        node.waiting.add(incoming);
+      if (node.received.size() < RECEIVE_QUEUE_SIZE) {
+        node.received.add(incoming);
       }
       return;
     }
-    hear(node, incoming);
-    turn(node);
+    handle(node, incoming);
+    runTimersAndSend(node);
   }
 
-  private void hear(Node node, Incoming incoming) {
+  private void handle(Node node, Incoming incoming) {
     Packet packet = codec.decode(incoming.bytes, 0, incoming.bytes.length).orElseThrow();
     node.membership.onPacket(now(), packet);
   }
--- a/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
@@ -6,38 +6,52 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.function.Consumer;
 
 /**
- * One fault, or all at once, on a cluster that knows itself; what is found of it, how soon, and
- * what is found wrongly.
+ * Measures failure detection: starts a cluster, brings a fault on it, kills some members, and
+ * records how soon the others detect this and which live members they declare dead.
  */
 public final class MembershipTrial {
-  /** What is wrong during the trial, besides one in twenty killed. */
+  /** The fault of a trial, in addition to the kill of one in twenty members. */
   public enum Fault {
+    /** No further fault. */
     NONE,
+    /** 30 % of the datagrams are lost; others are delayed or duplicated. */
     LOSS30,
+    /** Every second member receives nothing from one other member. */
     ONE_WAY,
+    /** The cluster is partitioned into two halves for 2 s of every 4 s. */
     FLAPPING_CUT,
+    /** The cluster is partitioned into two halves. */
     HALVES,
+    /** Every tenth member is suspended now and then, for up to 3 s. */
     PAUSES,
+    /** Datagrams of every tenth member are delayed by up to 0.6 s. */
     SLOW,
+    /** All of the above, except for {@link #HALVES} and {@link #SLOW}, at once. */
     ALL;
 
+    /** The name on the command line and in reports, for example {@code one-way}. */
     public String word() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
 
   /**
-   * What came of one trial.
+   * The outcome of one trial.
    *
-   * @param detectMs from a kill until each of the others held it dead, a value for each pair
-   * @param falseDeaths live members held dead by somebody that they could reach, pairs
-   * @param convergedMs from the end of all faults until all held just the live ones for alive; -1
-   *     where it did not come
-   * @param bytesASecond for each member, while nothing changed
+   * @param detectMs time in ms from the kill until a running member declares a killed one dead, for
+   *     each such pair in which this happened
+   * @param falseDeaths number of pairs in which a member declares another one dead that runs and is
+   *     not in the other half of a partition; -1 if the cluster did not form
+   * @param convergedMs time in ms from the end of the faults until the tables of all running
+   *     members list exactly the running ones as live; -1 if this did not happen within 180 s
+   * @param bytesPerSecond mean bytes per second that a member sends in a stable cluster
+   * @param memberHours virtual hours of observation, summed over the members
    */
   public record Result(
       Fault fault,
@@ -46,52 +60,63 @@
       List<Long> detectMs,
       long falseDeaths,
       long convergedMs,
-      double bytesASecond,
+      double bytesPerSecond,
       double memberHours) {}
 
-  private static final long S = 1_000_000;
-  private static final long LOOK = 50_000;
+  private static final long SECOND_US = 1_000_000;
+
+  /** Time in µs between two reads of all tables. */
+  private static final long SAMPLING_INTERVAL_US = 50_000;
+
+  /** Larger clusters are sampled less often, as reading all tables takes quadratic time. */
+  private static final int LARGE_CLUSTER = 200;
 
   private MembershipTrial() {}
 
-  public static Result play(int members, Fault fault, long seed) {
-    MembershipCluster cluster = new MembershipCluster(members, 3, 3, S, 400, seed);
+  /**
+   * Runs one trial.
+   *
+   * @param members number of members, at least 4, of which the first 3 are seeds and not killed
+   */
+  public static Result run(int members, Fault fault, long seed) {
+    MembershipCluster cluster = new MembershipCluster(members, 3, 3, SECOND_US, 400, seed);
     RandomStream random = RandomStream.of(seed).named("trial");
     for (int i = 0; i < members; i++) {
       int member = i;
-      cluster.after(random.between(0, 2 * S), () -> cluster.start(member, 0));
+      cluster.schedule(random.between(0, 2 * SECOND_US), () -> cluster.start(member, 0));
     }
-    long joined = converged(cluster, members, 120);
-    if (joined < 0) {
+    long joinedMs = converge(cluster, members, 120);
+    if (joinedMs < 0) {
       return new Result(fault, members, seed, List.of(), -1, -1, 0, 0);
     }
-    cluster.pass(30 * S); // news are told to the end
-    long before = cluster.bytes();
-    cluster.pass(20 * S);
-    double rate = (cluster.bytes() - before) / 20.0 / members;
-    faults(cluster, members, fault, random);
-    cluster.pass(5 * S);
+    cluster.advance(30 * SECOND_US); // until all updates have been disseminated
+    long bytesBefore = cluster.bytes();
+    cluster.advance(20 * SECOND_US);
+    double bytesPerSecond = (cluster.bytes() - bytesBefore) / 20.0 / members;
+    startFaults(cluster, members, fault, random);
+    cluster.advance(5 * SECOND_US);
     List<Integer> killed = new ArrayList<>();
     for (int i = 0; i < Math.max(1, members / 20); i++) {
       killed.add(3 + (int) random.between(0, members - 4L));
     }
     killed.stream().distinct().forEach(cluster::kill);
-    Map<Long, Long> found = new TreeMap<>(); // by observer and subject
-    Map<Long, Boolean> wrong = new TreeMap<>();
-    long from = cluster.now();
-    boolean halves = fault == Fault.HALVES;
-    for (long t = 0; t < 60 * S; t += members > 200 ? 10 * LOOK : LOOK) {
-      cluster.pass(members > 200 ? 10 * LOOK : LOOK);
+    Map<Long, Long> detectMsByPair = new TreeMap<>(); // key: observer * members + subject
+    Set<Long> falselyDeadPairs = new TreeSet<>();
+    long killedUs = cluster.now();
+    boolean isPartitioned = fault == Fault.HALVES;
+    long sampleUs = members > LARGE_CLUSTER ? 10 * SAMPLING_INTERVAL_US : SAMPLING_INTERVAL_US;
+    for (long t = 0; t < 60 * SECOND_US; t += sampleUs) {
+      cluster.advance(sampleUs);
       for (int i = 0; i < members; i++) {
         if (cluster.runs(i)) {
-          for (Member m : cluster.of(i).members()) {
+          for (Member m : cluster.membership(i).members()) {
             if (!m.record().state().isLive()) {
               int subject = Integer.parseInt(m.record().name().substring(1));
               long pair = (long) i * members + subject;
               if (!cluster.runs(subject)) {
-                found.putIfAbsent(pair, (cluster.now() - from) / 1000);
-              } else if (!halves || (i < members / 2) == (subject < members / 2)) {
-                wrong.put(pair, true);
+                detectMsByPair.putIfAbsent(pair, (cluster.now() - killedUs) / 1000);
+              } else if (!isPartitioned || (i < members / 2) == (subject < members / 2)) {
+                falselyDeadPairs.add(pair);
               }
             }
           }
@@ -99,32 +124,32 @@
       }
     }
     cluster.faults().clear();
-    long converged = converged(cluster, members, 180);
+    long convergedMs = converge(cluster, members, 180);
     return new Result(
         fault,
         members,
         seed,
-        List.copyOf(found.values()),
-        wrong.size(),
-        converged,
-        rate,
+        List.copyOf(detectMsByPair.values()),
+        falselyDeadPairs.size(),
+        convergedMs,
+        bytesPerSecond,
         members * 60 / 3600.0);
   }
 
-  private static void faults(
+  private static void startFaults(
       MembershipCluster cluster, int members, Fault fault, RandomStream random) {
     boolean all = fault == Fault.ALL;
     if (fault == Fault.LOSS30 || all) {
       cluster.faults().add(new MembershipCluster.LinkFault(i -> true, i -> true, 0.3, 20_000, 0.1));
     }
     if (fault == Fault.ONE_WAY || all) {
-      for (int i = 0; i < members; i += 2) { // half of the members hear nothing from one other each
-        int deaf = i;
+      for (int i = 0; i < members; i += 2) {
+        int receiver = i;
         cluster
             .faults()
             .add(
                 new MembershipCluster.LinkFault(
-                    f -> f == (deaf + 1) % members, t -> t == deaf, 1, 0, 0));
+                    f -> f == (receiver + 1) % members, t -> t == receiver, 1, 0, 0));
       }
     }
     if (fault == Fault.FLAPPING_CUT || all) {
@@ -134,8 +159,10 @@
       MembershipCluster.LinkFault back =
           new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0);
       for (int k = 0; k < 15; k++) {
-        cluster.after(k * 4L * S, () -> cluster.faults().addAll(List.of(cut, back)));
-        cluster.after(k * 4L * S + 2 * S, () -> cluster.faults().removeAll(List.of(cut, back)));
+        cluster.schedule(k * 4L * SECOND_US, () -> cluster.faults().addAll(List.of(cut, back)));
+        cluster.schedule(
+            k * 4L * SECOND_US + 2 * SECOND_US,
+            () -> cluster.faults().removeAll(List.of(cut, back)));
       }
     }
     if (fault == Fault.HALVES) {
@@ -143,22 +170,23 @@
       cluster.faults().add(new MembershipCluster.LinkFault(i -> i < from, i -> i >= from, 1, 0, 0));
       cluster.faults().add(new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0));
     }
-    if (fault == Fault.PAUSES
-        || all) { // a tenth stand still now and then, for longer than a probe waits
+    if (fault == Fault.PAUSES || all) {
+      // Some pauses are longer than the timeout of a probe.
       for (int i = 0; i < members; i += 10) {
         int member = i;
         for (int k = 0; k < 6; k++) {
-          cluster.after(
-              k * 10L * S + random.between(0, 5 * S),
+          cluster.schedule(
+              k * 10L * SECOND_US + random.between(0, 5 * SECOND_US),
               () -> {
                 if (cluster.runs(member)) {
-                  cluster.pause(member, random.between(S / 2, 3 * S));
+                  cluster.pause(member, random.between(SECOND_US / 2, 3 * SECOND_US));
                 }
               });
         }
       }
     }
-    if (fault == Fault.SLOW) { // answers of a tenth come after every time-out of a probe
+    if (fault == Fault.SLOW) {
+      // Many replies arrive after the timeout of 0.3 s, when indirect probes have been sent.
       cluster
           .faults()
           .add(new MembershipCluster.LinkFault(i -> i % 10 == 0, i -> true, 0, 600_000, 0));
@@ -166,13 +194,15 @@
   }
 
   /**
-   * Milliseconds until all that run hold just these for alive; -1 where it does not come within so
-   * many seconds.
+   * Advances the cluster until the tables of all running members list exactly the running ones as
+   * live.
+   *
+   * @return the virtual time in ms that this took; -1 if it did not happen within the seconds
    */
-  private static long converged(MembershipCluster cluster, int members, long seconds) {
-    long from = cluster.now();
-    while (cluster.now() - from <= seconds * S) {
-      cluster.pass(members > 200 ? S / 2 : S / 10);
+  private static long converge(MembershipCluster cluster, int members, long seconds) {
+    long startUs = cluster.now();
+    while (cluster.now() - startUs <= seconds * SECOND_US) {
+      cluster.advance(members > LARGE_CLUSTER ? SECOND_US / 2 : SECOND_US / 10);
       long running = 0;
       for (int i = 0; i < members; i++) {
         running += cluster.runs(i) ? 1 : 0;
@@ -181,8 +211,8 @@
       for (int i = 0; i < members && agree; i++) {
         agree =
             !cluster.runs(i)
-                || (cluster.of(i).liveCount() == running - 1
-                    && cluster.of(i).members().stream()
+                || (cluster.membership(i).liveCount() == running - 1
+                    && cluster.membership(i).members().stream()
                         .allMatch(
                             m ->
                                 !m.record().state().isLive()
@@ -190,13 +220,19 @@
                                         Integer.parseInt(m.record().name().substring(1)))));
       }
       if (agree) {
-        return (cluster.now() - from) / 1000;
+        return (cluster.now() - startUs) / 1000;
       }
     }
     return -1;
   }
 
-  /** Plays seeds of each fault and says a row of each. */
+  /**
+   * Runs trials of each fault with the seeds from {@code from} to {@code to}, and prints a Markdown
+   * table with a row per fault.
+   *
+   * @param jobs number of threads
+   * @return whether the cluster converged after each trial
+   */
   public static boolean table(
       int members, long from, long to, List<Fault> faults, int jobs, Consumer<String> out)
       throws InterruptedException {
@@ -208,24 +244,24 @@
       List<Result> results;
       var threads = java.util.concurrent.Executors.newFixedThreadPool(jobs);
       try {
-        var all =
+        var trials =
             java.util.stream.LongStream.rangeClosed(from, to)
-                .mapToObj(s -> threads.submit(() -> play(members, fault, s)))
+                .mapToObj(s -> threads.submit(() -> run(members, fault, s)))
                 .toList();
         results = new ArrayList<>();
-        for (var one : all) {
-          results.add(one.get());
+        for (var trial : trials) {
+          results.add(trial.get());
         }
       } catch (java.util.concurrent.ExecutionException e) {
         throw new IllegalStateException("a trial failed: " + e.getCause(), e.getCause());
       } finally {
         threads.shutdownNow();
       }
-      List<Long> detect = results.stream().flatMap(r -> r.detectMs.stream()).sorted().toList();
-      List<Long> conv = results.stream().map(Result::convergedMs).sorted().toList();
-      long never = conv.stream().filter(c -> c < 0).count();
+      List<Long> detectMs = results.stream().flatMap(r -> r.detectMs.stream()).sorted().toList();
+      List<Long> convergedMs = results.stream().map(Result::convergedMs).sorted().toList();
+      long unconverged = convergedMs.stream().filter(c -> c < 0).count();
       double hours = results.stream().mapToDouble(Result::memberHours).sum();
-      long wrong = results.stream().mapToLong(Result::falseDeaths).sum();
+      long falseDeaths = results.stream().mapToLong(Result::falseDeaths).sum();
       out.accept(
           String.format(
               Locale.ROOT,
@@ -233,25 +269,26 @@
               members,
               fault.word(),
               results.size(),
-              seconds(detect, 0.5),
-              seconds(detect, 0.99),
-              seconds(detect, 1),
-              never,
-              wrong / Math.max(1e-9, hours),
-              seconds(conv, 0.5),
-              seconds(conv, 1),
-              results.stream().mapToDouble(Result::bytesASecond).average().orElse(0)));
-      clean &= never == 0;
+              seconds(detectMs, 0.5),
+              seconds(detectMs, 0.99),
+              seconds(detectMs, 1),
+              unconverged,
+              falseDeaths / Math.max(1e-9, hours),
+              seconds(convergedMs, 0.5),
+              seconds(convergedMs, 1),
+              results.stream().mapToDouble(Result::bytesPerSecond).average().orElse(0)));
+      clean &= unconverged == 0;
     }
     return clean;
   }
 
-  private static String seconds(List<Long> sorted, double part) {
+  /** A quantile of sorted values in ms as text in seconds; {@code -} if there are none. */
+  private static String seconds(List<Long> sorted, double quantile) {
     return sorted.isEmpty()
         ? "-"
         : String.format(
             Locale.ROOT,
             "%.1f s",
-            sorted.get((int) Math.min(sorted.size() - 1, part * sorted.size())) / 1000.0);
+            sorted.get((int) Math.min(sorted.size() - 1, quantile * sorted.size())) / 1000.0);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/oracle/AttemptRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/AttemptRules.java
@@ -8,7 +8,7 @@
  * answer or the deadline, and not long after the client has left.
  */
 final class AttemptRules {
-  /** Time after a client's close within which a sidecar may still start an attempt. */
+  /** Time in µs after a client's close within which a sidecar may still start an attempt. */
   private static final long CLIENT_DISCONNECT_TOLERANCE_US = 100_000;
 
   private final ViolationLog log;
--- a/emulator/src/main/java/dillcross/emulator/oracle/Disturbances.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Disturbances.java
@@ -42,7 +42,10 @@
     listOutages.add(new Period(fromUs, untilUs));
   }
 
-  /** Time in µs that the request's deadline is extended by: a fixed slack, and all stalls. */
+  /**
+   * Time in µs by which the request's deadline is extended: a fixed slack, and the stalls of its
+   * sidecar since the request was created.
+   */
   long slackUs(ObservedRequest request) {
     long slackUs = answerSlackUs;
     for (Stall stall : stalls) {
@@ -61,8 +64,8 @@
   }
 
   /**
-   * The earliest time from {@code fromUs} on after which the endpoint list was available for all of
-   * {@code durationUs}.
+   * The earliest start, not before {@code fromUs}, of a period of {@code durationUs} in which the
+   * endpoint list is available throughout.
    */
   long startOfUndisturbedList(long fromUs, long durationUs) {
     long startUs = fromUs;
--- a/emulator/src/main/java/dillcross/emulator/oracle/DrainRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/DrainRules.java
@@ -10,14 +10,21 @@
 
 /**
  * Rule that a draining or removed endpoint gets no more attempts: neither from a sidecar process
- * that has read this from the endpoint list, nor from one that had enough time to read it. Keeps
- * what each process has read.
+ * that has read this from the endpoint list, nor from one that had enough time to read it.
  */
 final class DrainRules {
-  /** Time after which a change counts as read if the discovery service was available throughout. */
+  /**
+   * Time in µs after which a change counts as read if the discovery service was available
+   * throughout.
+   */
   private static final long READ_WITHIN_US = 6_000_000;
 
-  /** What a sidecar process knows of an endpoint, and since when. */
+  /**
+   * State of an endpoint in the list as a sidecar process has read it.
+   *
+   * @param sinceUs when the process first read this state
+   * @param startedMs when the endpoint started, in ms since 1970
+   */
   private record KnownState(boolean isInService, long sinceUs, long startedMs) {}
 
   private final LongSupplier nowUs;
@@ -26,7 +33,8 @@
   private final double slackUs;
   private final Map<String, Map<String, KnownState>> knownByProcess = new HashMap<>();
   private final Map<String, Long> processStartUs = new HashMap<>();
-  private final Map<String, Long> leavingSinceUs = new HashMap<>(); // by endpoint
+  private final Map<String, Long> leavingSinceUs =
+      new HashMap<>(); // by endpoint id; absent while the endpoint is in service
 
   DrainRules(
       LongSupplier nowUs, ViolationLog log, Disturbances disturbances, Scenario.Rules rules) {
@@ -102,7 +110,7 @@
     return knownByProcess.getOrDefault(process, Map.of()).get(endpoint);
   }
 
-  /** When the process counts as having read that the endpoint leaves. */
+  /** Time in µs by which the process must have read that the endpoint leaves service. */
   private long readByUs(String process, String endpoint) {
     long fromUs = Math.max(leavingSinceUs.get(endpoint), processStartUs.getOrDefault(process, 0L));
     return disturbances.startOfUndisturbedList(fromUs, READ_WITHIN_US) + READ_WITHIN_US;
--- a/emulator/src/main/java/dillcross/emulator/oracle/DuplicateRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/DuplicateRules.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Rules that work with an effect is carried out once: at-most-once work is sent again only if the
+ * Rules that work with side effects is executed once: at-most-once work is sent again only if the
  * first attempt cannot run, and keyed work only to endpoints that still recognise the repeat.
  */
 final class DuplicateRules {
@@ -15,7 +15,8 @@
   private static final String AT_MOST_ONCE = "at_most_once";
 
   private final ViolationLog log;
-  private final Map<String, String> executedAt = new HashMap<>(); // endpoint by the work's key
+  private final Map<String, String> executedAt =
+      new HashMap<>(); // id of the executing endpoint by the key of the work
 
   DuplicateRules(ViolationLog log) {
     this.log = log;
--- a/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -18,7 +18,7 @@
     private final long sentUs;
     private boolean mayRun;
     private boolean isAnswerRead;
-    private long endedUs; // 0 while neither answered nor abandoned
+    private long endedUs; // 0 while the attempt is neither answered nor abandoned
 
     Attempt(EndpointLocation location, long sentUs) {
       this.location = location;
@@ -33,17 +33,17 @@
       return location.endpoint();
     }
 
-    /** When the sidecar sent the first byte of its head. */
+    /** When the sidecar sent the first byte of the attempt's head. */
     long sentUs() {
       return sentUs;
     }
 
-    /** Records that the endpoint accepted it. */
+    /** Records that the endpoint accepted the attempt. */
     void accept() {
       mayRun = true;
     }
 
-    /** Whether the endpoint accepted it, so that it runs or waits to run. */
+    /** Whether the endpoint accepted the attempt, which then runs or waits to run. */
     boolean mayRun() {
       return mayRun;
     }
@@ -57,7 +57,7 @@
       return isAnswerRead;
     }
 
-    /** Records that it was answered or abandoned; only the first call counts. */
+    /** Records that the attempt was answered or abandoned; only the first call has an effect. */
     public void end(long atUs) {
       if (endedUs == 0) {
         endedUs = atUs;
@@ -75,10 +75,10 @@
   private final long createdUs;
   private final List<Attempt> attempts = new ArrayList<>(2);
   private long sentUs = NOT_SENT;
-  private long answerUs; // 0 until answered
+  private long answerUs; // 0 while the request is not answered
   private int status;
   private int answerCount;
-  private long clientDisconnectedUs; // 0 until then
+  private long clientDisconnectedUs; // 0 while the client has not closed its connection
   private boolean isExcused;
   private boolean isOrphaned;
   private boolean isOver;
@@ -87,9 +87,9 @@
    * A request that a client is about to send.
    *
    * @param key identifies the work, and is the same for a client's retry
-   * @param sidecar index of the sidecar that it goes to
+   * @param sidecar index of the sidecar that receives the request
    * @param retryNumber 0 for the first request, 1 for the client's first retry
-   * @param createdUs when the client started it
+   * @param createdUs when the client created the request
    */
   public ObservedRequest(
       String id,
@@ -106,7 +106,7 @@
     this.createdUs = createdUs;
   }
 
-  /** Unique within the run. */
+  /** Identifier of the request, unique within the run. */
   public String id() {
     return id;
   }
@@ -145,22 +145,22 @@
 
   // ---- Client
 
-  /** Records that the client has sent the last byte. */
+  /** Records that the client has sent the request's last byte. */
   public void markSent(long atUs) {
     sentUs = atUs;
   }
 
-  /** Records that the client sends all of it again on a new connection. */
+  /** Records that the client sends the whole request again on a new connection. */
   public void markResending() {
     sentUs = NOT_SENT;
   }
 
-  /** Whether the client has sent the last byte. */
+  /** Whether the client has sent the request's last byte. */
   public boolean isSent() {
     return sentUs != NOT_SENT;
   }
 
-  /** When the client sent the last byte; {@link Long#MAX_VALUE} while it has not. */
+  /** When the client sent the request's last byte; {@link Long#MAX_VALUE} while it has not. */
   public long sentUs() {
     return sentUs;
   }
@@ -189,8 +189,8 @@
   }
 
   /**
-   * Whether the sidecar's process ended before the answer. What it had written may still arrive at
-   * endpoints, later than the process would have allowed.
+   * Whether the sidecar's process ended before the answer. Attempts that it had written may still
+   * arrive at endpoints, later than the process would have permitted.
    */
   boolean isOrphaned() {
     return isOrphaned;
@@ -202,14 +202,14 @@
     isOver = true;
   }
 
-  /** Whether no answer is due, because the client left or nothing could answer it. */
+  /** Whether no answer is due, because the client left or no sidecar process could answer. */
   public boolean isExcused() {
     return isExcused;
   }
 
   // ---- Answer
 
-  /** Counts one more answer; the number of answers so far. */
+  /** Counts one more answer, and returns the number of answers so far. */
   int countAnswer() {
     answerCount++;
     return answerCount;
@@ -232,17 +232,17 @@
     return isOver;
   }
 
-  /** HTTP status of the answer; 0 without a complete one. */
+  /** HTTP status of the answer; 0 if there is none or it was cut off. */
   public int status() {
     return status;
   }
 
-  /** When the sidecar sent the first byte of the answer; 0 without one. */
+  /** When the sidecar sent the first byte of the answer; 0 while the request is not answered. */
   public long answerUs() {
     return answerUs;
   }
 
-  /** Time in µs from the last byte sent by which the answer is due. */
+  /** Time in µs after the request's last byte within which the answer is due. */
   public long timeoutUs() {
     return TimeUnits.toMicros(requestClass.timeoutMs());
   }
@@ -253,7 +253,8 @@
   }
 
   /**
-   * When the last attempt known to endpoints ended; {@link Long#MAX_VALUE} while one is in flight.
+   * When the last attempt ended that reached an endpoint, or the request was sent if none did;
+   * {@link Long#MAX_VALUE} while an attempt is in flight.
    */
   long busyUntilUs() {
     long untilUs = isSent() ? sentUs : createdUs;
--- a/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Oracle.java
@@ -24,7 +24,11 @@
   private final DuplicateRules duplicateRules;
   private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
 
-  /** Violations carry the time since {@code startUs}. */
+  /**
+   * Creates the oracle of one run.
+   *
+   * @param startUs start of the run, from which the times of violations count
+   */
   public Oracle(LongSupplier nowUs, long startUs, Scenario scenario) {
     int maxAttempts = Integer.parseInt(scenario.sidecarSettings().get("limits.max_pushes"));
     log = new ViolationLog(nowUs, startUs);
@@ -70,7 +74,7 @@
   /**
    * A client has received an answer.
    *
-   * @param sentUs when the sidecar sent its first byte
+   * @param sentUs when the sidecar sent the first byte of the answer
    * @param isComplete false if the connection ended within the answer
    * @param isContentIntact whether the body is one that an endpoint made for this request
    */
@@ -100,17 +104,19 @@
 
   // ---- Faults
 
-  /** A sidecar process stands still; its deadlines are extended by as much. */
+  /**
+   * A sidecar process is suspended between the two times; its deadlines are extended by as much.
+   */
   public void processStalled(int sidecar, long fromUs, long untilUs) {
     disturbances.addStall(sidecar, fromUs, untilUs);
   }
 
-  /** Connects may fail or hang meanwhile, so that endpoints do not observe all attempts. */
+  /** Connects may fail or hang between the two times, so that endpoints miss some attempts. */
   public void attemptsHidden(long fromUs, long untilUs) {
     disturbances.addHiddenAttempts(fromUs, untilUs);
   }
 
-  /** The endpoint list is unavailable to some sidecar meanwhile, or outdated. */
+  /** The endpoint list is unavailable or outdated for some sidecar between the two times. */
   public void listDisturbed(long fromUs, long untilUs) {
     disturbances.addListOutage(fromUs, untilUs);
   }
@@ -148,7 +154,7 @@
    * The head of an attempt has arrived at an endpoint.
    *
    * @param process name of the sidecar process that sent it
-   * @param sentUs when the process sent its first byte
+   * @param sentUs when the process sent the first byte of the attempt
    */
   public ObservedRequest.Attempt attemptReceived(
       ObservedRequest request, String process, EndpointLocation location, long sentUs) {
@@ -164,7 +170,7 @@
     duplicateRules.onAccepted(request, attempt);
   }
 
-  /** An endpoint carries out the request, and not as a recognised repeat. */
+  /** An endpoint executes the request, which it has not recognised as a repeat. */
   public void requestExecuted(ObservedRequest request, String endpoint) {
     duplicateRules.onExecuted(request, endpoint);
   }
--- a/emulator/src/main/java/dillcross/emulator/oracle/Violation.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Violation.java
@@ -8,10 +8,13 @@
  *
  * @param atUs time since the start of the run, in µs
  * @param request id of the request concerned; null if there is none
- * @param what the details, for a person to read
+ * @param details text for the report
  */
-public record Violation(long atUs, Rule rule, String request, String what) {
-  /** The rules that are checked. Names and words are part of printed and stored results. */
+public record Violation(long atUs, Rule rule, String request, String details) {
+  /**
+   * The rules that are checked. Their names and descriptions are part of printed and stored
+   * results.
+   */
   public enum Rule {
     /** Each request gets exactly one answer. */
     ONE_ANSWER("one final answer"),
@@ -25,7 +28,7 @@
     PUSH_LIMIT("no more pushes than allowed"),
     /** No attempt goes to an endpoint known to drain. */
     DRAIN_KEPT("nothing to an endpoint that drains"),
-    /** An endpoint in slow start is not overrun. */
+    /** An endpoint in slow start gets no more work than its reduced capacity permits. */
     COLD_KEPT("no cold endpoint pushed over"),
     /** Requests and answers arrive unchanged. */
     TRUE_CONTENT("content as it was sent"),
@@ -40,11 +43,11 @@
     /** No event loop iteration throws. */
     NO_FAULT("no turn that fails");
 
-    /** The rule in the words of the printed report. */
-    public final String words;
+    /** The rule as printed in reports. */
+    public final String description;
 
-    Rule(String words) {
-      this.words = words;
+    Rule(String description) {
+      this.description = description;
     }
   }
 
@@ -54,8 +57,8 @@
         Locale.ROOT,
         "%10.3f ms  %s%s: %s",
         (double) atUs / TimeUnits.MICROS_PER_MILLI,
-        rule.words,
+        rule.description,
         request == null ? "" : " [" + request + "]",
-        what);
+        details);
   }
 }
--- a/emulator/src/main/java/dillcross/emulator/search/Explain.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Explain.java
@@ -106,7 +106,7 @@
     }
     result.violations().stream()
         .filter(v -> id.equals(v.request()))
-        .forEach(v -> lines.add("broke: " + v.rule().words + ": " + v.what()));
+        .forEach(v -> lines.add("broke: " + v.rule().description + ": " + v.details()));
     return lines;
   }
 
--- a/emulator/src/main/java/dillcross/emulator/search/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Shrink.java
@@ -162,7 +162,7 @@
             "# Cut by `emulate shrink` from %d troubles; with --seed %d it breaks: %s.%n",
             result.before(),
             result.seed(),
-            result.rule().words));
+            result.rule().description));
     return out.append(
             write(
                 text.replaceFirst("(?m)^seconds *=.*$", "seconds = " + result.seconds()),
--- a/emulator/src/test/java/dillcross/emulator/EmulateIT.java
+++ b/emulator/src/test/java/dillcross/emulator/EmulateIT.java
@@ -13,19 +13,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The built program by its command line, in processes of its own. */
+/** Runs the emulator's commands from the packaged program, each in a process of its own. */
 class EmulateIT {
   @TempDir private Path folder;
 
-  /** What it said, with its exit status as the last line. */
-  private List<String> dillcross(String... words) throws IOException, InterruptedException {
+  /** Runs a command; returns the lines that it printed, and {@code status N} as the last one. */
+  private List<String> dillcross(String... arguments) throws IOException, InterruptedException {
     List<String> command = new ArrayList<>(List.of("../bin/dillcross", "emulate"));
-    command.addAll(List.of(words));
-    Path said = Files.createTempFile(folder, "said", ".txt");
+    command.addAll(List.of(arguments));
+    Path output = Files.createTempFile(folder, "output", ".txt");
     Process process =
-        new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(said.toFile()).start();
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectOutput(output.toFile())
+            .start();
     int status = process.waitFor();
-    List<String> lines = new ArrayList<>(Files.readAllLines(said, StandardCharsets.UTF_8));
+    List<String> lines = new ArrayList<>(Files.readAllLines(output, StandardCharsets.UTF_8));
     lines.add("status " + status);
     return lines;
   }
@@ -35,7 +38,7 @@
   }
 
   @Test
-  void twoProcessesAndAnyNumberOfJobsSayTheSame() throws IOException, InterruptedException {
+  void sweepResultsDoNotDependOnProcessAndThreads() throws IOException, InterruptedException {
     List<String> one =
         dillcross("sweep", "../scenarios/mixed.toml", "--seeds", "1..24", "--jobs", "1", "--quiet");
     List<String> many =
@@ -44,12 +47,12 @@
     assertEquals(
         one.subList(1, one.size()),
         many.subList(1, many.size()),
-        "all but the first line, which tells the time");
+        "all lines but the first, which has the real duration");
     assertEquals("seeds 24 violations 0", one.get(one.size() - 2));
   }
 
   @Test
-  void aTraceIsTheSameByteForByteAndItsDigestIsNotified() throws Exception {
+  void traceIsReproducibleAndItsDigestIsPrinted() throws Exception {
     Path a = folder.resolve("a.json");
     Path b = folder.resolve("b.json");
     List<String> first =
@@ -66,7 +69,7 @@
   }
 
   @Test
-  void whatIsWrongWithTheInputIsSaidWithStatusTwo() throws IOException, InterruptedException {
+  void invalidInputIsReportedWithStatusTwo() throws IOException, InterruptedException {
     Path bad =
         Files.writeString(folder.resolve("bad.toml"), "second = 1\n[[category]]\nname = \"a\"\n");
     assertEquals(
@@ -97,11 +100,11 @@
   }
 
   /**
-   * Every ordered pair of kinds of event, once on each scenario, and some triples: clean, the same
-   * each time, and counted.
+   * Runs every ordered pair of fault variants once on each scenario, and some triples: no rule is
+   * broken, and a second call prints the same digest.
    */
   @Test
-  void eventsThatCrossBreakNoRule() throws IOException, InterruptedException {
+  void combinationsOfFaultsBreakNoRule() throws IOException, InterruptedException {
     String[] files = {"../scenarios/crossings.toml", "../scenarios/crossings-strict.toml"};
     List<String> pairs = dillcross("crossings", files[0], files[1], "--brief");
     int variants = dillcross.emulator.search.Crossings.variants().size();
@@ -114,20 +117,19 @@
     assertEquals("crossings 300 violations 0", triples.get(triples.size() - 2));
     List<String> again = dillcross("crossings", files[0], files[1], "--triples", "1..150");
     assertEquals(
-        triples.get(triples.size() - 3),
-        again.get(again.size() - 3),
-        "the digest of all of its days");
+        triples.get(triples.size() - 3), again.get(again.size() - 3), "digest of all runs");
   }
 
   @Test
-  void aCrossingThatBreaksARuleIsNotifiedWithWhatReplaysIt()
+  void failingCombinationIsPrintedWithTheCommandThatRepeatsIt()
       throws IOException, InterruptedException {
     Path strict =
         Files.writeString(
             folder.resolve("strict.toml"),
             Files.readString(Path.of("../scenarios/crossings.toml"))
                     .replace("start_ms = [50, 200]", "start_ms = [50, 200]\nturn_us = 20000")
-                + "\n[rules]\nanswer_slack_ms = 0\n"); // a turn too late breaks a rule
+                + "\n[rules]\nanswer_slack_ms = 0\n"); // without slack, one late event loop
+    // iteration breaks a rule
     Path out = folder.resolve("out");
     List<String> found =
         dillcross(
@@ -138,9 +140,9 @@
             .filter(line -> line.startsWith("    bin/dillcross emulate run "))
             .findFirst()
             .orElseThrow();
-    String[] words = replay.strip().split(" ");
-    assertEquals("status 1", last(dillcross("run", words[3], "--seed", words[5])));
-    assertEquals("status 1", last(dillcross("shrink", words[3], "--seed", words[5])));
+    String[] arguments = replay.strip().split(" ");
+    assertEquals("status 1", last(dillcross("run", arguments[3], "--seed", arguments[5])));
+    assertEquals("status 1", last(dillcross("shrink", arguments[3], "--seed", arguments[5])));
     List<String> wrong = dillcross("crossings", strict.toString(), "--pairs", "die,nothing");
     assertTrue(
         wrong
@@ -158,7 +160,7 @@
   }
 
   @Test
-  void aDayThatBreaksARuleIsFoundCutAndExplained() throws IOException, InterruptedException {
+  void failingRunIsFoundReducedAndExplained() throws IOException, InterruptedException {
     Path strict =
         Files.writeString(
             folder.resolve("strict.toml"),
@@ -167,18 +169,19 @@
     List<String> swept = dillcross("sweep", strict.toString(), "--seeds", "1..40", "--quiet");
     assertEquals("status 1", last(swept));
     String seed = swept.get(0).split(" +")[1];
-    List<String> day = dillcross("run", strict.toString(), "--seed", seed);
-    assertEquals("status 1", last(day));
-    Path cut = folder.resolve("cut.toml");
+    List<String> run = dillcross("run", strict.toString(), "--seed", seed);
+    assertEquals("status 1", last(run));
+    Path reduced = folder.resolve("cut.toml");
     assertEquals(
         "status 1",
-        last(dillcross("shrink", strict.toString(), "--seed", seed, "--out", cut.toString())));
-    String again = Files.readString(cut).replaceFirst("(?s).*?--seed ([0-9]+).*", "$1");
-    assertEquals("status 1", last(dillcross("run", cut.toString(), "--seed", again)));
-    List<String> story = dillcross("explain", cut.toString(), "--seed", again, "--op", "s0-1");
+        last(dillcross("shrink", strict.toString(), "--seed", seed, "--out", reduced.toString())));
+    String again = Files.readString(reduced).replaceFirst("(?s).*?--seed ([0-9]+).*", "$1");
+    assertEquals("status 1", last(dillcross("run", reduced.toString(), "--seed", again)));
+    List<String> explanation =
+        dillcross("explain", reduced.toString(), "--seed", again, "--op", "s0-1");
     assertTrue(
-        story.get(0).startsWith("op s0-1, seed ")
-            && story.stream().anyMatch(line -> line.contains("ANSWERED")),
-        story.toString());
+        explanation.get(0).startsWith("op s0-1, seed ")
+            && explanation.stream().anyMatch(line -> line.contains("ANSWERED")),
+        explanation.toString());
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/FaultSearch.java
+++ b/emulator/src/test/java/dillcross/emulator/FaultSearch.java
@@ -9,34 +9,36 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays seeds of a scenario from 1 on until one breaks a rule. Loaded by itself beside a planted
- * fault, so it speaks the JDK's types alone.
+ * Runs a scenario with the seeds from 1 on until one breaks a rule. {@link PlantedFault} loads this
+ * class with a class loader of its own, so that its interface uses only types of the JDK.
  */
 public final class FaultSearch implements BiFunction<Path, Long, String> {
-  private static final int AT_A_TIME = 8;
+  private static final int PARALLEL_RUNS = 8;
 
   /**
-   * The first seed that breaks a rule, and which: {@code "seed RULE request: what"}; null where
-   * none does.
+   * Searches the seeds from 1 to {@code max}.
+   *
+   * @return the first seed that breaks a rule, the rule's name and the violation, separated by
+   *     spaces; null if no seed breaks a rule
    */
   @Override
   public String apply(Path file, Long max) {
     try {
       Scenario scenario = ScenarioReader.read(file);
-      for (long from = 1; from <= max; from += AT_A_TIME) {
+      for (long from = 1; from <= max; from += PARALLEL_RUNS) {
         String first =
-            LongStream.range(from, Math.min(max + 1, from + AT_A_TIME))
+            LongStream.range(from, Math.min(max + 1, from + PARALLEL_RUNS))
                 .parallel()
                 .mapToObj(seed -> Simulation.run(scenario, seed))
-                .filter(day -> !day.clean())
+                .filter(result -> !result.clean())
                 .min(java.util.Comparator.comparingLong(Simulation.Result::seed))
                 .map(
-                    day ->
-                        day.seed()
+                    result ->
+                        result.seed()
                             + " "
-                            + day.violations().get(0).rule()
+                            + result.violations().get(0).rule()
                             + " "
-                            + day.violations().get(0))
+                            + result.violations().get(0))
                 .orElse(null);
         if (first != null) {
           return first;
--- a/emulator/src/test/java/dillcross/emulator/MembershipTest.java
+++ b/emulator/src/test/java/dillcross/emulator/MembershipTest.java
@@ -19,57 +19,62 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Memberships in virtual time: all short sequences of three, and many under each fault. */
+/**
+ * The membership protocol in virtual time: all short sequences of steps of three members, and
+ * larger clusters under each fault.
+ */
 class MembershipTest {
-  private static final int DEPTH = 2; // in each build; 3 and 4 by hand, see docs/membership.md
+  private static final int DEPTH =
+      2; // steps in each build; 3 and 4 are run by hand, see docs/membership.md
   @TempDir private Path folder;
 
   @Test
-  void noShortSequenceOfStepsBreaksARule() {
-    AtomicLong played = new AtomicLong();
-    assertNull(Explorer.explore(DEPTH, 11, played));
-    assertEquals(Explorer.sequences(DEPTH), played.get());
+  void shortSequencesOfStepsBreakNoRule() {
+    AtomicLong explored = new AtomicLong();
+    assertNull(Explorer.explore(DEPTH, 11, explored));
+    assertEquals(Explorer.sequences(DEPTH), explored.get());
   }
 
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '|',
       value = {
-        "a refutation that raises nothing | LocalMember | raise(self.boot(), record.incarnation() + 1) | raise(self.boot(), record.incarnation())",
-        "a death that is never declared | MemberEntry | isSuspect() && nowUs >= suspicionDeadlineUs | isSuspect() && nowUs < 0",
-        "an older process taken for the newer | MemberRecord | boot > other.boot | boot < other.boot",
-        "a probe that fails and accuses nobody | RecordMerger | merge(entry.record().withState(MemberState.SUSPECT, local.self().name()), nowUs); | entry.record().withState(MemberState.SUSPECT, local.self().name());",
-        "a pause that is not noticed | PauseDetector | lateUs > toleranceUs | lateUs > Long.MAX_VALUE / 2",
-        "helpers that are not asked | Probe | isOwn() && !isIndirect && nowUs >= indirectAtUs | isOwn() && !isIndirect && nowUs < 0",
-        "a clock gone back that is not made up for | LocalMember | raise(record.boot() + 1, 0) | raise(self.boot(), 0)",
-        "the dead probed and not the living | ProbeTargets | if (entry != null && entry.isLive()) { | if (entry != null && !entry.isLive()) {",
+        "a refutation that does not raise the incarnation | LocalMember | raise(self.boot(), record.incarnation() + 1) | raise(self.boot(), record.incarnation())",
+        "a suspicion that never ends in a death | MemberEntry | isSuspect() && nowUs >= suspicionDeadlineUs | isSuspect() && nowUs < 0",
+        "an older process taken for the newer one | MemberRecord | boot > other.boot | boot < other.boot",
+        "a failed probe that causes no suspicion | RecordMerger | merge(entry.record().withState(MemberState.SUSPECT, local.self().name()), nowUs); | entry.record().withState(MemberState.SUSPECT, local.self().name());",
+        "a pause of the process that is not noticed | PauseDetector | lateUs > toleranceUs | lateUs > Long.MAX_VALUE / 2",
+        "no indirect probes | Probe | isOwn() && !isIndirect && nowUs >= indirectAtUs | isOwn() && !isIndirect && nowUs < 0",
+        "a clock set back that does not raise the boot number | LocalMember | raise(record.boot() + 1, 0) | raise(self.boot(), 0)",
+        "dead members probed instead of live ones | ProbeTargets | if (entry != null && entry.isLive()) { | if (entry != null && !entry.isLive()) {",
         "a member that never probes | ProtocolSchedule | nowUs >= probeAtUs | nowUs < 0",
-        "seeds that are never asked | Reconnector | Math.min(wanted, lost.size()) | 0",
-        "a refutation that is not believed | MemberRecord | incarnation > other.incarnation | incarnation < other.incarnation"
+        "seeds that are never contacted again | Reconnector | Math.min(wanted, lost.size()) | 0",
+        "a refutation that is not accepted | MemberRecord | incarnation > other.incarnation | incarnation < other.incarnation"
       })
-  void aPlantedFaultIsFound(String name, String file, String text, String instead)
+  void aPlantedFaultIsFound(String name, String file, String original, String replacement)
       throws Exception {
     String found = null;
-    try (URLClassLoader own =
-        PlantedFault.loader(folder, "membership/" + file + ".java", text, instead)) {
+    try (URLClassLoader loader =
+        PlantedFault.loader(folder, "membership/" + file + ".java", original, replacement)) {
       @SuppressWarnings("unchecked")
       IntFunction<String> search =
           (IntFunction<String>)
-              own.loadClass(MembershipSearch.class.getName())
+              loader
+                  .loadClass(MembershipSearch.class.getName())
                   .getDeclaredConstructor()
                   .newInstance();
       for (int depth = 1; depth <= 3 && found == null; depth++) {
         found = search.apply(depth);
       }
     }
-    assertNotNull(found, "no sequence of 3 steps shows it");
+    assertNotNull(found, "no sequence of up to 3 steps reveals the fault");
     System.out.println("planted: " + name + " | " + found);
   }
 
   @ParameterizedTest
   @EnumSource(MembershipTrial.Fault.class)
-  void twentyFourFindWhoDiedAndAgreeInTheEnd(MembershipTrial.Fault fault) {
-    MembershipTrial.Result result = MembershipTrial.play(24, fault, 5);
+  void clusterDetectsDeathsAndConvergesUnderEachFault(MembershipTrial.Fault fault) {
+    MembershipTrial.Result result = MembershipTrial.run(24, fault, 5);
     assertTrue(result.convergedMs() >= 0, result::toString);
     assertTrue(result.detectMs().size() > 0, result::toString);
     if (fault == MembershipTrial.Fault.NONE
@@ -80,32 +85,32 @@
   }
 
   @Test
-  void theSameSeedPlaysTheSame() {
+  void sameSeedGivesTheSameResult() {
     assertEquals(
-        MembershipTrial.play(16, MembershipTrial.Fault.ALL, 3).toString(),
-        MembershipTrial.play(16, MembershipTrial.Fault.ALL, 3).toString());
+        MembershipTrial.run(16, MembershipTrial.Fault.ALL, 3).toString(),
+        MembershipTrial.run(16, MembershipTrial.Fault.ALL, 3).toString());
   }
 
   @Test
-  void aWordOfAnotherPartComesToAllAndTheNewestHolds() {
+  void publishedPayloadReachesAllMembersInItsNewestVersion() {
     MembershipCluster cluster = new MembershipCluster(40, 3, 1, 1_000_000, 400, 9);
     for (int i = 0; i < 40; i++) {
       cluster.start(i, 0);
     }
-    cluster.pass(30_000_000);
-    cluster.of(7).publish(cluster.now(), 2, new byte[] {1});
-    cluster.of(7).publish(cluster.now(), 2, new byte[] {2});
-    cluster.pass(30_000_000);
+    cluster.advance(30_000_000);
+    cluster.membership(7).publish(cluster.now(), 2, new byte[] {1});
+    cluster.membership(7).publish(cluster.now(), 2, new byte[] {2});
+    cluster.advance(30_000_000);
     for (int i = 0; i < 40; i++) {
-      assertEquals(MemberState.ALIVE, i == 7 ? MemberState.ALIVE : cluster.holds(i, 7));
+      assertEquals(MemberState.ALIVE, i == 7 ? MemberState.ALIVE : cluster.stateSeenBy(i, 7));
       assertTrue(
           i == 7
-              || (cluster.of(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
-                  && cluster.of(i).payload("s7", 2).orElseThrow().version() == 2));
+              || (cluster.membership(i).payload("s7", 2).orElseThrow().bytes()[0] == 2
+                  && cluster.membership(i).payload("s7", 2).orElseThrow().version() == 2));
     }
     cluster.kill(9);
-    cluster.start(9, 0); // who comes later hears of it as well
-    cluster.pass(30_000_000);
-    assertEquals(2, cluster.of(9).payload("s7", 2).orElseThrow().bytes()[0]);
+    cluster.start(9, 0); // a member that joins later receives the payload as well
+    cluster.advance(30_000_000);
+    assertEquals(2, cluster.membership(9).payload("s7", 2).orElseThrow().bytes()[0]);
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/PlantedFault.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedFault.java
@@ -19,29 +19,40 @@
 import javax.tools.ToolProvider;
 
 /**
- * The program with one line of the sidecar's source changed, recompiled and loaded beside the
- * unchanged program.
+ * Compiles one source file of the sidecar with a fault in it, and loads it with all other classes
+ * of the program, separate from the unchanged ones.
  */
 final class PlantedFault {
   private static final Path SOURCES = Path.of("../sidecar/src/main/java/dillcross");
 
+  /** A word or a punctuation character of Java source. */
   private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
 
   private PlantedFault() {}
 
-  static URLClassLoader loader(Path folder, String file, String text, String instead)
+  /**
+   * Plants a fault.
+   *
+   * @param folder directory for the changed source and its classes
+   * @param file path of the source below {@code dillcross/}
+   * @param original text to replace, which occurs once in the file; line breaks may differ
+   * @param replacement text with the fault
+   * @return a class loader for the program with the fault
+   */
+  static URLClassLoader loader(Path folder, String file, String original, String replacement)
       throws IOException {
     String source = Files.readString(SOURCES.resolve(file));
-    Pattern pattern = withAnyLineBreaks(text);
+    Pattern pattern = withAnyLineBreaks(original);
     assertEquals(
         1,
         pattern.matcher(source).results().count(),
-        "the text that the fault changes stands once in " + file);
-    compile(folder, file, pattern.matcher(source).replaceFirst(Matcher.quoteReplacement(instead)));
+        "occurrences of the original text in " + file);
+    compile(
+        folder, file, pattern.matcher(source).replaceFirst(Matcher.quoteReplacement(replacement)));
     return loader(folder);
   }
 
-  /** The same tokens in the same order, however the formatter breaks the lines between them. */
+  /** Matches the tokens of the text in order, with any white space between them. */
   private static Pattern withAnyLineBreaks(String text) {
     return Pattern.compile(
         TOKEN
@@ -73,11 +84,11 @@
                   null,
                   files.getJavaFileObjects(changed))
               .call(),
-          "the changed text compiles");
+          "the changed source compiles");
     }
   }
 
-  /** Loads all of dillcross itself, the changed classes first. */
+  /** Loads all dillcross classes itself instead of from its parent, the changed ones first. */
   private static URLClassLoader loader(Path folder) throws MalformedURLException {
     List<URL> urls = new ArrayList<>(List.of(folder.resolve("classes").toUri().toURL()));
     for (String path : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Faults planted in the sidecar's own source: one line is changed, that file recompiled, and the
- * scenario run with it. The oracle has to find each within 200 seeds.
+ * Mutation test of the oracle: replaces some code of the sidecar by faulty code, recompiles that
+ * file, and runs a scenario with it. The oracle must detect each fault within 200 seeds.
  */
 class PlantedTest {
   private static final Path SCENARIOS = Path.of("../scenarios");
-  private static final long MOST = 200;
+  private static final long MAX_SEEDS = 200;
   @TempDir private Path folder;
 
   static Stream<Arguments> faults() {
@@ -57,7 +57,7 @@
             "state.updateListing(isUp || isRetained || state.isListed() && entry.health() == Endpoint.Health.DRAINING);",
             "DRAIN_KEPT"),
         fault(
-            "a watch that falls silent unnoticed",
+            "a silent watch that is not noticed",
             "net/discovery/DiscoveryClient.java",
             "nowUs + WatchTimings.WATCH_US + WatchTimings.GRACE_US);",
             "nowUs + WatchTimings.WATCH_US + 20 * WatchTimings.GRACE_US);",
@@ -98,7 +98,7 @@
             "ONE_ANSWER BACK_TO_REST",
             "pauses.toml"),
         fault(
-            "a broken attempt taken for one that never ran",
+            "a broken attempt treated as one that never ran",
             "sidecar/AttemptResult.java",
             "case CONNECTION_BROKEN -> ifWritten(AttemptOutcome.RESET);",
             "case CONNECTION_BROKEN -> AttemptOutcome.CONNECT_FAILED;",
@@ -110,13 +110,13 @@
             "return (isUnused || isExchangeOver || kind == AttemptResult.Kind.ABANDONED) && !connection.hasInputEnded();",
             "TRUE_CONTENT"),
         fault(
-            "an attempt too many",
+            "one attempt above the maximum",
             "balancer/AttemptPolicy.java",
             "return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts();",
             "return request.isBodyReleased() ? 1 : request.retryPolicy.maxAttempts() + 1;",
             "PUSH_LIMIT"),
         fault(
-            "a rejection of what may have run",
+            "a rejection of a request that may have run",
             "balancer/DuplicateGuard.java",
             "return !request.mayHaveRun() ||",
             "return request != null ||",
@@ -141,7 +141,7 @@
             "NO_EFFECT_TWICE NOTHING_AFTER",
             "heals.toml"),
         fault(
-            "a time that begins when an endpoint takes the last byte",
+            "a request timeout that starts when the last byte is forwarded",
             "net/connection/HttpConnectionCodec.java",
             "if (connection.isServerSide() && connection.parser().hasRestArrived(connection.in())) {",
             "if (connection.isServerSide() && connection.parser().fault() < 0) {",
@@ -154,49 +154,57 @@
             "NO_EFFECT_TWICE",
             "heals.toml"),
         fault(
-            "memory that a closed connection takes",
+            "a closed connection that reserves memory",
             "net/buffer/RingBuffer.java",
             "isStarved = isReleased || !budget",
             "isStarved = !budget",
             "BACK_TO_REST",
             "bodies.toml"),
         fault(
-            "a rejection that is held back",
+            "a rejection that is delayed",
             "balancer/RequestQueue.java",
             "return request.arrivalUs + (long) waitUs;",
             "return request.deadlineUs() - 20_000;",
             "NOT_HELD",
             "overload.toml"),
         fault(
-            "a timer that is forgotten",
+            "a timer that expires late",
             "sidecar/RequestCoordinator.java",
             "return timers.nextDueUs();",
             "return timers.nextDueUs() == Long.MAX_VALUE ? Long.MAX_VALUE : timers.nextDueUs() + 150_000;",
             "IN_TIME"));
   }
 
-  private static Arguments fault(String name, String file, String is, String was, String rules) {
-    return fault(name, file, is, was, rules, "mixed.toml");
+  private static Arguments fault(
+      String name, String file, String original, String replacement, String rules) {
+    return fault(name, file, original, replacement, rules, "mixed.toml");
   }
 
+  /** A fault, the rules of which it may break one, separated by spaces, and the scenario to run. */
   private static Arguments fault(
-      String name, String file, String text, String instead, String rules, String scenario) {
-    return Arguments.of(name, file, text, instead, rules, scenario);
+      String name,
+      String file,
+      String original,
+      String replacement,
+      String rules,
+      String scenario) {
+    return Arguments.of(name, file, original, replacement, rules, scenario);
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("faults")
-  void isFound(String name, String file, String text, String instead, String rules, String scenario)
+  void oracleDetectsFault(
+      String name, String file, String original, String replacement, String rules, String scenario)
       throws Exception {
     String found;
-    try (URLClassLoader own = PlantedFault.loader(folder, file, text, instead)) {
+    try (URLClassLoader loader = PlantedFault.loader(folder, file, original, replacement)) {
       @SuppressWarnings("unchecked")
-      BiFunction<Path, Long, String> hunt =
+      BiFunction<Path, Long, String> search =
           (BiFunction<Path, Long, String>)
-              own.loadClass(FaultSearch.class.getName()).getDeclaredConstructor().newInstance();
-      found = hunt.apply(SCENARIOS.resolve(scenario), MOST);
+              loader.loadClass(FaultSearch.class.getName()).getDeclaredConstructor().newInstance();
+      found = search.apply(SCENARIOS.resolve(scenario), MAX_SEEDS);
     }
-    assertNotNull(found, "none of " + MOST + " seeds of " + scenario + " breaks a rule");
+    assertNotNull(found, "no rule broken with seeds 1 to " + MAX_SEEDS + " of " + scenario);
     System.out.println(
         "planted: " + name + " | " + file + " | " + scenario + " | found by seed " + found);
     assertTrue(List.of(rules.split(" ")).contains(found.split(" ")[1]), found);
--- a/emulator/src/test/java/dillcross/emulator/SweepTest.java
+++ b/emulator/src/test/java/dillcross/emulator/SweepTest.java
@@ -26,25 +26,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The fixed seeds that every build plays, and that a day is the same however it is played. */
+/**
+ * Runs the scenarios with fixed seeds, in which no rule may be broken, and checks that runs are
+ * deterministic and that failing ones can be reduced.
+ */
 class SweepTest {
   private static final Path SCENARIOS = Path.of("../scenarios");
   private static final int JOBS = Math.max(2, Runtime.getRuntime().availableProcessors());
 
-  static Stream<Path> alone() throws IOException {
+  static Stream<Path> singleFaultScenarios() throws IOException {
     try (Stream<Path> all = Files.list(SCENARIOS.resolve("alone"))) {
       return all.sorted().toList().stream();
     }
   }
 
-  private static Sweep.Result clean(Path file, long to)
+  /** Runs the seeds from 1 to {@code to} and asserts that none breaks a rule. */
+  private static Sweep.Result assertClean(Path file, long to)
       throws InvalidScenarioException, InterruptedException {
     List<String> broken = new ArrayList<>();
     Sweep.Result all =
         new Sweep(
                 ScenarioReader.read(file),
                 JOBS,
-                day -> day.violations().forEach(v -> broken.add("seed " + day.seed() + " " + v)))
+                result ->
+                    result.violations().forEach(v -> broken.add("seed " + result.seed() + " " + v)))
             .run(1, to);
     assertEquals(List.of(), broken, file.toString());
     assertEquals(to, all.seeds());
@@ -52,18 +57,18 @@
   }
 
   @Test
-  void everythingAtOnce() throws InvalidScenarioException, InterruptedException {
-    assertTrue(clean(SCENARIOS.resolve("mixed.toml"), 300).requests() > 100_000);
+  void allFaultsTogetherBreakNoRule() throws InvalidScenarioException, InterruptedException {
+    assertTrue(assertClean(SCENARIOS.resolve("mixed.toml"), 300).requests() > 100_000);
   }
 
   @ParameterizedTest
-  @MethodSource("alone")
-  void eachFaultAlone(Path file) throws InvalidScenarioException, InterruptedException {
-    clean(file, 12);
+  @MethodSource("singleFaultScenarios")
+  void eachFaultAloneBreaksNoRule(Path file) throws InvalidScenarioException, InterruptedException {
+    assertClean(file, 12);
   }
 
   @Test
-  void calmOverloadSlowStartAndHedges() throws InvalidScenarioException, InterruptedException {
+  void eachScenarioBreaksNoRule() throws InvalidScenarioException, InterruptedException {
     for (String name :
         List.of(
             "calm",
@@ -77,19 +82,21 @@
             "gone",
             "throng-5",
             "pauses")) {
-      clean(SCENARIOS.resolve(name + ".toml"), 40);
+      assertClean(SCENARIOS.resolve(name + ".toml"), 40);
     }
     Simulation.Result calm = Simulation.run(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1);
-    assertEquals(calm.requests(), calm.succeeded(), "nothing is lost where nothing goes wrong");
+    assertEquals(calm.requests(), calm.succeeded(), "without faults, all requests succeed");
   }
 
-  /** Days that broke a rule once, cut to what mattered: the seed is named in each. */
+  /**
+   * Regression scenarios: runs that once broke a rule, reduced, with the seed in the first comment.
+   */
   @Test
-  void whatWasFoundStaysMended() throws InvalidScenarioException, IOException {
+  void regressionScenariosBreakNoRule() throws InvalidScenarioException, IOException {
     try (Stream<Path> all = Files.list(SCENARIOS.resolve("found"))) {
       for (Path file : all.sorted().toList()) {
         Matcher seed = Pattern.compile("--seed ([0-9]+)").matcher(Files.readString(file));
-        assertTrue(seed.find(), file + " names no seed");
+        assertTrue(seed.find(), file + " has no comment with --seed");
         assertEquals(
             List.of(),
             Simulation.run(ScenarioReader.read(file), Long.parseLong(seed.group(1))).violations(),
@@ -99,7 +106,7 @@
   }
 
   @Test
-  void theSameSeedIsTheSameDayToTheByte() throws InvalidScenarioException {
+  void sameSeedGivesTheSameTrace() throws InvalidScenarioException {
     Scenario mixed = ScenarioReader.read(SCENARIOS.resolve("mixed.toml"));
     var drawn =
         dillcross.emulator.simulation.FaultInjector.draw(
@@ -119,23 +126,22 @@
   }
 
   @Test
-  void howManyAreAtWorkChangesNothing() throws InvalidScenarioException, InterruptedException {
+  void resultsDoNotDependOnTheNumberOfThreads()
+      throws InvalidScenarioException, InterruptedException {
     Scenario mixed = ScenarioReader.read(SCENARIOS.resolve("mixed.toml"));
     List<Long> order = new ArrayList<>();
-    String alone = new Sweep(mixed, 1, day -> {}).run(5, 30).digest();
-    assertEquals(alone, new Sweep(mixed, 7, day -> order.add(day.seed())).run(5, 30).digest());
+    String alone = new Sweep(mixed, 1, result -> {}).run(5, 30).digest();
+    assertEquals(
+        alone, new Sweep(mixed, 7, result -> order.add(result.seed())).run(5, 30).digest());
     assertEquals(
         java.util.stream.LongStream.rangeClosed(5, 30).boxed().toList(),
         order,
-        "they are told of in order");
+        "results are reported in the order of their seeds");
   }
 
-  /**
-   * Where the oracle allows nothing, days fail: they can be cut, and what is left fails again in
-   * the same way.
-   */
+  /** With an answer slack of 0 some runs fail; one is reduced, and the reduced run fails alike. */
   @Test
-  void aFailingDayIsCutToWhatMatters() throws InvalidScenarioException, IOException {
+  void failingRunIsReducedAndExplained() throws InvalidScenarioException, IOException {
     String text =
         Files.readString(SCENARIOS.resolve("mixed.toml"))
             .replaceFirst("\n\\[\\[trouble", "\n[rules]\nanswer_slack_ms = 0\n\n[[trouble");
@@ -144,20 +150,23 @@
     while (Simulation.run(strict, seed).clean()) {
       seed++;
     }
-    Shrink.Result few = Shrink.of(strict, seed, said -> {});
-    assertTrue(few.faults().size() < few.before() / 2, few.faults().size() + " of " + few.before());
-    Scenario back = ScenarioReader.parse("cut", Shrink.write(text, few));
-    Simulation.Result again = Simulation.run(back, few.seed());
+    Shrink.Result reduced = Shrink.of(strict, seed, message -> {});
+    assertTrue(
+        reduced.faults().size() < reduced.before() / 2,
+        reduced.faults().size() + " of " + reduced.before());
+    Scenario reread = ScenarioReader.parse("cut", Shrink.write(text, reduced));
+    Simulation.Result again = Simulation.run(reread, reduced.seed());
     assertTrue(
-        again.violations().stream().anyMatch(v -> v.rule() == few.rule()),
+        again.violations().stream().anyMatch(v -> v.rule() == reduced.rule()),
         again.violations().toString());
-    List<String> story = Explain.of(back, few.seed(), null);
+    List<String> explanation = Explain.of(reread, reduced.seed(), null);
     assertTrue(
-        story.get(0).startsWith("op ") && story.get(story.size() - 1).startsWith("broke: "),
-        story.toString());
+        explanation.get(0).startsWith("op ")
+            && explanation.get(explanation.size() - 1).startsWith("broke: "),
+        explanation.toString());
     assertNull(
-        Shrink.of(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1, said -> {}),
-        "a clean day has nothing to cut");
-    assertEquals(List.of(), Explain.of(back, few.seed(), "none"));
+        Shrink.of(ScenarioReader.read(SCENARIOS.resolve("calm.toml")), 1, message -> {}),
+        "a run that breaks no rule cannot be reduced");
+    assertEquals(List.of(), Explain.of(reread, reduced.seed(), "none"));
   }
 }
--- a/emulator/src/test/java/dillcross/emulator/oracle/OracleFixture.java
+++ b/emulator/src/test/java/dillcross/emulator/oracle/OracleFixture.java
@@ -3,7 +3,7 @@
 import dillcross.emulator.scenario.Scenario;
 import java.util.List;
 
-/** An oracle with its own clock, and requests with easily checked figures. */
+/** The rules of an oracle with a clock that tests advance, and requests with round time limits. */
 final class OracleFixture {
   static final int SIDECAR = 0;
   static final String PROCESS = "s0#1";
--- a/emulator/src/test/java/dillcross/emulator/oracle/OracleRulesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/oracle/OracleRulesTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Each group of rules by itself: what it permits, and the smallest thing that breaks it. */
+/** Each group of rules: permitted behaviour up to its limit, and the smallest violation. */
 class OracleRulesTest {
   private static final int OK = 200;
   private static final int REJECTED = 503;
