--- a/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/EmulateCommand.java
@@ -157,8 +157,8 @@
           total.requests(),
           values[0] / Math.max(1e-9, values[1]));
       System.out.println(total.digest());
-      System.out.println("seeds " + total.seeds() + " violations " + total.broken());
-      return total.broken() == 0 ? EXIT_CLEAN : EXIT_RULES_BROKEN;
+      System.out.println("seeds " + total.seeds() + " violations " + total.violations());
+      return total.violations() == 0 ? EXIT_CLEAN : EXIT_RULES_BROKEN;
     }
 
     @Command(
--- a/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
@@ -61,7 +61,10 @@
   private static final long INTERVAL_US = 1_000_000;
   private static final long LONG_FAULT_US =
       25 * INTERVAL_US; // longer than any suspicion among three members
+
+  /** Time after the last fault at which all tables must be correct. */
   private static final long CONVERGENCE_US = 90 * INTERVAL_US;
+
   private static final long LATENCY_US = 1000;
   private static final int MAX_ITERATIONS = 50_000; // far more than the longest run takes
 
@@ -69,10 +72,13 @@
   private record PacketInFlight(int from, int to, Packet packet, long atUs) {}
 
   private final Membership[] members = new Membership[MEMBERS]; // null for a crashed member
+
+  /** The boot number of each member's newest process, and its own incarnation number. */
   private final long[] boots = new long[MEMBERS];
+
   private final long[] incarnations = new long[MEMBERS];
   private final boolean[] paused = new boolean[MEMBERS];
-  private final boolean[][] cut = new boolean[MEMBERS][MEMBERS]; // by sender and receiver
+  private final boolean[][] cut = new boolean[MEMBERS][MEMBERS]; // from sender to receiver
 
   /** The newest boot number in an observer's table, by the observer's process and the subject. */
   private final Map<String, Long> newestBoots = new HashMap<>();
@@ -89,7 +95,7 @@
    */
   private boolean hasIsolated;
 
-  private String violation; // description of the first broken rule; null while none is broken
+  private String violation; // describes a broken rule; null while none is broken
 
   private Explorer(long seed) {
     this.seed = seed;
--- a/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
@@ -35,10 +35,10 @@
   private static final class Node {
     final int number;
     Membership membership; // null while the process does not run
-    long boot;
-    long pausedUntilUs; // 0 if never paused
+    long boot; // start of the process by its wall clock in µs, at least 1
+    long pausedUntilUs; // 0 if not paused since the process started
     final List<Incoming> received = new ArrayList<>(); // datagrams that arrived during a pause
-    long wakeUs = Long.MAX_VALUE; // the timer in effect; Long.MAX_VALUE if none
+    long wakeUs = Long.MAX_VALUE; // when the timer in effect expires; MAX_VALUE if none
 
     Node(int number) {
       this.number = number;
--- a/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
@@ -22,7 +22,7 @@
     NONE,
     /** 30 % of the datagrams are lost; others are delayed or duplicated. */
     LOSS30,
-    /** Every second member receives nothing from one other member. */
+    /** Every second member receives nothing from the member after it. */
     ONE_WAY,
     /** The cluster is partitioned into two halves for 2 s of every 4 s. */
     FLAPPING_CUT,
--- a/emulator/src/main/java/dillcross/emulator/oracle/DuplicateRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/DuplicateRules.java
@@ -8,7 +8,8 @@
 
 /**
  * Rules that work with side effects is executed once: at-most-once work is sent again only if the
- * first attempt cannot run, and keyed work only to endpoints that still recognise the repeat.
+ * first attempt cannot run, and deduplicated work only to endpoints that still recognise the
+ * repeat.
  */
 final class DuplicateRules {
   private static final String IDEMPOTENT = "idempotent";
--- a/emulator/src/main/java/dillcross/emulator/oracle/Violation.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/Violation.java
@@ -22,7 +22,7 @@
     IN_TIME("an answer within the TTL"),
     /** No attempt is sent after the answer, the deadline or the client's close. */
     NOTHING_AFTER("nothing sent after the answer"),
-    /** Work with an effect is not carried out twice. */
+    /** Work with side effects is not executed twice. */
     NO_EFFECT_TWICE("no effect twice"),
     /** A request has at most the configured number of attempts. */
     PUSH_LIMIT("no more pushes than allowed"),
--- a/emulator/src/main/java/dillcross/emulator/search/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Crossings.java
@@ -22,14 +22,16 @@
  * together with the one before, one event loop iteration later, or when that one ends.
  */
 public final class Crossings {
-  /**
-   * Duration of the warm-up, from the start of a run to the first arrival, from which faults count.
-   */
+  /** Time in µs from the start of a run to its first arrival, to which fault times are relative. */
   private static final long WARM_UP_US = 1_000_000;
 
   private static final long FAULT_DURATION_US = 300_000;
 
-  /** Trace events at which a first fault can start, from the client's send to its response. */
+  /**
+   * Trace events at which the first fault can start: a client sends a request, an attempt reaches
+   * an endpoint, the endpoint starts to execute it, the endpoint responds, the client has its
+   * answer.
+   */
   private static final List<String> STAGES = List.of("ask", "push", "begin", "reply", "answer");
 
   /** A fault kind with one of its modes; the mode is null for a kind without modes. */
@@ -168,6 +170,7 @@
 
   private Case newCase(String stage, List<Variant> variants, List<Offset> offsets) {
     List<Moment> moments = momentsByStage.get(stage);
+    // The stride spreads successive cases over the moments of the run.
     Moment moment = moments.get((int) (createdCases++ * 7919L % moments.size()));
     List<Drawn> faults = new ArrayList<>();
     StringBuilder name = new StringBuilder(scenario.name() + " " + stage);
--- a/emulator/src/main/java/dillcross/emulator/search/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Sweep.java
@@ -20,7 +20,7 @@
    * Totals over all runs.
    *
    * @param seeds number of runs
-   * @param broken number of rule violations
+   * @param violations number of rule violations
    * @param steps number of events that ran on the virtual clocks
    * @param requests number of requests, including retries
    * @param iterations number of event loop iterations of all sidecars
@@ -30,7 +30,7 @@
    */
   public record Result(
       long seeds,
-      long broken,
+      long violations,
       long steps,
       long requests,
       long iterations,
@@ -48,7 +48,7 @@
   private final Consumer<Simulation.Result> listener;
   private long nextSeed; // the smallest seed that has not been reported
   private long seeds;
-  private long broken;
+  private long violations;
   private long steps;
   private long requests;
   private long iterations;
@@ -88,7 +88,7 @@
                               permits.release(complete(Simulation.run(scenario, s)));
                               permits.acquire();
                             }
-                            permits.release(1); // acquired for a run that this thread did not start
+                            permits.release(1); // the one for a run that was not started
                             return null;
                           }))
               .toList();
@@ -102,7 +102,7 @@
     }
     return new Result(
         seeds,
-        broken,
+        violations,
         steps,
         requests,
         iterations,
@@ -124,7 +124,7 @@
         nextSeed++, reported++) {
       digest.update(one.digest().getBytes(StandardCharsets.US_ASCII));
       seeds++;
-      broken += one.violationCount();
+      violations += one.violationCount();
       steps += one.steps();
       requests += one.requests();
       iterations += one.iterations();
--- a/emulator/src/test/java/dillcross/emulator/EmulateIT.java
+++ b/emulator/src/test/java/dillcross/emulator/EmulateIT.java
@@ -123,13 +123,13 @@
   @Test
   void failingCombinationIsPrintedWithTheCommandThatRepeatsIt()
       throws IOException, InterruptedException {
+    // Without slack, an answer that is one event loop iteration late breaks a rule.
     Path strict =
         Files.writeString(
             folder.resolve("strict.toml"),
             Files.readString(Path.of("../scenarios/crossings.toml"))
                     .replace("start_ms = [50, 200]", "start_ms = [50, 200]\nturn_us = 20000")
-                + "\n[rules]\nanswer_slack_ms = 0\n"); // without slack, one late event loop
-    // iteration breaks a rule
+                + "\n[rules]\nanswer_slack_ms = 0\n");
     Path out = folder.resolve("out");
     List<String> found =
         dillcross(
--- a/emulator/src/test/java/dillcross/emulator/PackagesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PackagesTest.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Clients, endpoints and the discovery service read HTTP with code of their own; only what runs
-   * the sidecar itself, and the simulation that reads its usage, may depend on it.
+   * Clients, endpoints and the discovery service read HTTP with code of their own; only the classes
+   * that run the sidecar, and the simulation, which reads its usage, may depend on it.
    */
   @Test
   void simulatedPeersDoNotDependOnTheSidecar() {
