--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -20,18 +20,31 @@
   /** Attempts in flight per endpoint that all sidecars together allow until traffic is measured. */
   static final double INITIAL_LIMIT_PER_ENDPOINT = 3;
 
-  private static final double QUEUE_FACTOR = 3.6; // higher: longer queues at the endpoints
-  private static final double SMALL_LIMIT = 3; // bursts may exceed a larger limit at any time
+  // Limit without a slowdown, as a multiple of the concurrency without queueing; higher: longer
+  // queues at the endpoints.
+  private static final double QUEUE_FACTOR = 3.6;
 
-  // Fraction of the traffic meter's time span from which traffic counts as measured.
+  // Limit, in attempts, above which a burst may exceed the limit even while the mean number of
+  // attempts in flight exceeds it too.
+  private static final double SMALL_LIMIT = 3;
+
+  // Measured fraction of the traffic meter's time span from which the smallest limit is no longer
+  // INITIAL_LIMIT_PER_ENDPOINT.
   private static final double KNOWN_COVERAGE = 0.6;
 
-  // Smallest fraction of that span from which traffic is extrapolated to the whole span.
+  // Traffic measured during a fraction of the traffic meter's time span is extrapolated to the
+  // whole span, at most by the inverse of this fraction.
   private static final double MIN_COVERAGE = 0.2;
 
   private static final double SLOWDOWN_EXPONENT = 3; // higher: load falls faster in overload
-  private static final double BURST_FRACTION = 0.5; // of the limit's excess over SMALL_LIMIT
-  private static final double UNUSED_FACTOR = 2; // of the limit less the mean in flight
+
+  // Fraction of the excess of a limit over SMALL_LIMIT by which a burst may exceed the limit at
+  // any time.
+  private static final double BURST_FRACTION = 0.5;
+
+  // Multiple, of the limit less the mean number of attempts in flight, by which a burst may exceed
+  // the limit.
+  private static final double UNUSED_FACTOR = 2;
 
   // Attempts in flight per endpoint, by all sidecars together, up to which the load is negligible.
   private static final double IDLE_PER_ENDPOINT = 0.5;
@@ -71,9 +84,10 @@
   }
 
   /**
-   * Whether an attempt of the request may be sent now. A burst may exceed the limit by up to its
-   * square root while the mean is below it, and at any time if the limit is above {@link
-   * #SMALL_LIMIT}; a small limit is lowered while the mean is above it.
+   * Whether an attempt of the request may be sent now. While the mean number of attempts in flight
+   * is below the limit, a burst may exceed the limit by up to its square root. While the mean is
+   * above the limit, a limit below {@link #SMALL_LIMIT} is lowered, and a larger one may still be
+   * exceeded by a smaller burst.
    */
   boolean admits(Request request, long nowUs) {
     double limit = concurrencyLimit(nowUs) * limitFactor(request);
@@ -86,9 +100,9 @@
   }
 
   /**
-   * The multiple of the limit that the request may use, by its relative value. A sidecar with
-   * little traffic hardly ever has two requests waiting, so their ranks alone would not prefer
-   * valuable ones.
+   * The multiple of the concurrency limit that the request may use, by its relative value. Ranks in
+   * the queue alone would not prefer valuable requests, because a sidecar with little traffic
+   * hardly ever has two waiting.
    */
   private static double limitFactor(Request request) {
     return Clamp.between(MIN_LIMIT_FACTOR, request.relativeValue(), MAX_LIMIT_FACTOR);
--- a/sidecar/src/main/java/dillcross/balancer/Attempt.java
+++ b/sidecar/src/main/java/dillcross/balancer/Attempt.java
@@ -4,8 +4,9 @@
 
 /**
  * Keeps the state of one attempt of a request at one endpoint. {@link InFlightTracker} changes
- * whether the attempt counts as load, as silent, or as on a suspect connection; {@link
- * Request#endAttempt} ends it.
+ * whether the attempt counts as load, as silent (overdue at an endpoint that has answered nothing
+ * meanwhile), or as on a suspect connection (one that seems dead); {@link Request#endAttempt} ends
+ * it.
  */
 final class Attempt {
   final Request request;
@@ -23,8 +24,8 @@
   }
 
   /**
-   * When the attempt was sent, in microseconds; if the request's body was complete only later, when
-   * it was complete.
+   * When the attempt was sent, in microseconds; if the request's body was complete only later, the
+   * time at which the body was complete.
    */
   long sentUs() {
     return sentUs;
@@ -64,7 +65,10 @@
     return isConnectionSuspect;
   }
 
-  /** Counts the attempt as load from now on, when the endpoint has the complete request. */
+  /**
+   * Counts the attempt as load from {@code nowUs} on, the time at which the endpoint has the
+   * complete request.
+   */
   void startLoad(long nowUs) {
     countsAsLoad = true;
     sentUs = nowUs;
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDeadline.java
@@ -35,8 +35,8 @@
 
   /**
    * Whether an attempt of the request has to end once it is overdue, so that a retry can replace
-   * it: if hedging is not allowed, a silent endpoint would otherwise hold the request until its
-   * deadline.
+   * it: if hedging is not allowed, an endpoint that does not respond would otherwise hold the
+   * request until its deadline.
    */
   private static boolean mustEndWhenOverdue(Request request) {
     return !request.retryPolicy.hedgingAllowed()
--- a/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptDispatcher.java
@@ -47,7 +47,8 @@
    * Sends the request to the endpoint if every rule permits it. Returns whether it was sent.
    *
    * @param endpoint the endpoint that was chosen; null if none was found, so that nothing is sent
-   * @param onProbation whether the attempt is the ejected endpoint's one on probation
+   * @param onProbation whether the attempt is the single one that tests whether the ejected
+   *     endpoint has recovered
    */
   boolean send(Request request, EndpointState endpoint, boolean onProbation, long nowUs) {
     if (endpoint == null || !permits(request, endpoint, nowUs)) {
@@ -75,8 +76,8 @@
   }
 
   /**
-   * Counts the attempt as load and watches it for silence from now on, when the endpoint has the
-   * complete request.
+   * Counts the attempt as load and watches for a missing response from {@code nowUs} on, the time
+   * at which the endpoint has the complete request.
    */
   void countAsLoad(Attempt attempt, long nowUs) {
     inFlight.start(attempt, nowUs);
--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -7,13 +7,14 @@
  * and what retries and hedges cost.
  *
  * <p>Inputs are the request's retry policy, its earlier attempts and whether its body can be sent
- * again; {@link DuplicateGuard} decides where a repeat can't take effect twice and {@link
- * RetryBudget} whether it is affordable. Prices are in attempts of that budget.
+ * again; {@link DuplicateGuard} decides where a repeat can't take effect twice and
+ * {@link RetryBudget} whether it is affordable. Prices are in attempts, the unit of that budget.
  */
 final class AttemptPolicy {
   private static final double RETRY_PRICE = 1;
 
-  // Price of a retry after an attempt that never ran, which cost its endpoint little.
+  // Price, in attempts, of a retry after an attempt that never ran and so cost its endpoint
+  // little.
   private static final double NEVER_RAN_PRICE = 0.25;
 
   private static final double HEDGE_PRICE = 1;
@@ -42,7 +43,7 @@
         && duplicates.isHarmless(request, endpoint, nowUs);
   }
 
-  /** Whether the client has no final answer yet and the deadline has not passed. */
+  /** Whether the client has no answer yet and the request's deadline has not passed. */
   private static boolean isUnanswered(Request request, long nowUs) {
     return !request.isOver()
         && request.streaming() == null
@@ -87,17 +88,17 @@
   }
 
   /**
-   * Adds to the retry budget for a first attempt that was sent; {@code recentRequests}, a decaying
-   * count of requests, bounds the budget.
+   * Adds to the retry budget for a first attempt that was sent; {@code recentRequests}, the count
+   * of {@link DemandTracker#recentRequests}, bounds the budget.
    */
   void recordFirstAttempt(double recentRequests) {
     budget.earn(recentRequests);
   }
 
   /**
-   * How long after the attempt in flight was sent a hedge is due, in microseconds: as late as
-   * leaves the hedge time to be answered within the latency objective, or practically never if
-   * there is no objective for tail latency.
+   * How long after the attempt in flight was sent a hedge is due, in microseconds: the longest
+   * delay that leaves the hedge time to be answered within the latency objective, but not before
+   * most answers arrive. Practically never if there is no objective for tail latency.
    */
   long hedgeAfterUs(Request request) {
     if (objective.tailWeight() == 0) {
--- a/sidecar/src/main/java/dillcross/balancer/DecayingAverage.java
+++ b/sidecar/src/main/java/dillcross/balancer/DecayingAverage.java
@@ -17,7 +17,7 @@
     return value;
   }
 
-  /** Adds {@code sample} to the mean at {@code nowUs}, after its decay since the last call. */
+  /** Decays the mean over the time since the last call, then adds {@code sample} to it. */
   void add(double sample, long nowUs, double spanUs) {
     value = update(0, nowUs, spanUs) + sample;
   }
--- a/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
@@ -2,10 +2,11 @@
 
 /**
  * Counts recent requests of one tenant or request class, and how many of them were sent. Both
- * counts decay.
+ * counts decay when {@link #decay} is called.
  */
 final class DemandCounter {
-  private static final double MIN_REQUESTS = 0.2; // keeps the ratio of small counts moderate
+  // Lower bound of both counts in their ratio, which keeps the ratio of small counts moderate.
+  private static final double MIN_REQUESTS = 0.2;
 
   private double quotaFraction;
   private double arrived;
@@ -31,14 +32,17 @@
     sent++;
   }
 
-  /** How many of the recent requests are within the quota, a fraction of {@code total} requests. */
+  /**
+   * How many of the recent requests are within the quota of {@code quotaFraction} times
+   * {@code total} requests.
+   */
   double entitled(double total) {
     return Math.min(arrived, quotaFraction * total);
   }
 
   /**
-   * Ratio of the requests within the quota, a fraction of {@code total} requests, to the requests
-   * sent: above 1 if the tenant or class got less than its quota.
+   * Ratio of the requests within the quota, {@code quotaFraction} times {@code total}, to the
+   * requests sent: above 1 if the tenant or class got less than its quota.
    */
   double need(double total) {
     return Math.max(MIN_REQUESTS, entitled(total)) / Math.max(MIN_REQUESTS, sent);
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -8,11 +8,13 @@
 
 /**
  * Measures recent demand: requests by class and tenant, and how many of them were sent. All counts
- * decay exponentially.
+ * decay exponentially, with a time constant of 4 s.
  */
 final class DemandTracker {
   private static final double DECAY_US = 4_000_000;
-  private static final double MIN_REQUESTS = 0.1; // bounds the time for requests if none arrive
+
+  // Lower bound of the count by which timeForRequestsUs divides, in case no requests arrive.
+  private static final double MIN_REQUESTS = 0.1;
 
   private final Collection<ClassState> classes;
   private Map<String, DemandCounter> tenants = new HashMap<>();
@@ -57,7 +59,9 @@
     return decayedUs;
   }
 
-  /** Recent requests of all classes and tenants, as a decaying count. */
+  /**
+   * Recent requests of all classes and tenants: a count that decays, with a time constant of 4 s.
+   */
   double recentRequests() {
     return arrived;
   }
@@ -74,8 +78,8 @@
   /**
    * Counts the request and assigns its tenant.
    *
-   * @return the product of the needs of the request's class and tenant: above 1 if they got less
-   *     than their quotas
+   * @return the product of {@link DemandCounter#need} of the request's class and tenant: above 1
+   *     if they got less than their quotas
    */
   double recordArrival(Request request, String tenant) {
     arrived++;
@@ -84,7 +88,8 @@
     double need = request.classState.demand.need(arrived);
     if (request.tenant() != null) {
       request.tenant().recordArrival();
-      // A burst must not raise its own quota, so entitled changes only when counts decay.
+      // A tenant's burst must not raise the tenant's quota, so entitled changes only when counts
+      // decay.
       need *= request.tenant().need(entitled);
     }
     return need;
--- a/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
+++ b/sidecar/src/main/java/dillcross/balancer/DiscoverySchedule.java
@@ -11,8 +11,13 @@
   private static final double START_SPREAD_PER_SIDECAR_US = 10_000;
   private static final long FIRST_BACKOFF_US = 500_000;
   private static final int MAX_DOUBLINGS = 3;
-  private static final int POLL_DIVISOR = 3; // of pollWithinUs; leaves time for two more calls
-  private static final double MIN_JITTER_FACTOR = 0.5; // the largest factor is 1 more
+
+  // Start delays and backoffs are at most pollWithinUs divided by this; leaves time for two more
+  // calls.
+  private static final int POLL_DIVISOR = 3;
+
+  // Smallest factor of a backoff; the largest is 1 more.
+  private static final double MIN_JITTER_FACTOR = 0.5;
 
   private final Random random;
   private DiscoveryPolicy policy;
@@ -30,7 +35,7 @@
               (double) newPolicy.pollWithinUs() / POLL_DIVISOR,
               START_SPREAD_PER_SIDECAR_US * instances);
       long delayUs = (long) (spread * random.nextDouble());
-      // A negative value is a delay that starts with the first endpoint list.
+      // A negative value encodes a delay that starts with the first endpoint list.
       dueUs = hasEndpoints ? nowUs + delayUs : -1 - delayUs;
     }
     if (!newPolicy.pollRequired()) {
@@ -51,8 +56,8 @@
   }
 
   /**
-   * Schedules the next call after a failure: with backoff and jitter, but within the time in which
-   * changes must be learned.
+   * Schedules the next call after a failure: with jitter and a backoff of at most a third of the
+   * time that the sidecar may go without a poll.
    *
    * @param maxDelayUs the longest backoff before jitter, in microseconds
    */
--- a/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
+++ b/sidecar/src/main/java/dillcross/balancer/DuplicateGuard.java
@@ -11,8 +11,11 @@
  * ends. A non-idempotent request may not run again once an attempt may have run.
  */
 final class DuplicateGuard {
-  private static final double WINDOW_FRACTION = 0.9; // of the deduplication window
-  private static final double PATH_DELAY_FACTOR = 4; // of the time a zone has not answered
+  // Fraction of the deduplication window within which a repeat has to arrive and end.
+  private static final double WINDOW_FRACTION = 0.9;
+
+  // Assumed delay of a repeat, as a multiple of the time for which its zone has not answered.
+  private static final double PATH_DELAY_FACTOR = 4;
 
   private final EndpointDirectory directory;
 
--- a/sidecar/src/main/java/dillcross/balancer/EjectionState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EjectionState.java
@@ -29,19 +29,23 @@
   }
 
   /**
-   * Whether a silent attempt triggered the ejection, and no probation since has ended with a
-   * failure. The failures counted before that attempt may have been error answers.
+   * Whether the ejection was triggered by an attempt without a response in the expected time, and
+   * no probation since has ended with a failure. Failures counted before that attempt may have
+   * been error answers.
    */
   boolean isEjectedBySilence() {
     return isEjectedBySilence;
   }
 
-  /** When the latest penalty ends or ended; 0 if there was none. */
+  /**
+   * When the latest penalty (the time for which the endpoint is ejected) ends or ended; 0 if there
+   * was none.
+   */
   long untilUs() {
     return untilUs;
   }
 
-  /** The latest penalty before jitter; 0 if there was none. */
+  /** Length of the latest penalty, before jitter; 0 if there was none. */
   long penaltyUs() {
     return penaltyUs;
   }
--- a/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointDirectory.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * (1 + mean occupancy of other zones) / (1 + mean occupancy of this sidecar's zone), from the
-   * weights in endpoint lists.
+   * (1 + mean occupancy of other zones) / (1 + mean occupancy of this sidecar's zone), where
+   * occupancy is {@link EndpointState#occupancy}.
    */
   double remoteOccupancyRatio() {
     return remoteOccupancyRatio;
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Whether a changed entry requires that the subset be selected again. Dynamic weights do not,
-   * because they change all the time with load.
+   * Whether a changed entry requires that the subset be selected again. Changes of dynamic weights
+   * do not, because these weights change all the time with load.
    */
   private boolean differs(Endpoint before, Endpoint entry) {
     return entry.startedUs() != before.startedUs()
@@ -160,9 +160,9 @@
   }
 
   /**
-   * The longest wait, in microseconds, of an attempt in flight in the zone that was sent after
-   * every attempt that succeeded there; 0 if there is none. An endpoint that hangs while others
-   * succeed does not count.
+   * The longest time, in microseconds, that an attempt in flight in the zone has waited; only
+   * attempts count that were sent after every attempt that succeeded in the zone. 0 if there is
+   * none. So an endpoint that hangs while others in the zone succeed does not count.
    */
   long unansweredUs(String zoneName, long nowUs) {
     long lastSucceededSentUs = 0;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointPicker.java
@@ -16,18 +16,30 @@
  * request may have run and few endpoints may get it again, all available endpoints are compared.
  */
 final class EndpointPicker {
-  private static final long FORGET_US = 10_000_000; // age at which high latency no longer counts
-  private static final double CROSS_ZONE_FACTOR = 20; // weight of the configured price
+  // Time since an endpoint's last answer after which a high latency ratio no longer counts.
+  private static final long FORGET_US = 10_000_000;
 
-  // Attempts in flight at one endpoint, beyond the first, in equal shares of the concurrency limit.
+  private static final double CROSS_ZONE_FACTOR = 20; // weight of crossZonePrice in the cost
+
+  // Most attempts in flight at one endpoint, beyond the first, as a multiple of its equal share of
+  // the concurrency limit.
   private static final double MAX_LIMIT_SHARES = 1.5;
 
-  private static final double REPORT_WEIGHT = 0.1; // of a new load report in the mean
-  private static final double LOAD_OFFSET = 0.5; // keeps the ratio of small loads moderate
+  // Weight of a new load report in the mean of all reports.
+  private static final double REPORT_WEIGHT = 0.1;
+
+  // Added to a reported load and to the mean, which keeps the ratio of small loads moderate.
+  private static final double LOAD_OFFSET = 0.5;
+
   private static final int MAX_DRAWS = 5;
-  private static final double MIN_JITTER_FACTOR = 0.5; // the largest factor is 1 more
+
+  // Smallest factor of a backoff; the largest is 1 more.
+  private static final double MIN_JITTER_FACTOR = 0.5;
+
   private static final int MAX_OVERLOAD_DOUBLINGS = 6;
-  private static final double OVERLOADED_LATENCY_RATIO = 8; // assumed, as the queue is full
+
+  // Assumed for an endpoint that answers that it is overloaded, because its queue is full.
+  private static final double OVERLOADED_LATENCY_RATIO = 8;
 
   private final Random random;
   private final EndpointDirectory directory;
@@ -63,7 +75,8 @@
   }
 
   /**
-   * Backs off from an endpoint that answered that it is overloaded, longer after each such answer.
+   * Backs off from an endpoint that answered that it is overloaded, longer after each such answer
+   * in a row.
    */
   void recordOverload(EndpointState endpoint, double meanLatencyUs, long nowUs) {
     int doublings = Math.min(endpoint.consecutiveOverloads(), MAX_OVERLOAD_DOUBLINGS);
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -99,9 +99,9 @@
 
   /**
    * Updates the weight from the endpoint list. If weights fall with load ({@code dynamic}), the
-   * largest weight seen is the nominal weight, and a lower weight shows the occupancy. That is
-   * smoothed, so that sidecars that all see the same delayed weight do not all shift their load at
-   * once.
+   * largest weight seen is the nominal weight, and a lower weight shows the occupancy. The
+   * occupancy is smoothed, so that sidecars that all see the same delayed weight do not all shift
+   * their load at once.
    */
   void updateWeight(double weight, boolean dynamic) {
     nominalWeight = dynamic ? Math.max(nominalWeight, weight) : weight;
@@ -140,8 +140,8 @@
   }
 
   /**
-   * How long the oldest attempt has waited of those that count as load and were sent after {@code
-   * sentAfterUs}; 0 if there is none.
+   * The longest time that an attempt has waited, among those that count as load and were sent
+   * after {@code sentAfterUs}; 0 if there is none.
    */
   long longestWaitUs(long sentAfterUs, long nowUs) {
     long longestUs = 0;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointSubset.java
@@ -19,10 +19,11 @@
 final class EndpointSubset {
   private static final double MIN_SIZE = 1.5; // in mean endpoint weights of a zone
 
-  // Target size per request per second; leaves enough samples for each endpoint.
+  // Target size, in mean endpoint weights of a zone, per request per second; leaves enough samples
+  // for each endpoint.
   private static final double SIZE_PER_REQUEST_PER_SECOND = 0.25;
 
-  private static final int MIN_WARM_ENDPOINTS = 2; // the fewest that leave a choice
+  private static final int MIN_WARM_ENDPOINTS = 2; // the fewest that leave a choice of two
   private static final double GOLDEN_RATIO = (Math.sqrt(5) - 1) / 2;
 
   // Once all endpoints are in use, they stay in use down to this fraction of the request rate from
@@ -58,8 +59,8 @@
   }
 
   /**
-   * Adapts the target size to the request rate. It has hysteresis, because an endpoint that leaves
-   * the subset is no longer measured.
+   * Adapts the target size to the request rate. Only a large change is adopted (hysteresis),
+   * because an endpoint that leaves the subset is no longer measured.
    */
   void resize(double requestsPerSecond) {
     int known = directory.all().size();
@@ -96,7 +97,7 @@
     List<EndpointState> ejected = new ArrayList<>();
     ring.forEach(state -> (state.ejection.isEjected() ? ejected : available).add(state));
     if (available.isEmpty()) {
-      available.addAll(ejected); // ignores the ejections: some endpoints may serve
+      available.addAll(ejected); // ignores the ejections, as some may still answer
     }
     // Starts at this sidecar's ring position so that sidecars overflow to different endpoints.
     Collections.rotate(available, -(int) (position * available.size()));
--- a/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
+++ b/sidecar/src/main/java/dillcross/balancer/FinalAnswer.java
@@ -9,8 +9,8 @@
  * its client may safely retry, otherwise failed.
  *
  * <p>Retry-After is a short random part of the latency objective, so that clients do not return
- * together. It is the configured maximum if the objective would be missed anyway and a late answer
- * has no value, because an early retry would only add load.
+ * together. Retry-After is the configured maximum if the objective would be missed anyway and a
+ * late answer has no value, because an early retry would only add load.
  */
 final class FinalAnswer {
   private static final double MIN_RETRY_AFTER_FRACTION = 0.1; // of the latency objective
--- a/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
@@ -1,6 +1,9 @@
 package dillcross.balancer;
 
-/** Measures the attempts in flight that count as load, and how many of them are silent. */
+/**
+ * Measures the attempts in flight that count as load, and how many of them are silent: overdue at
+ * an endpoint that has answered nothing meanwhile.
+ */
 final class InFlightTracker {
   private static final int MAX_SILENT_PER_ENDPOINT = 2;
 
@@ -55,8 +58,8 @@
   }
 
   /**
-   * Marks the attempt as silent, so that it does not use up the limit of a sidecar with little
-   * traffic.
+   * Marks the attempt as silent, so that it does not use up the concurrency limit of a sidecar
+   * with little traffic.
    */
   void markSilent(Attempt attempt) {
     unresponsive += attempt.isConnectionSuspect() ? 0 : 1;
@@ -64,8 +67,8 @@
   }
 
   /**
-   * Marks the attempt's connection as seemingly dead, so that the attempt does not use up the limit
-   * until it ends.
+   * Marks the attempt's connection as seemingly dead, so that the attempt does not use up the
+   * concurrency limit until it ends.
    */
   void markConnectionSuspect(Attempt attempt) {
     attempt.markConnectionSuspect();
--- a/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
+++ b/sidecar/src/main/java/dillcross/balancer/LoadBalancer.java
@@ -236,7 +236,7 @@
     if (request != null && attemptNumber < request.attempts().size()) {
       Attempt attempt = request.attempts().get(attemptNumber);
       request.startStreaming(attempt);
-      inFlight.release(attempt, now); // from now on its pace depends on the client
+      inFlight.release(attempt, now); // the client, not the endpoint, now sets the pace
       outcomes.recordSuccess(attempt, Math.max(1, now - attempt.sentUs()), now);
       requests.cancelOthers(request);
     }
--- a/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutcomeRecorder.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Counts the attempt as late or in time; a late one only if its endpoint answered others
-   * meanwhile.
+   * Counts the attempt as late or in time for its latency objective. A late attempt counts only if
+   * its endpoint answered another attempt meanwhile.
    */
   private static void recordLateness(Attempt attempt, long tookUs) {
     ClassState classState = attempt.request.classState;
@@ -80,7 +80,8 @@
     EndpointState endpoint = attempt.endpoint;
     boolean isTimeout = attempt.outcome() == AttemptOutcome.TIMED_OUT;
     LatencyEstimate latency = attempt.request.classState.latency;
-    // Raises the latency ratio at once: with little traffic there would be no more samples.
+    // A failure raises the latency ratio at once, not smoothed: with little traffic there would be
+    // no more samples.
     boolean isUninformative = attempt.isConnectionSuspect() || attempt.request.isBodyIncomplete();
     double ratio = isUninformative ? 0 : latency.boundedRatioToMean(tookUs);
     endpoint.raiseLatencyRatio(ratio);
@@ -90,7 +91,8 @@
       ejection.recordFailure(attempt, nowUs);
     }
     if (isTimeout && !endpoint.ejection.isEjected() && !attempt.isConnectionSuspect()) {
-      slowdown.record(attempt, tookUs, nowUs); // else unanswered attempts would not count
+      // Otherwise attempts without an answer would not count towards the slowdown.
+      slowdown.record(attempt, tookUs, nowUs);
     }
   }
 }
--- a/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
+++ b/sidecar/src/main/java/dillcross/balancer/OutlierEjection.java
@@ -12,7 +12,10 @@
   private static final int CONSECUTIVE_FAILURES = 5; // fewer: ejects healthy endpoints by chance
   private static final double FAILURE_FRACTION = 0.4; // smoothed; above it an endpoint is ejected
   private static final long MAX_PENALTY_US = 60_000_000;
-  private static final long FIRST_PENALTY_US = 1_000_000; // short: a healthy endpoint may pause
+
+  // Short, because an endpoint that only paused may be healthy again.
+  private static final long FIRST_PENALTY_US = 1_000_000;
+
   private static final double JITTER = 0.2; // largest deviation, as a fraction of a penalty
 
   private final Random random;
@@ -25,7 +28,10 @@
     this.subset = subset;
   }
 
-  /** Counts a failure of the attempt, once: when it falls silent or when it ends. */
+  /**
+   * Counts a failure of the attempt only once: when no response arrived in the expected time,
+   * otherwise when the attempt ends.
+   */
   void recordFailure(Attempt attempt, long nowUs) {
     EjectionState state = attempt.endpoint.ejection;
     if (!attempt.isSilent()) {
@@ -79,7 +85,8 @@
   /** Whether the request may be the endpoint's one attempt on probation. */
   boolean isProbationDue(EndpointState endpoint, Request request, long nowUs) {
     EjectionState state = endpoint.ejection;
-    // A request that is not idempotent could not be retried elsewhere, so it is tried only later.
+    // A non-idempotent request that fails could not be retried elsewhere, so one is sent on
+    // probation only after the length of another penalty.
     long extraUs = request.isIdempotent() ? 0 : state.penaltyUs();
     return state.isEjected()
         && !state.hasProbation()
@@ -87,7 +94,9 @@
         && nowUs >= state.untilUs() + extraUs;
   }
 
-  /** Ends the probation if the attempt, which has ended, was on it; another attempt may then be. */
+  /**
+   * Ends the probation if the attempt, which has ended, was on probation, so that another may be.
+   */
   void endProbation(Attempt attempt) {
     EjectionState state = attempt.endpoint.ejection;
     if (state.isProbation(attempt)) {
--- a/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
+++ b/sidecar/src/main/java/dillcross/balancer/RemovalGrace.java
@@ -11,7 +11,8 @@
  * <p>The cost is one failed attempt per sidecar if a removed endpoint is really gone.
  */
 final class RemovalGrace {
-  private static final long MAX_RETENTION_US = 60_000_000; // from removal or last success
+  // Counts from the removal or the last success, whichever is later.
+  private static final long MAX_RETENTION_US = 60_000_000;
 
   private DiscoveryPolicy policy;
 
@@ -24,7 +25,9 @@
     return policy.keepRemoved() && endpoint.isListed();
   }
 
-  /** Whether the grace period has passed since the endpoint's removal and its last success. */
+  /**
+   * Whether the grace period has passed since the endpoint's removal and since its last success.
+   */
   boolean isExpired(EndpointState endpoint, long nowUs) {
     long sinceUs = Math.max(endpoint.removedUs(), endpoint.lastSuccessUs());
     return endpoint.removedUs() != 0 && nowUs - sinceUs >= MAX_RETENTION_US;
--- a/sidecar/src/main/java/dillcross/balancer/Request.java
+++ b/sidecar/src/main/java/dillcross/balancer/Request.java
@@ -21,7 +21,10 @@
    */
   final RequestClass requestClass;
 
-  /** The retry policy as it was at arrival, for the same reason. */
+  /**
+   * The retry policy as it was at arrival: new settings must not change the rules of an open
+   * request.
+   */
   final RetryPolicy retryPolicy;
 
   final long arrivalUs;
@@ -71,7 +74,7 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
   }
 
-  /** Until when the request may be answered: its timeout counts from the last byte of the body. */
+  /** Until when the request may be answered; the timeout counts from the last byte of the body. */
   long deadlineUs() {
     return deadlineUs;
   }
--- a/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestQueue.java
@@ -8,10 +8,12 @@
  * wait is given up at once.
  */
 final class RequestQueue {
-  // Smallest queue timeout, as a fraction of the latency objective.
+  // Smallest queue timeout (time from arrival until a waiting request is given up), as a fraction
+  // of the latency objective.
   private static final double QUEUE_FRACTION = 0.3;
 
-  // Queue timeout, as a fraction of the part of the latency objective that an answer leaves.
+  // Queue timeout, as a fraction of the latency objective less the pessimistic latency of an
+  // answer.
   private static final double SPARE_FRACTION = 0.8;
 
   private final RequestTable requests;
@@ -39,7 +41,8 @@
   /** Queues the request for capacity while it can still be answered in time, or gives it up. */
   void addOrGiveUp(Request request, boolean isFirst, long nowUs) {
     long untilUs = waitUntilUs(request);
-    // A retry waits only for the limit: if no endpoint may take it, waiting changes nothing.
+    // A retry waits only if the concurrency limit holds it back: if no endpoint may take the
+    // retry, waiting changes nothing.
     boolean mayWait = isFirst || (!admission.admits(request, nowUs) && !request.mayHaveRun());
     boolean isInTime = untilUs > nowUs && untilUs < request.deadlineUs();
     if (mayWait && isInTime && !endpoints.available().isEmpty()) {
--- a/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
+++ b/sidecar/src/main/java/dillcross/balancer/RequestScheduler.java
@@ -63,12 +63,16 @@
       } else if (request.attempts().isEmpty()) {
         return;
       } else {
-        finalAnswer.giveUp(request, nowUs); // a retry that no endpoint may take must not block
+        // A retry that no endpoint may take must not block the requests that wait behind it.
+        finalAnswer.giveUp(request, nowUs);
       }
     }
   }
 
-  /** Sends a second attempt beside a slow one, if the retry budget and the limit allow it. */
+  /**
+   * Sends a second attempt beside a slow one, if the retry budget and the concurrency limit allow
+   * it.
+   */
   void hedge(Request request, long nowUs) {
     boolean isSent =
         attemptPolicy.allowsHedge(request)
--- a/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
+++ b/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
@@ -5,7 +5,9 @@
  * hedges spend, so that these can't amplify an overload. The unit is one attempt.
  */
 final class RetryBudget {
-  private static final double EARNED_PER_REQUEST = 0.2; // higher: more retries in an overload
+  // Attempts earned by each first attempt; higher: more retries in an overload.
+  private static final double EARNED_PER_REQUEST = 0.2;
+
   private static final double MAX_BALANCE = 20;
 
   // Starts at one attempt, because a larger balance would add up over hundreds of sidecars.
@@ -20,8 +22,8 @@
   }
 
   /**
-   * Adds to the balance for a first attempt. The balance is bounded by a share of {@code
-   * recentRequests}, a decaying count of requests.
+   * Adds to the balance for a first attempt. The balance is bounded by a share of
+   * {@code recentRequests}, the count of {@link DemandTracker#recentRequests}.
    */
   void earn(double recentRequests) {
     double limit = Math.max(1, Math.min(MAX_BALANCE, EARNED_PER_REQUEST * recentRequests));
--- a/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
+++ b/sidecar/src/main/java/dillcross/balancer/SilenceMonitor.java
@@ -35,7 +35,10 @@
     this.hedge = hedge;
   }
 
-  /** Schedules checks of an attempt that was sent now, until it ends or is silent. */
+  /**
+   * Schedules checks of an attempt that was sent now, until the attempt ends or is marked as
+   * silent.
+   */
   void watch(Attempt attempt, long nowUs) {
     long firstUs =
         Math.min(overdueAfterUs(attempt) / 2, attemptPolicy.hedgeAfterUs(attempt.request));
--- a/sidecar/src/main/java/dillcross/balancer/SlowStart.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStart.java
@@ -13,7 +13,8 @@
  * attempt, its fraction is rounded at random for each window.
  */
 final class SlowStart {
-  private static final double BUDGET_FRACTION = 0.7; // of this sidecar's part; the rest is margin
+  // Fraction that is used of this sidecar's part of the endpoint's capacity; the rest is margin.
+  private static final double BUDGET_FRACTION = 0.7;
 
   private final Random random;
   private final TrafficMeter traffic;
@@ -34,7 +35,7 @@
 
   /**
    * Begins the slow start of an endpoint that warms up from {@code startUs} on. The endpoint counts
-   * as warm if that is 0 or longer ago than the warm-up time.
+   * as warm if {@code startUs} is 0 or longer ago than the warm-up time.
    */
   void begin(EndpointState endpoint, long startUs, long nowUs) {
     boolean isWarm = startUs == 0 || nowUs - startUs > policy.warmUpUs();
@@ -67,7 +68,7 @@
 
   private void openWindow(SlowStartState state, long window) {
     if (window != state.window()) {
-      // Rounding up for each sidecar would add up over hundreds of sidecars.
+      // The budget is rounded at random: rounding up at each of hundreds of sidecars would add up.
       state.openWindow(window, random.nextDouble());
     }
   }
--- a/sidecar/src/main/java/dillcross/balancer/SlowStartState.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowStartState.java
@@ -29,7 +29,7 @@
     return window;
   }
 
-  /** Number of attempts sent since that window was opened. */
+  /** Number of attempts sent in the window of {@link #window}. */
   int sentInWindow() {
     return sentInWindow;
   }
--- a/sidecar/src/main/java/dillcross/model/AttemptOutcome.java
+++ b/sidecar/src/main/java/dillcross/model/AttemptOutcome.java
@@ -6,7 +6,9 @@
   SUCCEEDED(true, false),
   /** The endpoint answered that it failed. */
   ERROR(true, true),
-  /** An overloaded or draining endpoint rejected it unexecuted; no failure of the endpoint. */
+  /**
+   * Rejected before execution by an overloaded or draining endpoint; no failure of the endpoint.
+   */
   OVERLOADED(false, false),
   /** The endpoint found the request invalid: a final answer, and no failure of the endpoint. */
   CLIENT_ERROR(false, false),
--- a/sidecar/src/test/java/dillcross/balancer/AdmissionControlTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/AdmissionControlTest.java
@@ -93,7 +93,7 @@
   void doesNotLowerLimitForOneSlowClass(boolean othersAreSlow) {
     BalancerFixture fixture = BalancerFixture.withEndpoints("a", "b");
     int fastMs = 40;
-    int slowMs = 600; // the objective is 400 ms
+    int slowMs = 600; // later than the latency objective of 400 ms
     for (int i = 0; i < 100; i++) {
       fixture.startRequest("read");
       fixture.startRequest("any");
@@ -136,7 +136,8 @@
     Set<Long> withoutResponse = new HashSet<>();
     for (int i = 0; i < 1500; i++) {
       boolean isUnresponsive = i > 500 && i % 20 == 0;
-      long request = fixture.startRequest(isUnresponsive ? "once" : "read"); // "once": no hedge
+      // Requests of class "once" are not idempotent, so they are not hedged.
+      long request = fixture.startRequest(isUnresponsive ? "once" : "read");
       if (isUnresponsive) {
         withoutResponse.add(request);
       }
--- a/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/DuplicateGuardTest.java
@@ -78,7 +78,8 @@
   }
 
   /**
-   * A retry that connects or is delivered after the deduplication window would run a second time.
+   * A retry that reaches an endpoint after the deduplication window would run the request a second
+   * time.
    */
   @ParameterizedTest
   @CsvSource({"zone, 700, 900", "zone, 0, 900", "any, 300, 900"})
@@ -96,7 +97,8 @@
     SentAttempt retry = fixture.lastAttemptOf(request);
     assertEquals(first.sentMs() + retryLimitMs, retry.deadlineMs());
 
-    // Only the first attempt may have run, so a further deadline still counts from it.
+    // Only the first attempt may have run, so the deadline of a further retry still counts from
+    // that attempt.
     fixture.endAttempt(retry, AttemptOutcome.CONNECT_FAILED);
     assertTrue(
         fixture.inFlight.stream().noneMatch(attempt -> attempt.requestId() == request)
--- a/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
@@ -30,7 +30,10 @@
     EARLY_TIMEOUT(AttemptOutcome.TIMED_OUT, 10, 10),
     /** A timeout after more time than a response can take. */
     LATE_TIMEOUT(AttemptOutcome.TIMED_OUT, 350, 10),
-    /** The pause of 12 s is longer than any backoff from an overloaded endpoint. */
+    /**
+     * An overload answer, then 12 s without requests: longer than any backoff after such an
+     * answer.
+     */
     OVERLOADED(AttemptOutcome.OVERLOADED, 10, 12_000);
 
     final AttemptOutcome outcome;
@@ -106,7 +109,8 @@
   @CsvSource({"SUCCEEDED, true", "ERROR, false", "TIMED_OUT, false"})
   void readmitsAfterOneSuccessOnProbation(AttemptOutcome outcome, boolean readmitted) {
     BalancerFixture fixture = withEjectedEndpoint();
-    assertEquals(0, fixture.sendSequentially(30, "a")); // takes 0.6 s, less than any penalty
+    // Takes 0.6 s; the penalty lasts at least 0.8 s, so "a" is still ejected.
+    assertEquals(0, fixture.sendSequentially(30, "a"));
 
     fixture.advance(700);
     SentAttempt probation = fixture.lastAttemptOf(fixture.startRequest("read"));
@@ -115,7 +119,8 @@
     fixture.endAttempt(probation, outcome);
     fixture.succeedAll();
 
-    assertEquals(readmitted, fixture.sendPairs(60, "a") > 0); // takes 1.2 s
+    // Takes 1.2 s; a second penalty would last at least 1.6 s.
+    assertEquals(readmitted, fixture.sendPairs(60, "a") > 0);
     fixture.advance(1300);
     assertTrue(fixture.sendPairs(60, "a") > 0, "the second penalty is at most twice the first");
   }
--- a/sidecar/src/test/java/dillcross/balancer/SlowStartTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/SlowStartTest.java
@@ -78,7 +78,7 @@
       }
     }
 
-    // With the new endpoint there are 31.
+    // 31 endpoints share the requests: 30 warm ones and the new one.
     double overloadPerWindow = REQUESTS_PER_SECOND * sidecars / 31 * WINDOW_S * OVERLOAD_MULTIPLE;
     sentByWindow.forEach(
         (window, count) -> {
