--- a/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
+++ b/sidecar/src/main/java/dillcross/balancer/AdmissionControl.java
@@ -36,7 +36,7 @@
   // whole span, at most by the inverse of this fraction.
   private static final double MIN_COVERAGE = 0.2;
 
-  private static final double SLOWDOWN_EXPONENT = 3; // higher: load falls faster in overload
+  private static final double SLOWDOWN_EXPONENT = 3; // higher: limit falls faster in overload
 
   // Fraction of the excess of a limit over SMALL_LIMIT by which a burst may exceed the limit at
   // any time.
@@ -100,9 +100,9 @@
   }
 
   /**
-   * The multiple of the concurrency limit that the request may use, by its relative value. Ranks in
-   * the queue alone would not prefer valuable requests, because a sidecar with little traffic
-   * hardly ever has two waiting.
+   * The multiple of the concurrency limit that the request may use, by its relative value. Queue
+   * ranks alone would not prefer valuable requests, because a sidecar with little traffic hardly
+   * ever has two waiting.
    */
   private static double limitFactor(Request request) {
     return Clamp.between(MIN_LIMIT_FACTOR, request.relativeValue(), MAX_LIMIT_FACTOR);
--- a/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
+++ b/sidecar/src/main/java/dillcross/balancer/SlowdownEstimator.java
@@ -7,11 +7,17 @@
  * {@link AdmissionControl} lowers the concurrency limit by it.
  */
 final class SlowdownEstimator {
-  private static final double MAX_SAMPLE = 2; // a few attempts that hang do not show queueing
+  // Bounds the effect of a few attempts that hang, which do not show queueing.
+  private static final double MAX_SAMPLE = 2;
+
   private static final double MIN_SAMPLE = 0.6;
   private static final double MAX_USUAL_RATIO = 5;
   private static final double MIN_SAMPLE_WEIGHT = 0.06;
-  private static final double RATE_OFFSET_PER_SECOND = 4; // bounds the weight of one sample
+
+  // Added to the rate of successes, by whose inverse a sample is weighted; bounds the weight of
+  // one sample.
+  private static final double RATE_OFFSET_PER_SECOND = 4;
+
   private static final int MIN_SUCCESSES_TO_COMPARE = 3;
 
   private final TrafficMeter traffic;
