--- a/sidecar/src/main/java/dillcross/cli/DescriptorLimit.java
+++ b/sidecar/src/main/java/dillcross/cli/DescriptorLimit.java
@@ -13,7 +13,7 @@
 
   private DescriptorLimit() {}
 
-  /** The limit; {@link Integer#MAX_VALUE} if there is none or it cannot be read. */
+  /** The number of descriptors; {@link Integer#MAX_VALUE} if unlimited or not readable. */
   static int read() {
     try {
       for (String line : Files.readAllLines(LIMITS)) {
--- a/sidecar/src/main/java/dillcross/cli/Main.java
+++ b/sidecar/src/main/java/dillcross/cli/Main.java
@@ -15,7 +15,8 @@
       System.setProperty(LOG_FORMAT_PROPERTY, ONE_LINE_FORMAT);
     }
     // Parsing the command line takes a third of the start-up time, during which the clients of a
-    // killed sidecar wait. So it is skipped for the call that the platform makes.
+    // killed sidecar wait. The platform passes the one argument "serve", so parsing is skipped
+    // for exactly that command line.
     boolean isPlainServe = args.length == 1 && args[0].equals("serve");
     System.exit(isPlainServe ? ServeCommand.run(null, null, false, 0) : parseAndRun(args));
   }
--- a/sidecar/src/main/java/dillcross/cli/ReloadSignal.java
+++ b/sidecar/src/main/java/dillcross/cli/ReloadSignal.java
@@ -8,7 +8,7 @@
 
 /**
  * Handles SIGHUP, which asks for a reload of the configuration. Java has no public API for signals,
- * and the compiler warns about the internal API, so that is called by reflection.
+ * and the compiler warns about sun.misc.Signal, so that class is called by reflection.
  */
 final class ReloadSignal {
   private static final String SIGNAL_NAME = "HUP";
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Implements the handler interface by the action, which ignores the signal that is passed. */
+  /** An instance of the signal handler interface that runs the action for any signal. */
   private static Object handler(Runnable action, Class<?> signalClass, Class<?> handlerClass)
       throws ReflectiveOperationException {
     MethodHandle run =
--- a/sidecar/src/main/java/dillcross/cli/ServeCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/ServeCommand.java
@@ -49,7 +49,7 @@
     clock = clock(clockShiftUs);
   }
 
-  /** The operator file: the option's, else the environment's; empty if neither names one. */
+  /** The path of the operator file from the option, else the environment; empty if in neither. */
   private static Optional<String> operatorFile(String fileOption) {
     if (fileOption == null) {
       return EnvironmentVariables.operatorFile(System.getenv());
@@ -134,7 +134,7 @@
     return server;
   }
 
-  /** Runs the code that serves a request before clients connect, as code is slow at first. */
+  /** Runs the request path before clients connect, as the JVM runs new code slowly. */
   private void warmUpCode() {
     LoadBalancer balancer = new LoadBalancer(0, config.settings().balancer());
     WarmUp.run(balancer, config.settings().balancer().requestClasses());
--- a/sidecar/src/main/java/dillcross/config/ConfigKeys.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigKeys.java
@@ -9,7 +9,7 @@
   // The process, at the top level of the file. Changes of the name, of the addresses of listening
   // sockets and of the process limits take effect at a restart only.
 
-  /** The sidecar's name; none where absent. */
+  /** The sidecar's name; where this key is absent, the sidecar has no name. */
   static final String NAME = "name";
 
   /** Numeric address and port where clients connect. */
@@ -18,7 +18,7 @@
   /** Present where the process inherits the listening socket as descriptor 0. */
   static final String INHERITED_SOCKET = "fd";
 
-  /** Numeric address and port of the admin endpoint; none where absent. */
+  /** Numeric address and port of the admin endpoint; where absent, there is no such endpoint. */
   static final String ADMIN_ADDRESS = "admin_addr";
 
   /** Numeric address and port of the discovery service. */
@@ -42,7 +42,7 @@
   /** The section of limits of the process, and the section of the same name within the settings. */
   static final String LIMITS = "limits";
 
-  /** The section that a running sidecar takes on at a reload; the keys below stand in it. */
+  /** The section that a reload applies to a running sidecar; paths below are relative to it. */
   static final String SETTINGS = "settings";
 
   // The sidecar's place among all sidecars
@@ -81,7 +81,7 @@
   /** How long endpoints recognise an idempotency key, in ms. */
   static final String DEDUPLICATION_WINDOW_MS = "window_ms";
 
-  /** Latency objective, in ms: an answer within it earns all of the priority weight. */
+  /** Latency objective, in ms: an answer within that time earns the whole priority weight. */
   static final String LATENCY_OBJECTIVE_MS = "target_latency_ms";
 
   /** Largest timeout of a request, in ms. */
@@ -90,7 +90,7 @@
   /** Priority weight: what an answer is worth compared with other classes. */
   static final String PRIORITY_WEIGHT = "benefit";
 
-  /** The share of the priority weight that an answer after the objective earns. */
+  /** The share of the priority weight that an answer later than the latency objective earns. */
   static final String LATE_VALUE_SHARE = "overdue_benefit";
 
   /** Whether priority weights count per request or per unit of work. */
@@ -112,7 +112,7 @@
 
   // Slow start
 
-  /** The section of rules of endpoints and of the endpoint list. */
+  /** The section of rules that describe how endpoints and the endpoint list behave. */
   static final String RULES = "rules";
 
   /** Share of full capacity that a freshly started endpoint has, 0 to 1. */
@@ -124,20 +124,20 @@
   /** Multiple of its present capacity that overloads an endpoint in slow start. */
   static final String SLOW_START_OVERLOAD_MULTIPLE = "rules.fall_multiple";
 
-  /** The window over which requests are counted to detect that overload, in ms. */
+  /** The window over which requests are counted to detect overload in slow start, in ms. */
   static final String SLOW_START_WINDOW_MS = "rules.fall_ms";
 
   // Discovery
 
-  /** How the endpoint list is learned: by a watch of the discovery service, or pushed. */
+  /** How a sidecar gets the endpoint list: it watches the discovery service, or it is pushed. */
   static final String DISCOVERY_MODE = "discovery";
 
   static final String DISCOVERY_BY_WATCH = "subscribe";
   static final String DISCOVERY_PUSHED = "automatic";
 
   /**
-   * Time without watch or poll, in ms, after which a sidecar counts as notified of every change of
-   * the endpoint list.
+   * Longest time between two watches or polls of the endpoint list, in ms. A sidecar that exceeds
+   * it is treated as if it had been notified of every change of the list.
    */
   static final String POLL_WITHIN_MS = "rules.ask_within_ms";
 
@@ -177,7 +177,7 @@
 
   // Objectives
 
-  /** The section of prices. */
+  /** The section of costs of sending a request, in units of the priority weight. */
   static final String PRICES = "prices";
 
   /** What a request sent to another zone costs, in units of the priority weight. */
@@ -186,7 +186,7 @@
   /** The section of objectives other than priority weights. */
   static final String OBJECTIVE = "goal";
 
-  /** Weight of the objective that few requests miss their latency objective; 0 for none. */
+  /** Weight of the goal that few requests miss their latency objective; 0 if it does not count. */
   static final String TAIL_WEIGHT = "goal.punctual";
 
   /** Share of the requests of a class that may miss their latency objective, 0 to 1. */
--- a/sidecar/src/main/java/dillcross/config/ConfigReader.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigReader.java
@@ -20,7 +20,7 @@
  */
 public final class ConfigReader {
   private static final int BYTES_PER_MB = 1 << 20;
-  private static final int RESIDENT_MEMORY_MB = 48; // what the process needs without buffers
+  private static final int RESIDENT_MEMORY_MB = 48; // needed by the process besides its buffers
   private static final int DEFAULT_MEMORY_MB = 192;
   private static final int MIN_BUFFER_MB = 8;
   private static final int MIN_DESCRIPTORS = 128;
@@ -42,7 +42,7 @@
 
   private ConfigReader() {}
 
-  /** The settings of a sidecar on real sockets, which always has to poll the endpoint list. */
+  /** The settings of a sidecar on real sockets: the endpoint list is always polled, not pushed. */
   public static SidecarSettings sidecarSettings(ConfigValues settings) {
     return new SidecarSettings(
         balancerSettings(settings, true),
@@ -76,9 +76,7 @@
         objective(settings));
   }
 
-  /**
-   * Whether, by the settings, the sidecar has to poll the endpoint list; otherwise it is pushed.
-   */
+  /** Whether the settings say that the sidecar polls the endpoint list; if false it is pushed. */
   public static boolean pollsDiscovery(ConfigValues settings) {
     return settings
         .keyword(
@@ -173,7 +171,7 @@
     return (int) max;
   }
 
-  /** Half of the memory that the process itself does not need; the other half is for garbage. */
+  /** Bytes for buffers: half of the memory above the resident part; the rest is for garbage. */
   private static long bufferBytes(ConfigValues values) {
     double memoryMb = values.number(ConfigKeys.MAX_MEMORY_MB, DEFAULT_MEMORY_MB);
     return (long) (Math.max(MIN_BUFFER_MB, memoryMb - RESIDENT_MEMORY_MB) / 2 * BYTES_PER_MB);
--- a/sidecar/src/main/java/dillcross/config/ConfigValues.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigValues.java
@@ -19,16 +19,16 @@
  * the requested type. Immutable.
  */
 public final class ConfigValues {
-  /** The end of the path under which the length of a list is stored. */
+  /** Appended to the path of a list: the path under which the list's length is stored. */
   static final String COUNT_SUFFIX = ".count";
 
-  private static final String ABSENT = "-"; // an empty text counts as absent too
+  private static final String ABSENT = "-"; // as a value; an empty text counts as absent too
   private static final double MAX_NUMBER = 1e15;
   private static final int MICROS_PER_MILLI = 1000;
 
   private final Map<String, String> values;
-  private final Map<?, ?> json; // empty where the values are from pairs
-  private final String prefix; // completes paths of a section in error messages
+  private final Map<?, ?> json; // the parsed file; empty if the values are pairs
+  private final String prefix; // path of this section, for error messages; empty at the top
 
   private ConfigValues(Map<String, String> values, Map<?, ?> json, String prefix) {
     this.values = values;
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Throws {@link InvalidConfigException} where a plain value is in place of a list or an object,
-   * which may be absent.
+   * Throws {@link InvalidConfigException} if the path holds a plain value instead of a list or
+   * an object; an absent value is valid.
    */
   void checkSection(String path) {
     plainValue(path)
--- a/sidecar/src/main/java/dillcross/config/OperatorConfig.java
+++ b/sidecar/src/main/java/dillcross/config/OperatorConfig.java
@@ -34,19 +34,19 @@
   private static final String ADVERTISE = "advertise";
   private static final String SEEDS = "seeds";
 
-  /** {@code intervalUs}, in ms: faster detection for more datagrams and CPU. */
+  /** {@code intervalUs}, in ms: shorter detects failures sooner, but costs datagrams and CPU. */
   private static final String INTERVAL_MS = "interval_ms";
 
   /** {@code timeoutUs}, in ms: must exceed the usual round trip between members. */
   private static final String TIMEOUT_MS = "timeout_ms";
 
-  /** {@code maxMembers}: new members are refused above it. */
+  /** {@code maxMembers}: new members are refused while the table has that many live ones. */
   private static final String MAX_MEMBERS = "most_members";
 
-  /** {@code datagramBytes}: below the path's MTU, or datagrams are fragmented. */
+  /** {@code datagramBytes}: has to be below the network path's MTU to avoid fragmentation. */
   private static final String DATAGRAM_BYTES = "datagram_bytes";
 
-  /** {@code bytesPerSecond}: replies are suppressed above it. */
+  /** {@code bytesPerSecond}: replies are suppressed above that rate of sent bytes. */
   private static final String BYTES_PER_SECOND = "bytes_per_s";
 
   private static final Set<String> MEMBERSHIP_KEYS =
@@ -67,8 +67,9 @@
   private static final Range INTERVAL_MS_RANGE = new Range(50, 60_000);
   private static final long DEFAULT_INTERVAL_MS = 1000;
   private static final long MIN_TIMEOUT_MS = 10;
-  private static final long DEFAULT_TIMEOUT_PERCENT = 30; // of the interval
-  private static final long MAX_TIMEOUT_PERCENT = 40; // leaves time for the indirect probe
+  private static final long DEFAULT_TIMEOUT_PERCENT = 30; // of the probe interval
+  // Of the probe interval: leaves time for the indirect probe, which follows the timeout.
+  private static final long MAX_TIMEOUT_PERCENT = 40;
   private static final long PERCENT = 100;
   private static final Range MAX_MEMBERS_RANGE = new Range(2, 65_536);
   private static final long DEFAULT_MAX_MEMBERS = 4096;
@@ -77,7 +78,7 @@
   private static final Range BYTES_PER_SECOND_RANGE = new Range(2000, 100_000_000);
   private static final long DEFAULT_BYTES_PER_SECOND = 20_000;
 
-  // A name collision appends a suffix of 7 characters to the name.
+  // At most 48 characters: on a name collision the membership appends a suffix of 7 more.
   private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,48}";
   private static final String NAME_OR_EMPTY_PATTERN = "|" + NAME_PATTERN;
   private static final int MICROS_PER_MILLI = 1000;
@@ -180,7 +181,7 @@
         new Range(MIN_TIMEOUT_MS, intervalMs * MAX_TIMEOUT_PERCENT / PERCENT));
   }
 
-  /** Other members can't reach an ephemeral port unless an address is advertised. */
+  /** Rejects an ephemeral port without an advertised address: nobody could send to it. */
   private void checkReachable(MembershipConfig membership) {
     InetSocketAddress bind =
         NumericAddress.parse(membership.bind())
@@ -270,7 +271,7 @@
     return file + " line " + position.line();
   }
 
-  /** The position of the value, or of its table where the value is absent; empty without table. */
+  /** The value's position in the file; if absent, its table's; empty if both are absent. */
   private Optional<TomlPosition> position(String path) {
     if (toml.contains(path)) {
       return Optional.of(toml.inputPositionOf(path));
--- a/sidecar/src/main/java/dillcross/config/RequestClassReader.java
+++ b/sidecar/src/main/java/dillcross/config/RequestClassReader.java
@@ -54,7 +54,7 @@
         settings.number(path(section, ConfigKeys.LATE_VALUE_SHARE), 1));
   }
 
-  /** The idempotency of a class; where absent the strictest: a request may not run twice. */
+  /** The idempotency of a class; where absent, non-idempotent: a request may not run twice. */
   private Idempotency idempotency(String path) {
     String word =
         settings.keyword(
@@ -66,7 +66,7 @@
     };
   }
 
-  /** The deduplication scope of a class; where absent the narrowest, the cell. */
+  /** The deduplication scope of a class; where absent, {@code CELL}, which is the narrowest. */
   private DeduplicationScope deduplicationScope(String path) {
     String word =
         settings.keyword(path, ConfigKeys.SCOPE_CELL, ConfigKeys.SCOPE_ZONE, ConfigKeys.SCOPE_ALL);
--- a/sidecar/src/main/java/dillcross/endpointlist/EndpointListFields.java
+++ b/sidecar/src/main/java/dillcross/endpointlist/EndpointListFields.java
@@ -8,7 +8,7 @@
   /** The entries of the list. */
   static final String ENTRIES = "servers";
 
-  /** Whether the list is complete, as where the field is absent; false for changes only. */
+  /** Whether the list is complete; false if it holds changes only. True where absent. */
   static final String IS_COMPLETE = "full";
 
   /** The list's version, a number; 0 where absent. */
@@ -32,7 +32,7 @@
   /** An endpoint's weight; 1 where absent or not above 0. */
   static final String WEIGHT = "weight";
 
-  /** The number of an endpoint's cell; 0 where absent. */
+  /** The number of an endpoint's cell, its failure domain; 0 where absent. */
   static final String CELL = "cell";
 
   /** An endpoint's zone; empty where absent. */
--- a/sidecar/src/main/java/dillcross/membership/AntiEntropy.java
+++ b/sidecar/src/main/java/dillcross/membership/AntiEntropy.java
@@ -21,7 +21,7 @@
   private final MemberTable table;
   private final LocalMember local;
   private final Outbox outbox;
-  private int rotation; // rotates the differing members, so that each is sent eventually
+  private int rotation; // where the next answer starts, so that all members are sent in turn
 
   AntiEntropy(
       MembershipSettings settings,
--- a/sidecar/src/main/java/dillcross/membership/FailureDetector.java
+++ b/sidecar/src/main/java/dillcross/membership/FailureDetector.java
@@ -61,7 +61,7 @@
     ping(probe.target(), lastSequence);
   }
 
-  /** Pings the target. The record of a suspect goes with the ping, for the target to refute. */
+  /** Pings the target. If it is suspect, the ping carries its record, for it to refute. */
   private void ping(MemberRecord target, long sequence) {
     boolean isAlive = target.state() == MemberState.ALIVE;
     List<MemberRecord> records = isAlive ? List.of() : List.of(target);
@@ -88,7 +88,7 @@
     for (MemberRecord helper : helpers) {
       outbox.sendPingRequest(helper.address(), sequence, probe.target());
     }
-    ping(probe.target(), sequence); // again, as only the first ping may have been lost
+    ping(probe.target(), sequence); // repeated, in case only the first ping was lost
   }
 
   private void onFailed(Probe probe, long nowUs) {
--- a/sidecar/src/main/java/dillcross/membership/GossipQueue.java
+++ b/sidecar/src/main/java/dillcross/membership/GossipQueue.java
@@ -40,7 +40,7 @@
     private final MemberRecord record; // null for a payload
     private final Payload payload; // null for a record
     private final long sequence;
-    private int timesSent; // changed only while the item is not in the sorted queue
+    private int timesSent; // a sort key: changed only while the item is not queued
 
     Item(Subject subject, MemberRecord record, Payload payload, long sequence) {
       this.subject = subject;
@@ -121,7 +121,7 @@
     for (Item item : queue) {
       int size = item.size();
       if (remaining < Payload.MAX_BYTES && size > remaining && !selected.isEmpty()) {
-        break; // the remaining space is too small to search the whole queue for an item that fits
+        break; // so little space is left that searching the rest of the queue does not pay
       }
       if (size <= remaining) {
         remaining -= size;
--- a/sidecar/src/main/java/dillcross/membership/LocalHealth.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalHealth.java
@@ -10,7 +10,7 @@
 
   private int multiplier;
 
-  /** The multiplier: 0 while this process is healthy, at most 8. */
+  /** The local health multiplier: 0 while this process is healthy, at most 8. */
   int multiplier() {
     return multiplier;
   }
--- a/sidecar/src/main/java/dillcross/membership/LocalMember.java
+++ b/sidecar/src/main/java/dillcross/membership/LocalMember.java
@@ -64,7 +64,7 @@
     } else if (isOlder(record, isSameAddress)) {
       gossip.add(self); // supersedes the record, which is about an earlier process of this name
     } else if (isSameAddress || !record.state().isLive()) {
-      raise(record.boot() + 1, 0); // supersedes a record from before the clock went back
+      raise(record.boot() + 1, 0); // supersedes a record made before the wall clock went back
     } else {
       yieldName();
       return Resolution.NAME_YIELDED;
--- a/sidecar/src/main/java/dillcross/membership/MemberEntry.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberEntry.java
@@ -10,7 +10,7 @@
 
 /** The state of one other member: its record, a running suspicion, and its payloads. */
 final class MemberEntry {
-  private final Set<String> suspectors = new HashSet<>(); // names of members that suspect it
+  private final Set<String> suspectors = new HashSet<>(); // names of members that suspect this one
   private final Map<Integer, Payload> payloads = new TreeMap<>(); // by type
   private MemberRecord record;
   private long sinceUs;
@@ -56,7 +56,7 @@
     suspicionDeadlineUs = nowUs + timeoutUs;
   }
 
-  /** Adds the name of a member that suspects this one too; returns false if it is known. */
+  /** Adds a member that suspects this one too; returns false if that name was added before. */
   boolean confirmSuspicion(String suspector) {
     return suspectors.add(suspector);
   }
@@ -71,7 +71,7 @@
     suspicionDeadlineUs = suspectedAtUs + timeoutUs;
   }
 
-  /** Postpones the end of the running suspicion by that many microseconds. */
+  /** Postpones the end of the running suspicion by {@code byUs} microseconds. */
   void postponeSuspicion(long byUs) {
     suspicionDeadlineUs += byUs;
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberExpiry.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberExpiry.java
@@ -5,7 +5,7 @@
 
 /** Declares suspects dead when their suspicion times out, and forgets those long dead or left. */
 final class MemberExpiry {
-  // Probe intervals for which a dead or left member is remembered.
+  // Probe intervals for which a dead or left member stays in the table.
   private static final int RETENTION_INTERVALS = 600;
 
   private final MemberTable table;
@@ -18,7 +18,7 @@
     retentionUs = RETENTION_INTERVALS * settings.intervalUs();
   }
 
-  /** Declares dead, or forgets, each member whose time for that has come. */
+  /** Declares suspects dead whose suspicion timed out; forgets those dead or left for long. */
   void expire(long nowUs) {
     for (MemberEntry entry : List.copyOf(table.all())) {
       if (entry.isSuspicionExpired(nowUs)) {
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Postpones the end of all running suspicions by that many microseconds. */
+  /** Postpones the end of all running suspicions by {@code byUs} microseconds. */
   void postponeSuspicions(long byUs) {
     table.all().forEach(entry -> entry.postponeSuspicion(byUs));
   }
--- a/sidecar/src/main/java/dillcross/membership/MemberRecord.java
+++ b/sidecar/src/main/java/dillcross/membership/MemberRecord.java
@@ -26,7 +26,7 @@
   /** The value of {@code suspectedBy} while the member is not suspect. */
   static final String NOT_SUSPECTED = "";
 
-  // An upper bound of the encoded bytes of the two numbers, the state and the framing.
+  // An upper bound of the encoded bytes of the boot, the incarnation, the state and the framing.
   private static final int FIXED_BYTES = 32;
 
   /** Whether this record replaces the other one, which has the same name. */
--- a/sidecar/src/main/java/dillcross/membership/Outbox.java
+++ b/sidecar/src/main/java/dillcross/membership/Outbox.java
@@ -10,7 +10,7 @@
  * packets are sent even then.
  */
 final class Outbox {
-  private static final int GOSSIP_FACTOR = 3; // transmissions per item and log2 of member count
+  private static final int GOSSIP_FACTOR = 3; // an item is sent this factor times log2(members)
   private static final long NO_SEQUENCE = 0; // the packet belongs to no probe
 
   private final MembershipSettings settings;
@@ -113,7 +113,7 @@
     sendWithoutGossip(receiver, withGossip(packet, batch));
   }
 
-  /** SWIM: an item reaches all members with high probability after O(log n) transmissions. */
+  /** How often an item is sent; by SWIM's analysis O(log members) reaches nearly all members. */
   private int transmissionsPerItem() {
     int members = table.liveCount() + 1;
     return GOSSIP_FACTOR * (int) Math.ceil(Math.log(members + 1.0) / Math.log(2));
--- a/sidecar/src/main/java/dillcross/membership/Packet.java
+++ b/sidecar/src/main/java/dillcross/membership/Packet.java
@@ -43,8 +43,8 @@
   /** The digest of a packet that carries none. */
   static final int[] NO_DIGEST = {};
 
-  private static final int FIXED_BYTES = 48; // an upper bound of the numbers and the framing
-  private static final int BYTES_PER_BUCKET = 6; // an upper bound of one sum of the digest
+  private static final int FIXED_BYTES = 48; // most bytes that the numbers and the framing take
+  private static final int BYTES_PER_BUCKET = 6; // most bytes that one sum of the digest takes
 
   /** An upper bound of the encoded bytes, without the name of the fleet that the codec adds. */
   public int size() {
--- a/sidecar/src/main/java/dillcross/membership/PauseDetector.java
+++ b/sidecar/src/main/java/dillcross/membership/PauseDetector.java
@@ -7,7 +7,7 @@
  * membership is called much later than the time that it asked for.
  */
 final class PauseDetector {
-  /** The expected time while no call is asked for. */
+  /** The value of the expected call time while the membership has asked for no call. */
   static final long NO_CALL = Long.MAX_VALUE;
 
   private final long toleranceUs;
@@ -30,7 +30,7 @@
     return expectedCallUs;
   }
 
-  /** The delay of the present call, in microseconds; empty if it is not late by a pause. */
+  /** How late the present call is, in microseconds; empty if within the tolerance. */
   OptionalLong pauseUs(long nowUs) {
     long lateUs = expectedCallUs == NO_CALL ? 0 : nowUs - expectedCallUs;
     return lateUs > toleranceUs ? OptionalLong.of(lateUs) : OptionalLong.empty();
--- a/sidecar/src/main/java/dillcross/membership/Payload.java
+++ b/sidecar/src/main/java/dillcross/membership/Payload.java
@@ -18,7 +18,7 @@
   /** The number of payload types. */
   public static final int TYPES = 8;
 
-  private static final int FIXED_BYTES = 40; // an upper bound of the numbers and the framing
+  private static final int FIXED_BYTES = 40; // most bytes that the numbers and the framing take
 
   /** Whether a payload of that type and size may be published. */
   static boolean isValid(int type, int byteCount) {
--- a/sidecar/src/main/java/dillcross/membership/Probe.java
+++ b/sidecar/src/main/java/dillcross/membership/Probe.java
@@ -93,7 +93,7 @@
 
   /**
    * The amount by which a failure of this probe worsens the local health. A healthy helper answers
-   * with ACK or NACK, so each silent helper suggests that the fault lies with this process.
+   * with ACK or NACK, so each helper without a response suggests a fault of this process.
    */
   int healthPenalty() {
     return helperCount == 0 ? 1 : Math.max(0, helperCount - nackCount);
--- a/sidecar/src/main/java/dillcross/membership/ProtocolSchedule.java
+++ b/sidecar/src/main/java/dillcross/membership/ProtocolSchedule.java
@@ -9,10 +9,10 @@
 final class ProtocolSchedule {
   private static final int DIGEST_INTERVALS = 10; // probe intervals between two digests, on average
   private static final int RECONNECT_INTERVALS = 4; // probe intervals between two reconnects
-  private static final double START_JITTER_FRACTION = 0.2; // of the interval, at most
+  private static final double START_JITTER_FRACTION = 0.2; // at most, of the probe interval
   private static final double MIN_PROBE_PERIOD_FACTOR = 0.9;
   private static final double PROBE_JITTER_FRACTION = 0.2;
-  private static final double MIN_OTHER_PERIOD_FACTOR = 0.5; // the maximum is 1.5
+  private static final double MIN_OTHER_PERIOD_FACTOR = 0.5; // of digests and reconnects; max 1.5
 
   private final long intervalUs;
   private final Random random;
@@ -32,13 +32,13 @@
     return nowUs >= probeAtUs;
   }
 
-  /** Schedules the next probe; the period is stretched by the factor. */
+  /** Schedules the next probe after a jittered interval times {@code timeoutFactor}. */
   void scheduleProbe(long nowUs, int timeoutFactor) {
     double jitter = MIN_PROBE_PERIOD_FACTOR + PROBE_JITTER_FRACTION * random.nextDouble();
     probeAtUs = nowUs + (long) (intervalUs * timeoutFactor * jitter);
   }
 
-  /** Schedules the next probe at a random time within one interval. */
+  /** Schedules the next probe at a random time within one probe interval. */
   void scheduleProbeAfterPause(long nowUs) {
     probeAtUs = nowUs + (long) (intervalUs * random.nextDouble());
   }
--- a/sidecar/src/main/java/dillcross/membership/RecordMerger.java
+++ b/sidecar/src/main/java/dillcross/membership/RecordMerger.java
@@ -8,8 +8,8 @@
  * suspicion, and queues those that were new for gossip.
  */
 final class RecordMerger {
-  // Records with greater numbers are ignored: a member that exceeds them by one in order to refute
-  // the record could overflow.
+  // Records with a greater boot or incarnation are ignored: a member refutes a record
+  // about itself by a number greater by one, which could overflow.
   private static final long MAX_BOOT_OR_INCARNATION = 1L << 60;
 
   private final MemberTable table;
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Adds an unknown member if it is live: only members that knew a dead one remember it. */
+  /** Adds an unknown member if it is live; a dead one is kept only where it was known alive. */
   private void addNew(MemberRecord record, long nowUs) {
     if (record.state().isLive() && makeSpace()) {
       MemberEntry entry = new MemberEntry(record);
--- a/sidecar/src/main/java/dillcross/membership/SuspicionTimeout.java
+++ b/sidecar/src/main/java/dillcross/membership/SuspicionTimeout.java
@@ -9,9 +9,9 @@
   /** The number of confirmations from which on the timeout is at its minimum. */
   static final int MAX_CONFIRMATIONS = 3;
 
-  // The minimum is this many probe intervals times the decimal logarithm of the number of members.
+  // The minimum timeout is this many probe intervals times max(1, log10(number of members)).
   private static final double MIN_TIMEOUT_INTERVALS = 4;
-  private static final double UNCONFIRMED_FACTOR = 4; // of the minimum, if nobody confirms
+  private static final double UNCONFIRMED_FACTOR = 4; // times the minimum, if nobody confirms
 
   private final long intervalUs;
   private final MemberTable table;
--- a/sidecar/src/main/java/dillcross/membership/TableDigest.java
+++ b/sidecar/src/main/java/dillcross/membership/TableDigest.java
@@ -14,7 +14,7 @@
   /** The number of buckets, and of sums in a digest. */
   static final int BUCKETS = 32;
 
-  private static final int BUCKET_SHIFT = 27; // keeps the highest 5 of 32 bits
+  private static final int BUCKET_SHIFT = 27; // keeps the highest 5 of a hash's 32 bits
   private static final int NAME_FACTOR = 31;
   private static final int GOLDEN_RATIO_32 = 0x9E3779B9;
   private static final long GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15L;
--- a/sidecar/src/main/java/dillcross/net/membership/DatagramLimiter.java
+++ b/sidecar/src/main/java/dillcross/net/membership/DatagramLimiter.java
@@ -3,7 +3,7 @@
 /**
  * Limits the rate at which datagrams are read, so that a flood of them does not keep the selector
  * thread from requests: reading takes a few hundredths of a core at most. Datagrams from addresses
- * of live members have a limit of their own.
+ * of live members have a separate, higher limit.
  */
 final class DatagramLimiter {
   private static final double FROM_MEMBERS_PER_SECOND = 2000;
@@ -12,7 +12,7 @@
   private static final double OTHERS_BURST = FROM_OTHERS_PER_SECOND / 2;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  // Datagrams that may still be read, from each kind of sender.
+  // Tokens left: datagrams that may be read now from live members, and from all other senders.
   private double fromMembers = MEMBERS_BURST;
   private double fromOthers = OTHERS_BURST;
   private long refilledUs;
@@ -27,7 +27,7 @@
     fromOthers = Math.min(OTHERS_BURST, fromOthers + others);
   }
 
-  /** Takes one datagram off the limit for its sender; returns false if none is left. */
+  /** Takes the token to read one datagram; returns false if the sender's kind has none left. */
   boolean tryAcquire(boolean isFromMember) {
     if (isFromMember) {
       boolean allowed = fromMembers >= 1;
--- a/sidecar/src/main/java/dillcross/net/membership/MembershipService.java
+++ b/sidecar/src/main/java/dillcross/net/membership/MembershipService.java
@@ -30,8 +30,8 @@
 public final class MembershipService implements Network.DatagramHandler {
   private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
   private static final int MIN_BUFFER_BYTES = 1500;
-  private static final int FRAME_BYTES = 128; // the name of the fleet and framing, at most
-  private static final long LOG_INTERVAL_US = 500_000; // changes within it are one log line
+  private static final int FRAME_BYTES = 128; // at most, for the fleet's name and the CBOR framing
+  private static final long LOG_INTERVAL_US = 500_000; // changes within it share one log line
   private static final int MAX_LOGGED_CHANGES = 8;
   private static final int MICROS_PER_MILLI = 1000;
 
@@ -42,7 +42,7 @@
   private final DatagramLimiter limiter = new DatagramLimiter();
   private final Map<String, MemberState> loggedStates = new HashMap<>();
   private Network.DatagramTransport transport;
-  private long nowUs; // the time of the present iteration
+  private long nowUs; // the time that the selector loop last passed in
   private long loggedUs;
   private long malformed; // datagrams that could not be decoded
   private long flooded; // datagrams that were dropped unread by the limiter
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Sets the time for the datagrams of this iteration, which are handled next. */
+  /** Sets the time at which this iteration's datagrams count as received; call before them. */
   public void beforeEvents(long nowUs) {
     this.nowUs = nowUs;
     limiter.refill(nowUs);
--- a/sidecar/src/main/java/dillcross/net/membership/PacketCodec.java
+++ b/sidecar/src/main/java/dillcross/net/membership/PacketCodec.java
@@ -23,7 +23,7 @@
 
   private static final int RECORD_FIELDS = 7;
   private static final int PAYLOAD_FIELDS = 5;
-  private static final int FRAME_BYTES = 64; // the name of the fleet and framing
+  private static final int FRAME_BYTES = 64; // initial space for the fleet's name and framing
 
   private final CBORFactory cbor =
       CBORFactory.builder().enable(CBORGenerator.Feature.WRITE_MINIMAL_INTS).build();
--- a/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
+++ b/sidecar/src/main/java/dillcross/sidecar/AttemptResult.java
@@ -3,7 +3,7 @@
 import dillcross.model.AttemptOutcome;
 
 /**
- * How an attempt ended on the network: a value, never an exception.
+ * How an attempt ended on the network. Failures are reported by this value, not by exceptions.
  *
  * @param progress how far the request was written
  * @param content the endpoint's answer, an object of the network; null where there is none
--- a/sidecar/src/main/java/dillcross/sidecar/EndpointListTracker.java
+++ b/sidecar/src/main/java/dillcross/sidecar/EndpointListTracker.java
@@ -19,7 +19,7 @@
   private final Queue<NetworkCommand> commands;
   private final EndpointAddresses addresses = new EndpointAddresses();
   private long listVersion; // version of the last update that was applied; 0 before the first
-  private long watchedVersion; // the next watch requests changes since it; 0: the complete list
+  private long watchedVersion; // next watch: changes since this version; 0: complete list
   private long lastWatchUs;
   private boolean hasReceivedWatchEvent;
 
--- a/sidecar/src/main/java/dillcross/sidecar/OpenAttempt.java
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenAttempt.java
@@ -3,7 +3,7 @@
 /** One attempt of an {@link OpenRequest}. Times are in microseconds. */
 final class OpenAttempt {
   private final EndpointEntry target;
-  private long sentUs; // or when the request's body was complete, if that was later
+  private long sentUs; // when the attempt was sent, or its body was complete if later
   private long streamingSinceUs; // 0 until its response is streamed
   private boolean hasTimedOut;
   private boolean hasEnded;
@@ -53,8 +53,8 @@
   }
 
   /**
-   * How long the endpoint took until {@code nowUs}, or until the first bytes of a streamed
-   * response, as how fast the rest arrives depends on the client as well.
+   * How long the endpoint took until {@code nowUs}. For a streamed response, the time until its
+   * first bytes, as how fast the rest arrives depends on the client too.
    */
   long elapsedUs(long nowUs) {
     long endUs = streamingSinceUs > 0 ? streamingSinceUs : nowUs;
--- a/sidecar/src/main/java/dillcross/sidecar/OpenRequest.java
+++ b/sidecar/src/main/java/dillcross/sidecar/OpenRequest.java
@@ -46,7 +46,7 @@
     return deadlineUs;
   }
 
-  /** The deadline if the body were complete now. */
+  /** The client's deadline; while the body is incomplete, as if its last byte came now. */
   long earliestDeadlineUs(long nowUs) {
     return isBodyIncomplete() ? nowUs + timeoutUs : deadlineUs;
   }
--- a/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
+++ b/sidecar/src/main/java/dillcross/simulator/EventDispatcher.java
@@ -35,7 +35,7 @@
   }
 
   private void onEndpoints(WireFields fields, LoadBalancer balancer, long nowUs) {
-    fields.wholeNumber(0); // checked, but not used
+    fields.wholeNumber(0); // checked to be a number, but not used
     int snapshot = fields.index();
     String form = fields.text();
     if (form.equals(WireFormat.LIST_UNAVAILABLE)) {
@@ -74,7 +74,7 @@
 
   private static void onResponseStarted(WireFields fields, LoadBalancer balancer, long nowUs) {
     long requestId = fields.wholeNumber(0);
-    fields.text(); // this field and the next are checked, but not used
+    fields.text(); // this field and the next are read to check their form, but not used
     fields.microseconds();
     balancer.onResponseStarted(nowUs, requestId, fields.index());
   }
--- a/sidecar/src/main/java/dillcross/simulator/SimulatorSession.java
+++ b/sidecar/src/main/java/dillcross/simulator/SimulatorSession.java
@@ -33,8 +33,9 @@
   private final Map<Integer, LoadBalancer> instances = new HashMap<>();
   private final Map<Integer, List<Endpoint>> snapshots = new HashMap<>();
   private final EventDispatcher dispatcher = new EventDispatcher(snapshots);
-  private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>(); // by this batch
-  private final Map<Integer, String> failures = new LinkedHashMap<>(); // exceptions of this batch
+  // The load balancers that had an event in this batch, by number.
+  private final Map<Integer, LoadBalancer> touched = new LinkedHashMap<>();
+  private final Map<Integer, String> failures = new LinkedHashMap<>(); // exceptions in this batch
   private final StringBuilder output = new StringBuilder(OUTPUT_BUFFER_CHARS);
   private long lineNumber;
   private long nowUs;
--- a/sidecar/src/main/java/dillcross/simulator/WireFormat.java
+++ b/sidecar/src/main/java/dillcross/simulator/WireFormat.java
@@ -5,15 +5,15 @@
  * line: its name, then its fields, separated by spaces.
  */
 final class WireFormat {
-  /** A field that is absent. */
+  /** The text that stands for a field without a value. */
   static final String ABSENT = "-";
 
   // Messages from the simulator
 
-  /** A batch begins; the field is the time of its events, in milliseconds. */
+  /** A batch of events begins; the only field is their time, in milliseconds. */
   static final String BATCH_BEGIN = "tick";
 
-  /** A batch ends, and the simulator waits for the decisions. */
+  /** A batch of events ends, and the simulator waits for the decisions. */
   static final String BATCH_END = "commit";
 
   /** An endpoint list, whose rows follow. */
@@ -52,7 +52,7 @@
   /** A message of another load balancer; ignored. */
   static final String PEER_MESSAGE = "peer_data";
 
-  // Values of their fields
+  // Values of fields in messages from the simulator
 
   /** The health of an endpoint that takes requests. */
   static final String HEALTH_UP = "up";
@@ -124,7 +124,7 @@
   /** A load balancer has thrown an exception. */
   static final String INSTANCE_FAILED = "bug";
 
-  /** The answer to a batch is complete. */
+  /** All decisions in answer to a batch of events have been written. */
   static final String ANSWER_END = "next";
 
   private WireFormat() {}
--- a/sidecar/src/test/java/dillcross/membership/MembershipTest.java
+++ b/sidecar/src/test/java/dillcross/membership/MembershipTest.java
@@ -132,7 +132,7 @@
     assertState(MemberState.ALIVE, "b");
   }
 
-  /** Another member sends a digest of zeros, which requests the whole table, every 10 ms. */
+  /** Every 10 ms a digest of zeros requests the whole table, more than the byte budget allows. */
   @Test
   void keepsPacketSizeAndBytesPerSecondWithinTheirLimits() {
     receive(LIVE_B, Packet.Kind.ACK, liveRecords("member-with-a-long-name-", 90));
@@ -160,7 +160,7 @@
   @Test
   void pauseWorsensLocalHealthAndSuspectsNoMember() {
     receive(LIVE_B, Packet.Kind.ACK);
-    advance(2 * SECOND_US / 5); // a probe is in progress
+    advance(2 * SECOND_US / 5); // a probe is in progress, which must not fail by the pause below
     nowUs += 10 * SECOND_US;
     membership.onTime(nowUs);
     assertTrue(membership.localHealth() > 0);
--- a/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorAnswersTest.java
+++ b/sidecar/src/test/java/dillcross/sidecar/RequestCoordinatorAnswersTest.java
@@ -117,7 +117,7 @@
     assertEquals(0, coordinator.openRequests());
   }
 
-  /** A request has no deadline while its body arrives, but its attempts time out if that stalls. */
+  /** While the body arrives there is no deadline; if the body stalls, the attempts time out. */
   @Test
   void startsTheDeadlineAtTheLastByteOfTheBody() {
     long request = fixture.onRequest("buy", true);
