--- a/sidecar/src/main/java/dillcross/net/ChangeQueue.java
+++ b/sidecar/src/main/java/dillcross/net/ChangeQueue.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 
-/** Passes changes from other threads to the selector thread, the only thread that makes any. */
+/**
+ * Runs other threads' changes to the server's state on the selector thread, the only thread that
+ * may modify it.
+ */
 final class ChangeQueue {
   private final Queue<Runnable> changes = new ConcurrentLinkedQueue<>();
   private final Runnable wakeUp;
@@ -15,8 +18,8 @@
   }
 
   /**
-   * Makes the selector thread run the change after the events of an iteration. May be called from
-   * any thread.
+   * Makes the selector thread run the change after it has handled the events of an event-loop
+   * iteration. May be called from any thread.
    */
   void submit(Runnable change) {
     changes.add(change);
@@ -24,9 +27,9 @@
   }
 
   /**
-   * As {@link #submit}, and returns once the change has run or has thrown; the caller can't tell
-   * which, but the event loop logs a failure. Must not be called from the selector thread, which
-   * would wait for itself.
+   * Submits the change as {@link #submit} does, and waits until it has run or has thrown; the
+   * caller can't tell which, but the event loop logs a failure. Must not be called from the
+   * selector thread, which would wait for itself.
    */
   void submitAndWait(Runnable change) throws InterruptedException {
     CountDownLatch made = new CountDownLatch(1);
--- a/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
+++ b/sidecar/src/main/java/dillcross/net/CommandDispatcher.java
@@ -81,7 +81,7 @@
     listener.respond(caller(command.client()), response);
   }
 
-  /** Seconds with three decimals, rounded up to whole milliseconds. */
+  /** Formats microseconds as seconds with three decimals, rounded up to whole milliseconds. */
   private static String seconds(long us) {
     long ms = (us + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
     return String.format(Locale.ROOT, "%d.%03d", ms / MILLIS_PER_SECOND, ms % MILLIS_PER_SECOND);
--- a/sidecar/src/main/java/dillcross/net/ShutdownSequence.java
+++ b/sidecar/src/main/java/dillcross/net/ShutdownSequence.java
@@ -7,9 +7,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The graceful shutdown: accepts connections for a while, unless another process accepts them too,
- * then stops accepting, and is done once all requests are answered or have timed out. Belongs to
- * the selector thread; {@link #isDone} and {@link #await} may be called from any thread.
+ * The graceful shutdown: accepts connections for another {@link #ACCEPT_US}, or not at all if
+ * another process also accepts from the same socket, then stops accepting, and is done once all
+ * requests are answered or have timed out. Belongs to the selector thread; {@link #isDone} and
+ * {@link #await} may be called from any thread.
  */
 final class ShutdownSequence {
   /**
@@ -18,7 +19,9 @@
    */
   static final long ACCEPT_US = 500_000;
 
-  private static final long QUIET_US = 150_000; // for requests in transit when accepting stops
+  // How long the shutdown lasts at least after ACCEPT_US, for requests in transit when accepting
+  // stops; in microseconds.
+  private static final long QUIET_US = 150_000;
 
   private final Lifecycle lifecycle;
   private final RequestCoordinator coordinator;
@@ -36,6 +39,7 @@
   /**
    * Continues the shutdown; called in each iteration of the event loop after it has begun.
    *
+   * @param maxTimeoutUs the longest timeout that an open request may have
    * @param isSocketShared whether another process may accept from the listening socket too
    */
   void advance(long nowUs, long maxTimeoutUs, boolean isSocketShared) {
--- a/sidecar/src/main/java/dillcross/net/SidecarServer.java
+++ b/sidecar/src/main/java/dillcross/net/SidecarServer.java
@@ -31,13 +31,15 @@
  */
 public final class SidecarServer implements Network.EventLoopTask {
   private static final Logger LOG = Logger.getLogger(SidecarServer.class.getName());
-  private static final long FIRST_LIST_TIMEOUT_US = 3_000_000; // for the first endpoint list
+  // How long readiness is delayed at most to wait for the first endpoint list.
+  private static final long FIRST_LIST_TIMEOUT_US = 3_000_000;
   private static final int MAX_LOGGED_FAILURES = 20;
-  // For files, the selector, listening and admin sockets, and connections that are being closed.
+  // File descriptors that are kept free for files, the selector, the listening and admin sockets,
+  // and connections that are being closed.
   private static final int RESERVED_DESCRIPTORS = 48;
   private static final int DESCRIPTOR_SHARES = 3;
   private static final int CLIENT_SHARES = 2;
-  private static final int KEEP_ALIVE_MARGIN_DIVISOR = 10; // a tenth of the endpoint's timeout
+  private static final int KEEP_ALIVE_MARGIN_DIVISOR = 10; // 1/10 of the endpoint's idle timeout
   private static final int MICROS_PER_MILLI = 1000;
   private static final long MIN_DISCOVERY_CONNECT_US = 1_000_000;
   private static final long EXPIRY_INTERVAL_US = 200_000;
@@ -61,10 +63,11 @@
   private Optional<MembershipService> membership = Optional.empty();
   private String adminAddress; // null if there is no admin endpoint
   private Network.ListeningSocket listeningSocket; // for clients; null until there is one
-  // The longest request timeout of all settings so far: a request may be open from any of them.
+  // The longest request timeout of all settings applied so far, because an open request may have
+  // got its timeout from any of them.
   private volatile long maxTimeoutUs;
   private volatile boolean isSocketInherited; // another process may accept from it too
-  private boolean needsFirstList; // before the server is ready
+  private boolean needsFirstList; // before the server is ready, the endpoint list has to arrive
   private long lastExpiryUs; // when client and admin connections were last checked for timeouts
   private int failedIterations;
   private long now; // in microseconds; read before the events of an iteration and again after them
@@ -142,13 +145,13 @@
     discovery.configure(Math.max(settings.connectTimeoutUs(), MIN_DISCOVERY_CONNECT_US));
   }
 
-  // Before the start: on the thread that creates the server
+  // Methods that are called before the start, on the thread that creates the server
 
   /**
    * Requests the endpoint list at once, and delays readiness until it has arrived, but not for
-   * longer than 3 s. Needed where discovery pushes updates: those that it already has count as
-   * delivered to this process from its start on, and the list that the process started with may be
-   * old.
+   * longer than 3 s. Needed where discovery pushes updates: the protocol counts the updates that
+   * discovery already has as delivered to this process from its start on, although the list that
+   * the process started with may be older.
    */
   public void requireFirstList() {
     needsFirstList = true;
@@ -208,7 +211,10 @@
     void make() throws IOException;
   }
 
-  /** Makes a change that may fail, unless shutdown has begun. */
+  /**
+   * Runs the change on the selector thread, waits for it, and rethrows its {@link IOException}.
+   * Does not run it if the shutdown has begun.
+   */
   private void makeChange(FallibleChange change) throws IOException, InterruptedException {
     AtomicReference<IOException> failure = new AtomicReference<>();
     runBetweenIterations(
@@ -242,7 +248,8 @@
       throw new IOException(
           "NODE_FD names no listening socket that can be taken over (descriptor 0)");
     }
-    // Requests to the clients' address would reach the former process, which still serves there.
+    // The warm-up requests go to the admin address: at the clients' address they would reach the
+    // former process, which still serves there.
     warmUp.start(adminAddress, AdminPaths.READY);
     network.wakeUp();
   }
@@ -304,7 +311,8 @@
    */
   public void stop() throws InterruptedException {
     requestStop();
-    // The wait is limited, because the event loop may not run yet; new settings may prolong it.
+    // The wait for the shutdown is limited, because the event loop may not run yet. The limit is
+    // computed in each pass, because new settings may raise maxTimeoutUs.
     boolean isDone = false;
     long waitedUs = 0;
     while (!isDone && waitedUs < maxTimeoutUs + 2 * ShutdownSequence.ACCEPT_US) {
--- a/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
+++ b/sidecar/src/main/java/dillcross/net/WarmUpProbe.java
@@ -75,7 +75,9 @@
     }
   }
 
-  /** Sends one request. Its id is negative, as no open request's is. */
+  /**
+   * Sends one request. Its id is negative, so that it differs from the id of every open request.
+   */
   private void send(long nowUs) {
     HttpRequest request = HttpRequest.get(path, Map.of(HeaderNames.HOST, address));
     InboundRequest content = new InboundRequest(request, null);
--- a/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
+++ b/sidecar/src/main/java/dillcross/net/admin/AdminEndpoint.java
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Responds and closes. A caller that has ended its output gets a response too, since the call
-   * took effect.
+   * Responds and closes. A caller that has ended its output gets a response too, because its call
+   * has already taken effect.
    */
   private static void respond(Connection connection, HttpResponse response) {
     response.announceClose();
--- a/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
+++ b/sidecar/src/main/java/dillcross/net/admin/Lifecycle.java
@@ -6,13 +6,13 @@
  * Belongs to the selector thread.
  */
 public final class Lifecycle {
-  // From the start of a drain until idle connections close. By then clients' health checks have
-  // failed.
+  // The time from the start of a drain until idle connections are closed: long enough for clients'
+  // health checks to fail first.
   private static final long DRAIN_NOTICE_US = 1_500_000;
-  // From SIGTERM until idle connections close. A request that arrives at the end of it must still
-  // have the longest timeout before the process is killed.
+  // The time from SIGTERM until idle connections are closed. For a request that arrives at the end
+  // of that time, the longest request timeout must still fit in before the process is killed.
   private static final long SHUTDOWN_NOTICE_US = 450_000;
-  // All requests are answered before the longest timeout and this have passed since SIGTERM.
+  // All requests are answered within the longest request timeout plus this time after SIGTERM.
   private static final long SHUTDOWN_SLACK_US = 600_000;
 
   private enum Stage {
@@ -42,7 +42,7 @@
 
   /**
    * Begins a drain: the health check fails, so that clients go to other sidecars. Requests that
-   * arrive meanwhile are served. A second call has no effect.
+   * arrive during the drain are served. A second call has no effect.
    */
   void drain(long nowUs) {
     isDrainRequested = true;
--- a/sidecar/src/main/java/dillcross/net/buffer/RingBuffer.java
+++ b/sidecar/src/main/java/dillcross/net/buffer/RingBuffer.java
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Sets whether the buffer keeps its memory while it is empty. It does for a streamed body,
-   * because it would otherwise shrink and grow again at each read.
+   * Sets whether the buffer keeps its memory while it is empty. Set for a streamed body, for which
+   * the buffer would otherwise shrink and grow again at each read.
    */
   public void setKeepsCapacity(boolean keeps) {
     keepsCapacity = keeps;
@@ -109,7 +109,7 @@
     int wanted = Math.min(window, maxBytes);
     if (bytes.length < wanted) {
       grow(wanted);
-      isStarved = false; // a stream goes on with the present size
+      isStarved = false; // a streamed body goes on in the present size if grow failed
     }
     return Math.max(0, Math.min(wanted, bytes.length) - size);
   }
--- a/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientConnections.java
@@ -16,20 +16,20 @@
 public final class ClientConnections {
   /**
    * How long a connection may be idle between two requests while connections are scarce; at the
-   * limit, those that have been idle for longer are closed first.
+   * limit of connections, those that have been idle for longer are closed first.
    */
   static final long SHORT_IDLE_TIMEOUT_US = 2_000_000;
 
   /**
-   * How long a new connection may be open without a byte. One that exceeds this is closed first at
-   * the limit, and is closed by a drain or shutdown.
+   * How long a new connection may be open without a byte. A connection that exceeds this time is
+   * closed first at the limit of connections, and is closed by a drain or shutdown.
    */
   static final long FIRST_BYTE_TIMEOUT_US = 200_000;
 
-  // How long a connection's first request may be incomplete, counted from the connect. One that
-  // exceeds this is closed first at the limit.
+  // How long the first request of a connection may be incomplete, counted from the connect. A
+  // connection that exceeds this time is closed first at the limit of connections.
   private static final long PARTIAL_REQUEST_TIMEOUT_US = 1_000_000;
-  // Connections are scarce from 3/8 of the limit on.
+  // Connections count as scarce above 3/8 of maxConnections.
   private static final int SCARCE_NUMERATOR = 3;
   private static final int SCARCE_DENOMINATOR = 8;
   private static final long LOG_INTERVAL_US = 10_000_000;
@@ -39,8 +39,8 @@
   private final int maxConnections;
   private final Set<Connection> connections = new LinkedHashSet<>(); // the longest idle first
   private Network.ListeningSocket listeningSocket; // null before the start and after the stop
-  private boolean isAcceptPaused; // because the limit is reached
-  private long loggedUs; // when the limit was last logged
+  private boolean isAcceptPaused; // because maxConnections is reached
+  private long loggedUs; // when reaching maxConnections was last logged
 
   /** Creates an empty set of at most {@code maxConnections}; {@code clock} gives microseconds. */
   public ClientConnections(LongSupplier clock, int maxConnections) {
@@ -61,7 +61,7 @@
     connection.activity().markIdle(clock.getAsLong());
     connections.add(connection);
     if (connections.size() >= maxConnections && !closeOneExcept(connection)) {
-      pauseAccepting(); // accepts would fail over and over in a busy loop
+      pauseAccepting(); // else accepts would fail over and over in a busy loop
     }
   }
 
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Whether connections are scarce. The threshold is far below the limit, because clients may have
-   * a limit of their own and reach it earlier.
+   * Whether connections are scarce. The threshold is far below {@code maxConnections}, because
+   * clients may have a lower connection limit of their own.
    */
   boolean areScarce() {
     return connections.size() > maxConnections * SCARCE_NUMERATOR / SCARCE_DENOMINATOR;
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Accepts connections again if the limit had stopped that; called when a connection may have
-   * become free.
+   * Accepts connections again if the limit of connections had stopped that; called when a
+   * connection may have become free.
    */
   void resumeAccepting() {
     if (isAcceptPaused && isListening()) {
--- a/sidecar/src/main/java/dillcross/net/client/ClientListener.java
+++ b/sidecar/src/main/java/dillcross/net/client/ClientListener.java
@@ -31,16 +31,17 @@
  * Belongs to the selector thread.
  */
 public final class ClientListener implements MessageHandler, Network.ConnectionAcceptor {
-  // For the client to read the last response and to close.
+  // How long the client has to read the last response and to close the connection.
   private static final long CLOSE_TIMEOUT_US = 500_000;
-  // Without progress: before the first byte of a connection, within a request body, or while a
-  // response is written.
+  // The longest time without progress: before the first byte of a connection, within a request
+  // body, or while a response is written.
   private static final long STALL_TIMEOUT_US = 2_000_000;
   private static final long HEAD_TIMEOUT_US = 2_500_000; // for the head of a request
-  // For a complete request with up to 64 KiB of body from a slow client, and slack.
+  // The longest time for a complete request to arrive: enough for up to 64 KiB of body from a slow
+  // client, and slack.
   private static final long BODY_TIMEOUT_US = 4_000_000;
-  // Without a request, or without reading a streamed response. Clients that send one request and
-  // stay connected would accumulate otherwise.
+  // The longest time without a request, or without the client reading a streamed response. Clients
+  // that send one request and stay connected would accumulate otherwise.
   private static final long IDLE_TIMEOUT_US = 20_000_000;
   private static final int MICROS_PER_MILLI = 1000;
   private static final String UNKNOWN_CLASS_BODY = "unknown category"; // the protocol's term
@@ -146,7 +147,7 @@
               isHealthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE,
               isHealthy ? "ready" : "not ready"));
     } else if (connection.hasInputEnded()) {
-      connection.close(); // the client counts as disconnected
+      connection.close(); // a client that ends its output counts as disconnected
     } else {
       serve(connection, request);
     }
@@ -224,7 +225,7 @@
       connection.closeAfterNextMessage();
     }
     if (connection.parser().isStreaming()) {
-      connection.discardRest(maxBody); // its body is still arriving
+      connection.discardRest(maxBody); // the request's body is still arriving
     }
     if (!connection.isClosing() && request.isHttp10()) {
       response.fields().put(HeaderNames.CONNECTION, HeaderNames.CONNECTION_KEEP_ALIVE);
@@ -234,9 +235,9 @@
   }
 
   /**
-   * Whether the connection closes after its response. While connections are scarce, this includes
-   * connections with a single request so far. The response announces the close, so that no further
-   * request crosses it.
+   * Whether the connection closes after its response. While connections are scarce, a connection
+   * with a single request so far closes too. The response announces the close, so that the client
+   * does not send another request at the same moment.
    */
   private boolean closesAfter(Connection connection, HttpRequest request) {
     boolean isLeastUsed = connections.areScarce() && connection.activity().requestCount() <= 1;
@@ -304,10 +305,10 @@
   }
 
   /**
-   * Closes connections that have timed out, because slow clients would use up the limit: with a 408
-   * response if a request has not arrived in time, and without one if the client has sent nothing
-   * or does not read its response. A streamed body or a response may be slow as long as it makes
-   * progress.
+   * Closes connections that have timed out, because slow clients would use up the limit of
+   * connections: with a 408 response if a request has not arrived in time, and without one if the
+   * client has sent nothing or does not read its response. A streamed body or a response may be
+   * slow as long as it makes progress.
    */
   public void expire(long nowUs) {
     for (Connection connection : connections.snapshot()) {
--- a/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
+++ b/sidecar/src/main/java/dillcross/net/client/RequestValidator.java
@@ -55,7 +55,7 @@
       return Optional.of(HeaderNames.IDEMPOTENCY_KEY + " is missing or malformed");
     }
     if (openIds.contains(id)) {
-      // The client could not tell the responses to two open requests with one id apart.
+      // If two open requests had the same id, the client could not tell their responses apart.
       return Optional.of(HeaderNames.REQUEST_ID + " is that of a request that is open");
     }
     return Optional.empty();
--- a/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
+++ b/sidecar/src/main/java/dillcross/net/connection/BodyRelay.java
@@ -21,7 +21,7 @@
 
   /**
    * The bytes that may wait in each of the two buffers: enough to keep a connection busy, and few
-   * enough for many relays.
+   * enough for many relays within the memory budget.
    */
   static final int WINDOW_BYTES = 64 << 10;
 
--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -26,7 +26,7 @@
   private final MessageHandler handler;
   private final boolean isServerSide;
   private final MemoryBudget budget;
-  private final int standardWindow; // for the largest buffered body, its head and its framing
+  private final int standardWindow; // fits the largest buffered body with its head and framing
   private final RingBuffer in;
   private final RingBuffer out;
   private final HttpMessageParser parser;
@@ -40,13 +40,13 @@
   private long maxDiscardedBytes = MAX_DISCARDED_BYTES;
   private long discardedBytes; // input that was read and discarded
   private boolean isPaused; // reading is paused until the input buffer has space
-  private boolean hasOverrun; // more followed an open request than may be buffered
+  private boolean hasOverrun; // more input followed an open request than may be buffered
   private boolean isConnected;
   private boolean hasInputEnded; // no more bytes will arrive
   private boolean wasInputReset; // the input ended by an error, so a message may be cut short
   private boolean wasLastMessageDropped; // the output buffer had no space for it
   private boolean isWriting; // the channel has not finished the last write
-  private int bytesInWrite; // the size of that write; the bytes are still in the output buffer
+  private int bytesInWrite; // bytes of the unfinished write, which are still in the output buffer
 
   /**
    * Creates a connection whose connect has not succeeded yet.
@@ -127,7 +127,9 @@
     return hasInputEnded;
   }
 
-  /** Whether the input has ended because the peer closed its output, and not by an error. */
+  /**
+   * Whether the input has ended because the peer closed its output, and not because of an error.
+   */
   boolean hasInputEndedCleanly() {
     return hasInputEnded && !wasInputReset;
   }
@@ -197,8 +199,8 @@
   }
 
   /**
-   * How many bytes of input may be buffered. While a request is open these are more than one
-   * message, because a client's disconnect is seen only once all bytes that it sent before are
+   * How many bytes of input may be buffered. While a client's request is open, this is more than
+   * one message, because a client's disconnect is seen only once all bytes that it sent before are
    * read.
    */
   private int window() {
@@ -264,8 +266,8 @@
   public void pauseIfFull() {
     boolean isBehindRequest = isServerSide && exchange != null && !parser.isStreaming();
     if (isBehindRequest && in.size() >= MAX_PIPELINED_BYTES) {
-      // Later input is read and discarded, to see a disconnect; the connection closes after the
-      // response.
+      // Discards this input, and all that is read later to see a disconnect; the connection closes
+      // after the response.
       hasOverrun = true;
       in.clear();
     }
@@ -322,7 +324,10 @@
     resumeReading();
   }
 
-  /** As {@link #discardRest(long)}, with the limit that applies now. */
+  /**
+   * As {@link #discardRest(long)}, with the limit of the last call of that method; 1 MiB if there
+   * was none.
+   */
   public void discardRest() {
     discardRest(maxDiscardedBytes);
   }
--- a/sidecar/src/main/java/dillcross/net/connection/ConnectionActivity.java
+++ b/sidecar/src/main/java/dillcross/net/connection/ConnectionActivity.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Records {@code nowUs} as the time of progress if bytes were read or written since the last
-   * call.
+   * Records {@code nowUs} as the time of the last progress if bytes were read or written on the
+   * connection since the last call.
    */
   public void noteProgress(long nowUs) {
     if (progressBytes != seenProgressBytes) {
--- a/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
+++ b/sidecar/src/main/java/dillcross/net/connection/HttpConnectionCodec.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Parses the input of a connection into messages, one at a time: the next waits in the buffer until
- * the exchange has ended.
+ * Parses the input of a connection into messages, one at a time: the next one waits in the buffer
+ * until the exchange of the message before it has ended.
  */
 final class HttpConnectionCodec {
   private static final byte[] CONTINUE =
--- a/sidecar/src/main/java/dillcross/net/connection/MessageHandler.java
+++ b/sidecar/src/main/java/dillcross/net/connection/MessageHandler.java
@@ -17,7 +17,7 @@
    * The last byte of a streamed request body has arrived. May be called more than once for a body.
    */
   default void onBodyComplete(Connection connection) {
-    // handlers of responses do not need it
+    // does nothing by default, because handlers of responses receive no request bodies
   }
 
   /** The connection was closed; called once. */
--- a/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/DiscoveryClient.java
@@ -37,7 +37,7 @@
  */
 public final class DiscoveryClient implements MessageHandler {
   private static final int MAX_LIST_BYTES = 1 << 20;
-  private static final int MAX_CALLS = 3; // the newest, an overdue one, and a former one
+  private static final int MAX_CALLS = 3; // newest, overdue, and one to the former address
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   private final RequestCoordinator coordinator;
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Sets the connect timeout of later calls, in microseconds; longer ones are cut to half of {@link
-   * WatchTimings#OVERLAP_US}.
+   * Sets the connect timeout of later calls, in microseconds; a longer timeout is cut to half of
+   * {@link WatchTimings#OVERLAP_US}, the time after which the next call begins.
    */
   public void configure(long newConnectTimeoutUs) {
     connectTimeoutUs = Math.min(newConnectTimeoutUs, WatchTimings.OVERLAP_US / 2);
@@ -279,8 +279,8 @@
   }
 
   /**
-   * Reads input that has arrived meanwhile, so that a pending update is applied before an attempt
-   * is sent.
+   * Reads input from discovery that has arrived since this iteration of the event loop began, so
+   * that a pending update is applied before an attempt is sent.
    */
   public void readPending() {
     for (WatchCall call : calls()) { // a response to one may end the others
--- a/sidecar/src/main/java/dillcross/net/discovery/WatchTimings.java
+++ b/sidecar/src/main/java/dillcross/net/discovery/WatchTimings.java
@@ -30,9 +30,9 @@
   static final long GRACE_US = NOTIFIED_WITHIN_US / 10;
 
   /**
-   * How long after the start of a call that follows a failure the next call begins. The longest
-   * time that leaves room for a third call within the deadline, because more calls lower the
-   * throughput of an overloaded discovery service.
+   * The time from the start of a call that follows a failure to the start of the next call. It is
+   * the longest time that leaves room for a third call within the deadline, because more calls
+   * lower the throughput of an overloaded discovery service.
    */
   static final long OVERLAP_US = NOTIFIED_WITHIN_US * 31 / 60;
 
--- a/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/AttemptExecutor.java
@@ -36,7 +36,7 @@
 
   private final RequestCoordinator coordinator;
   private final LongSupplier clock;
-  private final Consumer<Object> readPending; // called with the client of an attempt
+  private final Consumer<Object> readPending; // called before an attempt is sent, with its client
   private final ConnectionFactory connectionFactory;
   private final EndpointConnectionPool pool;
   private final Map<AttemptId, InFlightAttempt> attempts = new HashMap<>();
@@ -242,8 +242,9 @@
     if (isCurrent && isReusable) {
       pool.put(attempt.endpoint(), connection);
     } else if (kind == AttemptResult.Kind.ABANDONED && connection.isConnected()) {
-      // After a plain close the kernel would go on sending what was written. Once a failed network
-      // recovers, the endpoint could receive the request after the client has its response.
+      // The connection is reset, because the kernel would go on sending what was written after a
+      // plain close. Once a failed network recovers, the endpoint could receive the request after
+      // the client has its response.
       pool.remove(connection);
       connection.reset();
     } else {
@@ -360,8 +361,8 @@
   }
 
   /**
-   * Closes the idle connections to an endpoint, given by its id. Connections in use are closed
-   * after their attempts.
+   * Closes the idle connections to the endpoint with this id. Connections in use are closed after
+   * their attempts.
    */
   public void closeConnections(String endpoint) {
     pool.closeIdle(endpoint);
--- a/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/EndpointConnectionPool.java
@@ -87,8 +87,8 @@
 
   /**
    * Whether the connection has not been idle for too long and its socket is still open. The limit
-   * is below the endpoint's own idle timeout, because a request that crosses the endpoint's close
-   * is lost.
+   * on the idle time is below the endpoint's own idle timeout, because a request that crosses the
+   * endpoint's close is lost.
    */
   private boolean isUsable(Connection connection) {
     boolean isFresh = clock.getAsLong() - connection.activity().idleSinceUs() < maxIdleUs;
@@ -124,14 +124,14 @@
     connections.add(connection);
   }
 
-  /** Removes a connection that was closed, or that the caller is about to reset. */
+  /** Removes a connection from the pool that was closed, or that the caller is about to reset. */
   void remove(Connection connection) {
     connections.remove(connection);
     connection.leavePool();
   }
 
   void close(Connection connection) {
-    connections.remove(connection); // the close of one that never connected is not reported
+    connections.remove(connection); // onClosed is not called for one that never connected
     connection.close();
   }
 
@@ -150,9 +150,10 @@
 
   /**
    * Closes the connections that have been idle since {@code sinceUs} or longer. Called when an
-   * attempt to the endpoint is abandoned, with its start: if the network to the endpoint has
-   * failed, its connections stay open although they are dead, and each one that is used again costs
-   * another attempt. A connection that received a response after that start is not suspect.
+   * attempt to the endpoint is abandoned; {@code sinceUs} is the start of that attempt. If the
+   * network to the endpoint has failed, its connections stay open although they are dead, and each
+   * one that is used again costs another attempt. A connection that received a response after the
+   * start of the attempt is kept, because it has worked since then.
    */
   void closeIdleSince(Endpoint endpoint, long sinceUs) {
     ArrayDeque<Connection> idle = endpoint.idle();
--- a/sidecar/src/main/java/dillcross/net/endpoint/InFlightAttempt.java
+++ b/sidecar/src/main/java/dillcross/net/endpoint/InFlightAttempt.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Sets the connection, which is connected. If it closes from now on the attempt ends, sent or
-   * not.
+   * Sets the connection, which is connected. If it closes from now on, the attempt ends, whether
+   * its request was sent or not.
    */
   void takeConnection(Connection connected) {
     connection = connected;
--- a/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyDatagrams.java
+++ b/sidecar/src/main/java/dillcross/net/grizzly/GrizzlyDatagrams.java
@@ -14,7 +14,8 @@
 /** A datagram socket that is registered with the selector of {@link SelectorLoop}. */
 final class GrizzlyDatagrams implements Network.DatagramTransport {
   private static final Logger LOG = Logger.getLogger(GrizzlyDatagrams.class.getName());
-  private static final int MAX_PER_READ = 128; // datagrams; requests wait meanwhile
+  // The most datagrams that are read at once, because requests wait meanwhile.
+  private static final int MAX_PER_READ = 128;
   private static final int RECEIVE_BUFFER_BYTES = 1 << 18;
 
   private final DatagramChannel channel;
--- a/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpHeadParser.java
@@ -103,7 +103,7 @@
     }
     String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
     if (!parsesRequests && name.equals(HeaderNames.SERVER_LOAD)) {
-      return true; // not used here, so a malformed one does not invalidate the response
+      return true; // load reports are unused, so a malformed one is no fault
     }
     if (!AsciiText.isFieldText(line)) {
       return false;
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessage.java
@@ -17,8 +17,8 @@
   byte[] NO_BODY = {};
 
   /**
-   * A value of {@link #remainingBytes}: the length is unknown until the body ends. It is written in
-   * chunks.
+   * A value of {@link #remainingBytes}: the length is unknown until the body ends. The body is
+   * written in chunks.
    */
   long UNKNOWN = -1;
 
--- a/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
+++ b/sidecar/src/main/java/dillcross/net/http/HttpMessageParser.java
@@ -312,7 +312,8 @@
       return;
     }
     if (length == HttpMessage.UNTIL_CLOSE && message.keepsAlive()) {
-      fault = HttpStatus.BAD_REQUEST; // a reset would be taken for the end of the body
+      // The sender has announced no close, so a reset would be taken for the end of the body.
+      fault = HttpStatus.BAD_REQUEST;
       return;
     }
     remaining = length;
--- a/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
+++ b/sidecar/src/test/java/dillcross/net/admin/LifecycleTest.java
@@ -67,8 +67,9 @@
   }
 
   /**
-   * A request that arrives late in a shutdown is answered before the process may be killed, which
-   * is the longest timeout and 0.7 s after the shutdown began.
+   * A request that arrives late in a shutdown gets a shortened timeout, so that it is answered
+   * before the process may be killed, which happens the longest request timeout plus 0.7 s after
+   * the shutdown began.
    */
   @Test
   void limitsTimeoutsDuringShutdown() {
--- a/sidecar/src/test/java/dillcross/net/buffer/RingBufferTest.java
+++ b/sidecar/src/test/java/dillcross/net/buffer/RingBufferTest.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Bytes are added and removed in pieces of random sizes; they keep their order, and the limit
-   * holds.
+   * Bytes are added and removed in pieces of random sizes; they keep their order, and the buffer
+   * never holds more than its maximum.
    */
   @Test
   void keepsOrderAndLimit() {
@@ -75,7 +75,8 @@
   }
 
   /**
-   * While the budget is used up, a streamed body goes on in the space that its buffer already has.
+   * While the memory budget is used up, the buffer of a streamed body can't grow. It accepts bytes
+   * again in the space that it has, once bytes are removed.
    */
   @Test
   void acceptsBytesAgainOnceItIsEmptied() {
--- a/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dillcross/net/discovery/DiscoveryClientTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Covers the watch of the endpoint list while discovery fails, in every pair of ways. The test
- * controls the clock.
+ * Covers the watch of the endpoint list for every pair of the events that {@code Event} names, of
+ * which most are failures. The test controls the clock.
  */
 class DiscoveryClientTest {
   private static final long STEP_US = 20_000;
@@ -422,7 +422,7 @@
     service = new Service();
     now = 1_000_000_000;
     start(1, 1, true);
-    service.slowResponseUs = 4_000_000; // the next call begins earlier
+    service.slowResponseUs = 4_000_000; // longer than the time until the next call begins
     service.begin(Event.IS_SLOW, 60_000_000);
     while (!coordinator.hasReceivedWatchEvent() && now < 1_030_000_000) {
       step();
