--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedNetwork.java
@@ -15,7 +15,10 @@
  * become ready.
  */
 public final class EmulatedNetwork implements Network {
-  /** More iterations than this within a millisecond of virtual time mean that the loop spins. */
+  /**
+   * More iterations than this within a millisecond of virtual time mean that the event loop spins:
+   * it iterates again and again without waiting.
+   */
   private static final int MAX_ITERATIONS_PER_MILLI = 20_000;
 
   private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -29,14 +32,14 @@
   private final Set<EmulatedSocket> ready = new LinkedHashSet<>();
   private final Set<EmulatedListeningSocket> listeningSockets = new LinkedHashSet<>();
   private EventLoopTask task;
-  private long wakeUpNumber; // of the latest scheduled wake-up; earlier ones do nothing
-  private long wakeUpUs = NOT_SCHEDULED; // time of the scheduled wake-up
+  private long wakeUpNumber; // number of the latest scheduled wake-up; earlier ones do nothing
+  private long wakeUpUs = NOT_SCHEDULED; // virtual time of the scheduled wake-up
   private long busyUntilUs; // end of the latest iteration or suspension
   private boolean isStopped;
   private boolean isSpinning;
   private long iterationCount;
   private long iterationsInMilli;
-  private long milliOfIterations; // the millisecond of iterationsInMilli
+  private long milliOfIterations; // the millisecond that iterationsInMilli counts in
 
   /**
    * Creates the network of a process on the machine.
@@ -60,7 +63,10 @@
     this.onIterationEnd = onIterationEnd;
   }
 
-  /** Whether the event loop has iterated many times without virtual time advancing. */
+  /**
+   * Whether the event loop has exceeded {@code MAX_ITERATIONS_PER_MILLI} iterations within one
+   * millisecond of virtual time.
+   */
   public boolean isSpinning() {
     return isSpinning;
   }
@@ -117,7 +123,7 @@
   private void onWakeUp() {
     wakeUpUs = NOT_SCHEDULED;
     if (clock.now() < busyUntilUs) {
-      wakeUpAt(busyUntilUs); // suspended after the wake-up was scheduled
+      wakeUpAt(busyUntilUs); // the process was suspended after the scheduling
     } else {
       runIteration();
     }
@@ -151,7 +157,10 @@
     isSpinning |= iterationsInMilli > MAX_ITERATIONS_PER_MILLI;
   }
 
-  /** Rounds up to whole milliseconds, the unit of a selector's timeout. */
+  /**
+   * Rounds a wait in µs up to whole milliseconds, the unit of a Java selector's timeout. The result
+   * is in µs; 0 for a negative wait.
+   */
   private static long selectTimeoutUs(long maxWaitUs) {
     if (maxWaitUs <= 0) {
       return 0;
@@ -166,7 +175,10 @@
     wakeUp();
   }
 
-  /** Marks the socket for dispatch in the next iteration, as a level-triggered selector does. */
+  /**
+   * Marks a socket that still has events to handle for dispatch in the next iteration, as a
+   * level-triggered selector does.
+   */
   void keepReady(EmulatedSocket socket) {
     ready.add(socket);
   }
--- a/emulator/src/main/java/dillcross/emulator/network/EmulatedSocket.java
+++ b/emulator/src/main/java/dillcross/emulator/network/EmulatedSocket.java
@@ -99,7 +99,10 @@
     dispatchRead();
   }
 
-  /** Accepts the connection if that is due; false if it has to stay in the backlog. */
+  /**
+   * Accepts the connection unless that has been done. Returns false if the connection has to stay
+   * in the backlog because the listening socket is closed or does not accept at present.
+   */
   private boolean dispatchAccept() {
     if (listeningSocket == null) {
       return true;
@@ -112,7 +115,10 @@
     return true;
   }
 
-  /** Reports the result of connecting if it is known; false if there is no connection. */
+  /**
+   * Calls the connect callback once the result of connecting is known. Returns false if the
+   * connection is not established.
+   */
   private boolean dispatchConnect() {
     if (connectCallback == null) {
       return true;
--- a/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/network/SocketEndpoint.java
@@ -32,12 +32,14 @@
   /** Result of {@link #read} at the end of input. */
   public static final int END_OF_INPUT = -1;
 
-  /** Result of {@link #read} after a reset. */
+  /** Result of {@link #read} after a reset by the peer. */
   public static final int RESET = -2;
 
   private static final int WINDOW_BYTES = 256 << 10;
 
-  /** Data that has arrived; {@code onRead} runs when it has been read and is null for nothing. */
+  /**
+   * Data that has arrived; {@code onRead}, unless null, runs when all of the data has been read.
+   */
   private record Segment(byte[] bytes, long sentUs, Runnable onRead) {}
 
   private final VirtualNetwork network;
@@ -56,7 +58,7 @@
   private boolean isEstablished;
   private boolean isOpen = true;
   private boolean hasInputEnded;
-  private boolean isReset; // by the peer
+  private boolean isReset; // whether a reset from the peer has arrived
   private boolean hasOutputEnded;
   private boolean resetsOnClose;
   private boolean wasClosedWithReset;
@@ -153,7 +155,7 @@
     return isReset || (hasInputEnded && unreadBytes == 0);
   }
 
-  /** Time in µs at which the peer sent the first byte of the latest read. */
+  /** Virtual time in µs at which the peer sent the first byte that the latest read returned. */
   public long firstSentUs() {
     return firstSentUs;
   }
@@ -231,7 +233,7 @@
    * Sends all bytes regardless of the window, or none if the socket is closed, was reset or has
    * ended its output.
    *
-   * @param onRead runs when the peer has read the last byte; null for nothing
+   * @param onRead runs when the peer has read the last byte; null if nothing is to run
    */
   public void send(byte[] bytes, Runnable onRead) {
     if (isOpen && !isReset && !hasOutputEnded) {
@@ -263,7 +265,8 @@
   // ---- Closing
 
   /**
-   * Whether this side closed the connection with a reset, so that its data is not retransmitted.
+   * Whether this side closed the connection with a reset, after which data that a partition holds
+   * back is dropped instead of retransmitted.
    */
   boolean wasClosedWithReset() {
     return wasClosedWithReset;
@@ -276,7 +279,7 @@
 
   /**
    * Closes the connection. If this side has unread bytes, the peer receives the end of input and
-   * then a reset, as from a Java channel.
+   * then a reset, as when a Java channel is closed.
    */
   public void close() {
     boolean isResetToFollow = unreadBytes > 0 && !resetsOnClose && isOpen;
--- a/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
+++ b/emulator/src/main/java/dillcross/emulator/network/VirtualNetwork.java
@@ -29,8 +29,8 @@
   private static final long SAME_MACHINE_DELAY_US = 15;
 
   /**
-   * Time from closing a Java channel to the next select, which deregisters the channel and only
-   * then closes its socket.
+   * Virtual time in µs from closing a Java channel to closing its socket: the next select of the
+   * event loop deregisters the channel, and only then is the socket closed.
    */
   private static final long NEXT_SELECT_US = 50;
 
@@ -55,8 +55,8 @@
 
   /**
    * Creates a network with the given one-way delays in µs. Each transmission between different
-   * machines takes up to {@code jitterUs} longer. Only this constructor draws from {@code random},
-   * one value.
+   * machines takes up to {@code jitterUs} longer. The constructor draws one value from {@code
+   * random}, which determines the jitter; nothing is drawn later.
    */
   public VirtualNetwork(
       VirtualClock clock,
@@ -73,7 +73,7 @@
 
   /**
    * Checksum over all bytes that have arrived so far, each with its time, connection and direction.
-   * It is the same for runs with the same traffic.
+   * Runs with the same traffic have the same checksum.
    */
   public long checksum() {
     return checksum.value();
@@ -178,7 +178,10 @@
     return second ^ second >>> MIX_SHIFT;
   }
 
-  /** Runs the action when a Java channel that is closed now would have its socket closed. */
+  /**
+   * Runs the action when the socket of a Java channel that is closed now would be closed, which is
+   * at the next select of the event loop.
+   */
   void afterNextSelect(Runnable action) {
     clock.after(NEXT_SELECT_US, action);
   }
@@ -233,7 +236,7 @@
   /**
    * Transmits data to the peer of {@code from}.
    *
-   * @param onRead runs when the peer has read the last byte; null for nothing
+   * @param onRead runs when the peer has read the last byte; null if nothing is to run
    */
   void transmitData(SocketEndpoint from, byte[] bytes, Runnable onRead) {
     if (maxSegmentBytes == Integer.MAX_VALUE && bytes.length > 0) {
@@ -273,7 +276,8 @@
 
   /**
    * Starts to connect to the address, given as {@code ip:port}, and returns the initiating side.
-   * The owner is notified of the result, or of nothing if the machine at the address is off.
+   * The owner is notified when the connection is established or refused; neither happens if the
+   * listener at the address belongs to a machine that is off.
    */
   public SocketEndpoint connect(VirtualMachine from, String address, SocketEndpoint.Owner owner) {
     SocketEndpoint near = new SocketEndpoint(this, from, connectionId(from, address), true);
--- a/emulator/src/main/java/dillcross/emulator/network/ZoneLinks.java
+++ b/emulator/src/main/java/dillcross/emulator/network/ZoneLinks.java
@@ -7,7 +7,8 @@
 
 /**
  * Faults of the links between zones: partitions, during which traffic is held back to be sent again
- * afterwards, and additional delays. A link is the same in both directions.
+ * afterwards, and additional delays. A link is an unordered pair of zones, so a fault applies in
+ * both directions.
  */
 final class ZoneLinks {
   /** Number of active partitions by link; links without a partition are absent. */
--- a/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
+++ b/emulator/src/main/java/dillcross/emulator/random/RandomStream.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Creates the child stream of that name, at its start. It depends only on the seed and the names,
-   * not on what was drawn before.
+   * Creates the child stream with the given name, at its first number. Its numbers depend only on
+   * the seed, the names of its ancestors and its own name, not on earlier draws.
    */
   public RandomStream named(String name) {
     return new RandomStream(seed, path + "/" + name);
@@ -54,24 +54,30 @@
     return probability > 0 && draws.nextDouble() < probability;
   }
 
-  /** Uniform over a range including both ends; draws nothing if the range has one value. */
+  /**
+   * Draws a whole number uniformly from {@code min} to {@code max}, both included; draws nothing if
+   * the range has one value.
+   */
   public long between(long min, long max) {
     return max <= min ? min : min + draws.nextLong(max - min + 1);
   }
 
-  /** Uniform over a range without its upper end. */
+  /** Draws a number uniformly from {@code min}, included, to {@code max}, excluded. */
   public double between(double min, double max) {
     return min + (max - min) * draws.nextDouble();
   }
 
-  /** Exponential with the given mean; if the mean is not positive, returns 0 and draws nothing. */
+  /**
+   * Draws from the exponential distribution with the given mean; if the mean is not positive,
+   * returns 0 and draws nothing.
+   */
   public double exponential(double mean) {
     return mean <= 0 ? 0 : ZigguratSampler.Exponential.of(draws, mean).sample();
   }
 
   /**
-   * Log-normal with the given mean; {@code spread} is the standard deviation of the logarithm. If
-   * {@code spread} is 0, returns the mean and draws nothing.
+   * Draws from the log-normal distribution with the given mean; {@code spread} is the standard
+   * deviation of the logarithm. If {@code spread} is 0, returns the mean and draws nothing.
    */
   public double logNormal(double mean, double spread) {
     if (spread <= 0) {
@@ -86,7 +92,7 @@
     return elements.get(draws.nextInt(elements.size()));
   }
 
-  /** Any long, uniformly; for instance the seed of something else. */
+  /** Draws a long uniformly from all values, for instance as the seed of another generator. */
   public long any() {
     return draws.nextLong();
   }
--- a/emulator/src/main/java/dillcross/emulator/scenario/Fault.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Fault.java
@@ -43,7 +43,10 @@
     DRAIN(TargetType.ENDPOINT),
     /** All endpoints are drained and replaced, one after another within the duration. */
     DEPLOY(TargetType.ENDPOINTS),
-    /** The endpoint resets a share of its connections; {@code mode} is before, after or answer. */
+    /**
+     * The endpoint resets a share of its connections. By {@code mode}, that is before or after the
+     * request is executed, or within the response ({@code answer}).
+     */
     RESETS(TargetType.ENDPOINT),
     /** A share of the endpoint's responses is malformed. */
     GARBLE(TargetType.ENDPOINT),
@@ -74,7 +77,8 @@
     /** A sidecar is drained through its admin endpoint and resumed later. */
     DOOR(TargetType.SIDECAR),
     /**
-     * A sidecar reloads its configuration, in which the discovery service has its other address.
+     * A sidecar reloads its configuration, which now names the other one of the discovery service's
+     * two addresses.
      */
     RELOAD(TargetType.SIDECAR),
     /** Clients send {@code factor} times as many requests. */
--- a/emulator/src/main/java/dillcross/emulator/scenario/FaultReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/FaultReader.java
@@ -62,8 +62,9 @@
   }
 
   /**
-   * Numbers the faults of each kind separately: random draws depend on the identifier, and must not
-   * change when a fault of another kind is added or removed.
+   * Returns the identifier of a fault for which the file gives none: its kind and a number. Each
+   * kind is numbered separately, because random draws depend on the identifier and must not change
+   * when a fault of another kind is added or removed.
    */
   private String defaultId(String kindWord) {
     int number = 1;
@@ -82,7 +83,10 @@
     return target;
   }
 
-  /** The targets that a kind accepts; an unknown kind, given as null, accepts the general ones. */
+  /**
+   * The targets that a kind accepts; an unknown kind, given as null, accepts only {@code any} and
+   * {@code all}.
+   */
   private Set<String> validTargets(Fault.Kind kind) {
     Set<String> targets = new HashSet<>(Set.of("any", "all"));
     if (kind == null) {
--- a/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Scenario.java
@@ -60,7 +60,8 @@
    * @param windowMs deduplication window in milliseconds
    * @param targetMs latency objective in milliseconds
    * @param timeoutMs timeout of a request in milliseconds
-   * @param priorityWeight weight of a successful request in the benefit
+   * @param priorityWeight weight of a request that is answered in time, in the sums that measure a
+   *     run's benefit
    * @param share share of the arrivals, relative to the other classes
    * @param workMs mean processing time in milliseconds on a core of nominal speed
    * @param spread standard deviation of the logarithm of the processing time
@@ -85,7 +86,8 @@
    * The clients of each sidecar.
    *
    * @param requestsPerSecond mean rate of arrivals at one sidecar
-   * @param retry none, at_once, or after for the time that the rejection advises
+   * @param retry whether and when clients retry a rejected request: none, at_once, or after (once
+   *     the time in the Retry-After field of the rejection has passed)
    * @param retries maximum number of retries of a request
    * @param leaveShare share of requests whose client disconnects early
    * @param leaveMs time in milliseconds until such a client disconnects
@@ -116,8 +118,9 @@
    * @param connections maximum number of connections
    * @param idleMs time in milliseconds after which an idle connection closes
    * @param overloadThreshold number of requests in flight above which an endpoint slows down
-   * @param overloadSlowdown slowdown for each request above that number
-   * @param speed relative speed, drawn for each endpoint
+   * @param overloadSlowdown share, divided by {@code cores}, by which each request above {@code
+   *     overloadThreshold} increases the processing time
+   * @param speed speed relative to a nominal endpoint, drawn for each endpoint
    * @param graceMs grace period of a drain in milliseconds
    * @param reportShare share of responses that carry a load report
    * @param chunks whether responses are chunked
@@ -160,7 +163,8 @@
    *
    * @param answerSlackMs time in milliseconds allowed after the deadline of a request
    * @param drainSlackMs time in milliseconds allowed for attempts to a draining endpoint
-   * @param slowStartSlack factor on the budget of an endpoint in slow start
+   * @param slowStartSlack factor on the amount of work that sidecars may send to an endpoint in
+   *     slow start before the oracle reports a violation
    */
   public record Rules(double answerSlackMs, double drainSlackMs, double slowStartSlack) {}
 }
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioMessages.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioMessages.java
@@ -30,7 +30,7 @@
     return "unknown: " + value + "; known are " + String.join(", ", choices);
   }
 
-  /** Suggests the most similar known key if it is similar enough. */
+  /** The error for an unknown key; suggests the most similar known key if one is similar enough. */
   static String unknownKey(String key, Set<String> knownKeys) {
     String suggestion = mostSimilar(key, knownKeys);
     boolean isSimilar = EDIT_DISTANCE.apply(suggestion, key) <= MAX_SUGGESTION_DISTANCE;
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioReader.java
@@ -25,7 +25,7 @@
     this.file = file;
   }
 
-  /** Reads the file. */
+  /** Reads a scenario from the file. A file that can't be read is reported as invalid. */
   public static Scenario read(Path file) throws InvalidScenarioException {
     return parse(file.toString(), readText(file));
   }
--- a/emulator/src/main/java/dillcross/emulator/scenario/ScenarioSettings.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/ScenarioSettings.java
@@ -61,7 +61,7 @@
     static final DecimalSetting KEEPALIVE_MS = decimal("keepalive_ms", 5000, 1, 1e7);
     static final DecimalSetting ASK_WITHIN_MS = decimal("ask_within_ms", 5000, 1, 1e7);
 
-    /** Share of the full capacity. */
+    /** Share of its full capacity that an endpoint has when its slow start begins. */
     static final DecimalSetting START_CAPACITY = decimal("start_capacity", 0.3, 0.01, 1);
 
     static final DecimalSetting WARM_UP_MS = decimal("warm_up_ms", 4000, 0, 1e7);
--- a/emulator/src/main/java/dillcross/emulator/scenario/Setting.java
+++ b/emulator/src/main/java/dillcross/emulator/scenario/Setting.java
@@ -18,7 +18,7 @@
     }
   }
 
-  /** One number, or two between which each run draws, from 0 to {@link #MAXIMUM}. */
+  /** One number, or the bounds of a range from which each run draws; from 0 to {@link #MAXIMUM}. */
   record RangeSetting(String key, Range defaultValue) implements Setting {
     static final double MAXIMUM = 1e9;
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientConnection.java
@@ -99,7 +99,10 @@
     return candidate == socket && candidateRequest == request;
   }
 
-  /** Starts the timeout of a request whose last byte was sent. */
+  /**
+   * Starts the timeout of a request whose last byte was sent, or was read by the sidecar if the
+   * body is large.
+   */
   void onSent(ObservedRequest sent) {
     if (request != sent) {
       return;
@@ -215,7 +218,8 @@
     if (request == null) {
       isClosed = true;
     } else if (isUnread && !hasProcessEnded) {
-      // The sidecar closed the idle connection before the request arrived: it is sent again once.
+      // The sidecar closed the idle connection before the request arrived. The request is sent
+      // again on a new connection, but only once.
       isResent = true;
       request.markResending();
       connect();
--- a/emulator/src/main/java/dillcross/emulator/simulation/ClientRequestSender.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ClientRequestSender.java
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Sends one request on a client's connection, whole or in pieces. If so drawn, the client then
- * disconnects before the answer. All draws come from a random stream of the request, so that they
- * do not depend on which connection was free.
+ * Sends one request on a client's connection, whole or in pieces. With a given probability, the
+ * client disconnects before the answer. All draws come from a random stream of the request, so that
+ * they do not depend on which connection was free.
  */
 final class ClientRequestSender {
   /**
--- a/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/DiscoveryService.java
@@ -127,7 +127,7 @@
     outageCount += isStarting ? 1 : -1;
     outage = kind;
     if (isStarting && kind == Outage.SILENT) {
-      watches.clear(); // never answered; the connections stay open
+      watches.clear(); // watches are never answered; their connections stay open
     } else if (isStarting) {
       dropCalls();
     }
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedClients.java
@@ -10,8 +10,8 @@
 
 /**
  * The clients of one sidecar, on the same machine. Requests arrive independently of earlier
- * answers. They reuse idle connections, most recently used first, and open a further one if all are
- * busy. Rejected requests are retried as the scenario says.
+ * answers. The clients reuse idle connections, most recently used first, and open a further
+ * connection if all are busy. Rejected requests are retried as the scenario says.
  */
 final class EmulatedClients {
   private static final double IMMEDIATE_RETRY_MS = 1;
@@ -26,7 +26,7 @@
   private final ArrivalProcess arrivals;
   private final InvalidClients invalidClients;
   private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>(); // most recently used last
-  private final List<ClientConnection> reserved = new ArrayList<>(); // idle until woken by a fault
+  private final List<ClientConnection> reserved = new ArrayList<>(); // idle until a wake fault
   private double leaveShare;
   private long createdCount;
   private long openCount;
@@ -76,7 +76,8 @@
   // ---- Requests
 
   /**
-   * Sends a request on each reserved connection, and generates arrivals until the given time in µs.
+   * Opens the reserved connections, sending one request on each, and generates arrivals until the
+   * given time in µs.
    */
   void start(long untilUs) {
     for (int i = 0; i < settings.idleConnections(); i++) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoint.java
@@ -123,7 +123,10 @@
     return incarnation;
   }
 
-  /** When the process started, in ms since 1970; 0 if it is warm since before the run. */
+  /**
+   * When the process started, in ms since 1970; 0 if it started before the run and has no slow
+   * start.
+   */
   long startedMs() {
     return startedMs;
   }
@@ -157,8 +160,8 @@
   // ---- Process
 
   /**
-   * Starts the process. Its slow start begins at {@code atMs}, in ms since 1970; if that is 0, it
-   * is warm at once.
+   * Starts the process. Its slow start begins at {@code atMs}, in ms since 1970; if that is 0, the
+   * process has no slow start.
    */
   void start(long atMs) {
     startedMs = atMs;
--- a/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EmulatedEndpoints.java
@@ -28,7 +28,9 @@
   private final DiscoveryService discovery;
   private SidecarProcesses sidecars;
 
-  /** Starts all endpoints of the scenario, warm, and adds them to the endpoint list. */
+  /**
+   * Starts all endpoints of the scenario without a slow start, and adds them to the endpoint list.
+   */
   EmulatedEndpoints(SimulationContext context, DiscoveryService discovery) {
     this.context = context;
     this.discovery = discovery;
@@ -147,8 +149,8 @@
 
   /**
    * Publishes that the endpoint drains, starts a replacement after half of the grace period, and
-   * removes the endpoint after all of it. The endpoint accepts requests during the first half,
-   * because sidecars may not know of the drain yet.
+   * removes the endpoint at the end of the grace period. The endpoint accepts requests during the
+   * first half of the period, because sidecars may not know of the drain yet.
    */
   void replace(EmulatedEndpoint endpoint) {
     int place = byPlace.indexOf(endpoint);
--- a/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/EndpointConnection.java
@@ -17,13 +17,13 @@
  */
 final class EndpointConnection implements SocketEndpoint.Owner {
   /**
-   * A larger response is sent in parts of this size, {@link #SEND_CHUNK_INTERVAL_US} apart. This is
-   * independent of chunked transfer encoding.
+   * A response of more bytes than this is sent in parts of this size, {@link
+   * #SEND_CHUNK_INTERVAL_US} apart, with or without chunked transfer encoding.
    */
   private static final int SEND_CHUNK_BYTES = 32 << 10;
 
   private static final long SEND_CHUNK_INTERVAL_US = 1500;
-  private static final long DEFAULT_TIMEOUT_MS = 1000; // for requests without a timeout field
+  private static final long DEFAULT_TIMEOUT_MS = 1000; // for requests without request-timeout-ms
 
   private final SimulationContext context;
   private final EmulatedEndpoint endpoint;
--- a/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/FaultInjector.java
@@ -17,10 +17,15 @@
  * at their times.
  */
 public final class FaultInjector {
-  /** Time after a fault during which attempts may still be sent that no endpoint observes. */
+  /**
+   * Virtual time in µs after the end of a fault during which sidecars may still send attempts that
+   * no endpoint observes, for instance because connecting hangs.
+   */
   private static final long HIDDEN_ATTEMPTS_TAIL_US = 2_000_000;
 
-  /** How often a restart checks whether the previous process has ended. */
+  /**
+   * Interval in µs at which a restart of a sidecar checks whether the earlier process has ended.
+   */
   private static final long RESTART_POLL_US = 50_000;
 
   private final SimulationContext context;
@@ -126,7 +131,10 @@
     }
   }
 
-  /** Whether attempts that no endpoint observes may be sent during a fault of this kind. */
+  /**
+   * Whether sidecars may send attempts that no endpoint observes during a fault of this kind, for
+   * instance because connecting fails or hangs.
+   */
   private static boolean hidesAttempts(Kind kind) {
     return switch (kind) {
       case VANISH,
--- a/emulator/src/main/java/dillcross/emulator/simulation/ListedEndpoint.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/ListedEndpoint.java
@@ -12,7 +12,7 @@
  * @param cell number of the endpoint's cell
  * @param state in_service, terminating or terminated
  * @param weight relative capacity; 1 for a nominal endpoint
- * @param startedMs start of the endpoint's process in ms since 1970; 0 if it is warm since long ago
+ * @param startedMs start of the endpoint's process in ms since 1970; 0 if it has no slow start
  * @param version version of the list that the latest change of this entry led to
  */
 record ListedEndpoint(
@@ -36,7 +36,7 @@
     return state.equals(TERMINATED);
   }
 
-  /** The same entry after its endpoint has left. */
+  /** The same entry with the state {@code terminated}. */
   ListedEndpoint terminated(long newVersion) {
     return new ListedEndpoint(id, address, zone, cell, TERMINATED, weight, startedMs, newVersion);
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/RunStatistics.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/RunStatistics.java
@@ -52,12 +52,12 @@
     return rejectedCount;
   }
 
-  /** Requests that had another outcome, although an answer was due. */
+  /** Requests that neither succeeded nor were rejected, although an answer was due. */
   long failed() {
     return failedCount;
   }
 
-  /** Requests without a due answer, as their client left or no process could answer. */
+  /** Requests for which no answer was due, as their client left or no process could answer. */
   long excused() {
     return excusedCount;
   }
@@ -72,7 +72,9 @@
     return earnedValue;
   }
 
-  /** Sum of the priority weights of all requests with a due answer, without retries. */
+  /**
+   * Sum of the priority weights of all requests for which an answer was due, not counting retries.
+   */
   double possibleValue() {
     return possibleValue;
   }
--- a/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SidecarProcess.java
@@ -262,8 +262,8 @@
   }
 
   /**
-   * Reloads the configuration, in which the discovery service has its other address. As in
-   * production, this happens between two event loop iterations.
+   * Reloads the configuration, which now names the other one of the discovery service's two
+   * addresses. As in production, this happens between two event loop iterations.
    */
   void reload() {
     if (server == null) {
--- a/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/Simulation.java
@@ -37,7 +37,7 @@
   /** Maximum further time in seconds for sidecars that have not released everything in time. */
   private static final int MAX_EXTRA_SETTLE_SECONDS = 30;
 
-  /** Buffer memory that an idle connection may keep. */
+  /** Buffer memory in bytes that an idle connection may keep. */
   private static final long IDLE_CONNECTION_BYTES = 14 << 10;
 
   /** Maximum number of timers of an idle sidecar: for the endpoint list and the load balancer. */
@@ -60,15 +60,16 @@
    * @param succeeded number of requests answered with status 200
    * @param inTime number of requests answered with status 200 within their latency objective
    * @param rejected number of requests that sidecars rejected
-   * @param failed number of requests with another outcome, although an answer was due
-   * @param excused number of requests without a due answer, as their client left or no process
-   *     could answer
+   * @param failed number of requests that neither succeeded nor were rejected, although an answer
+   *     was due
+   * @param excused number of requests for which no answer was due, as their client left or no
+   *     process could answer
    * @param notAccepted number of requests whose connection no sidecar process accepted
    * @param retries number of retries by clients
    * @param attempts number of attempts that reached endpoints
    * @param earnedValue sum of the priority weights of requests answered in time
-   * @param possibleValue sum of the priority weights of all requests with a due answer, without
-   *     retries
+   * @param possibleValue sum of the priority weights of all requests for which an answer was due,
+   *     not counting retries
    * @param restarts number of restarts of sidecar processes
    */
   public record Result(
@@ -92,7 +93,7 @@
       double earnedValue,
       double possibleValue,
       int restarts) {
-    /** Whether no rule was broken. */
+    /** Whether the oracle found no violation of its rules. */
     public boolean clean() {
       return violationCount == 0;
     }
@@ -227,7 +228,10 @@
     }
   }
 
-  /** Whether the sidecar has released everything that it should release without open requests. */
+  /**
+   * Whether the sidecar holds no request, attempt or connection to an endpoint, and no more timers
+   * and buffer memory than an idle sidecar may. True while its process does not run.
+   */
   private static boolean isIdle(SidecarProcess sidecar) {
     SidecarServer.Usage usage = sidecar.usage();
     return usage == null
--- a/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SimulationContext.java
@@ -16,7 +16,10 @@
     VirtualNetwork network,
     Oracle oracle,
     Trace trace) {
-  /** Arbitrary start of each run in µs since 1970, as endpoint lists carry wall-clock times. */
+  /**
+   * Start of each run in µs since 1970. The value is arbitrary, but has to be a wall-clock time, as
+   * endpoint lists contain such times.
+   */
   static final long START_US = 1_800_000_000_000_000L;
 
   /** Virtual time in µs since 1970. */
--- a/emulator/src/main/java/dillcross/emulator/simulation/SlowStartMonitor.java
+++ b/emulator/src/main/java/dillcross/emulator/simulation/SlowStartMonitor.java
@@ -8,8 +8,9 @@
 
 /**
  * Capacity of an endpoint in slow start, and the check that sidecars do not overload it: the work
- * sent within the sidecars' budget window must not exceed a multiple of the work that the endpoint
- * can execute in that window.
+ * sent within a window of {@code rules.fall_ms} must not exceed {@code rules.fall_multiple} times
+ * the work that the endpoint can execute in that window, apart from the scenario's tolerance {@code
+ * slowStartSlack}.
  */
 final class SlowStartMonitor {
   private record SentWork(long atUs, double workUs) {}
--- a/emulator/src/main/java/dillcross/emulator/trace/Trace.java
+++ b/emulator/src/main/java/dillcross/emulator/trace/Trace.java
@@ -45,8 +45,8 @@
    * Starts a trace.
    *
    * @param output where the lines are written
-   * @param nowUs time in µs since the start of the run
-   * @param trafficChecksum checksum of the bytes transferred so far
+   * @param nowUs returns the time in µs since the start of the run
+   * @param trafficChecksum returns the checksum of the bytes transferred so far
    * @param listener receives the events; may be null
    */
   public Trace(
@@ -109,7 +109,7 @@
     return count;
   }
 
-  /** Ends the trace and returns its digest. */
+  /** Ends the trace, closes its output, and returns the digest of all lines. */
   public String end() {
     try {
       lines.writeRaw('\n');
