--- a/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
+++ b/emulator/src/main/java/dillcross/emulator/cli/CrossingsCommand.java
@@ -31,8 +31,8 @@
   private static final long PROGRESS_INTERVAL_NS = 2_000_000_000L;
 
   private final List<Path> files;
-  private final String pair; // null to run all pairs
-  private final Seeds triples; // null to run pairs
+  private final String pair; // the only pair of faults to run; null to run all pairs
+  private final Seeds triples; // seeds of the random triples to run; null to run pairs
   private final boolean brief;
   private final long seed;
   private final Path out; // directory for failing scenarios; null to write none
--- a/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/Explorer.java
@@ -22,9 +22,9 @@
  * after its steps all faults end, and the tables of all members must become correct.
  */
 public final class Explorer {
-  /** One step; the digits in a name are the numbers of the members concerned. */
+  /** One step; the digits in its name are the numbers of the members concerned. */
   enum Step {
-    /** A third of an interval passes, in which no datagram arrives. */
+    /** A third of a probe interval passes, in which no datagram arrives. */
     PASS,
     /** The oldest datagram in flight arrives. */
     DELIVER,
@@ -34,25 +34,25 @@
     LOSE,
     /** The oldest datagram in flight arrives and stays in flight. */
     TWICE,
-    /** The member is suspended for longer than a suspicion lasts. */
+    /** Member 0 is suspended for longer than the suspicion timeout. */
     PAUSE_0,
     PAUSE_1,
     PAUSE_2,
-    /** The member's process ends. */
+    /** The process of member 0 ends without notice to the others. */
     CRASH_0,
     CRASH_1,
     CRASH_2,
-    /** A new process of the member starts. */
+    /** A new process of member 0 starts. */
     RESTART_0,
     RESTART_1,
     RESTART_2,
-    /** A new process of the member starts with its clock set back. */
+    /** A new process of member 2 starts with its wall clock set back. */
     RESTART_2_CLOCK_BACK,
-    /** Members 0 and 1 cannot reach each other for longer than a suspicion lasts. */
+    /** Members 0 and 1 cannot reach each other for longer than the suspicion timeout. */
     CUT_0_1,
-    /** Datagrams from member 0 to member 1 are lost for longer than a suspicion lasts. */
+    /** Datagrams from member 0 to member 1 are lost for longer than the suspicion timeout. */
     CUT_0_TO_1,
-    /** Member 2 is isolated for longer than a suspicion lasts. */
+    /** Member 2 is isolated for longer than the suspicion timeout. */
     CUT_2_OFF
   }
 
@@ -60,7 +60,7 @@
   private static final int MEMBERS = 3;
   private static final long INTERVAL_US = 1_000_000;
   private static final long LONG_FAULT_US =
-      25 * INTERVAL_US; // longer than any suspicion among three members
+      25 * INTERVAL_US; // longer than any suspicion timeout among three members
 
   /** Time after the last fault at which all tables must be correct. */
   private static final long CONVERGENCE_US = 90 * INTERVAL_US;
@@ -80,7 +80,10 @@
   private final boolean[] paused = new boolean[MEMBERS];
   private final boolean[][] cut = new boolean[MEMBERS][MEMBERS]; // from sender to receiver
 
-  /** The newest boot number in an observer's table, by the observer's process and the subject. */
+  /**
+   * The newest boot number of a subject in an observer's table, by the observer's process and the
+   * subject.
+   */
   private final Map<String, Long> newestBoots = new HashMap<>();
 
   private final List<PacketInFlight> inFlight = new ArrayList<>();
@@ -101,13 +104,13 @@
     this.seed = seed;
   }
 
-  /** Number of sequences with that many steps. */
+  /** The number of sequences of {@code depth} steps, all of which {@link #explore} runs. */
   public static long sequences(int depth) {
     return Math.round(Math.pow(STEPS.length, depth));
   }
 
   /**
-   * Runs all sequences of that many steps, on all cores. The sequences start at five different
+   * Runs all sequences of {@code depth} steps, on all cores. The sequences start at five different
    * phases of the probe interval in turn.
    *
    * @param explored is incremented after each sequence
@@ -303,7 +306,9 @@
     }
   }
 
-  /** Sets the time and runs the timers that are due; delivers no datagrams. */
+  /**
+   * Sets the virtual time to {@code atUs} and runs the timers that are due; delivers no datagrams.
+   */
   private void runTimers(long atUs) {
     nowUs = atUs;
     for (int i = 0; i < MEMBERS; i++) {
@@ -314,7 +319,10 @@
     }
   }
 
-  /** Advances time with each datagram and each timer at the time when it is due. */
+  /**
+   * Advances virtual time by the duration; delivers each datagram and runs each timer when it is
+   * due.
+   */
   private void advance(long durationUs) {
     long until = nowUs + durationUs;
     for (int iterations = 0; violation == null; iterations++) {
--- a/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipCluster.java
@@ -122,7 +122,10 @@
     return "z" + member % zones;
   }
 
-  /** Starts a new process of the member, whose wall clock is ahead of the others by the shift. */
+  /**
+   * Starts a new process of the member, whose wall clock is ahead of virtual time by {@code
+   * clockShiftUs}.
+   */
   public void start(int member, long clockShiftUs) {
     Node node = nodes.get(member);
     node.boot = Math.max(1, now() + clockShiftUs);
@@ -184,7 +187,9 @@
     return null;
   }
 
-  /** Schedules an action, which runs within {@link #advance}. */
+  /**
+   * Schedules an action to run after the delay in virtual time, within a call of {@link #advance}.
+   */
   public void schedule(long delayUs, Runnable action) {
     clock.after(delayUs, action);
   }
--- a/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
+++ b/emulator/src/main/java/dillcross/emulator/membership/MembershipTrial.java
@@ -68,7 +68,9 @@
   /** Time in µs between two reads of all tables. */
   private static final long SAMPLING_INTERVAL_US = 50_000;
 
-  /** Larger clusters are sampled less often, as reading all tables takes quadratic time. */
+  /**
+   * Number of members above which tables are read less often, as reading all takes quadratic time.
+   */
   private static final int LARGE_CLUSTER = 200;
 
   private MembershipTrial() {}
@@ -171,7 +173,7 @@
       cluster.faults().add(new MembershipCluster.LinkFault(i -> i >= from, i -> i < from, 1, 0, 0));
     }
     if (fault == Fault.PAUSES || all) {
-      // Some pauses are longer than the timeout of a probe.
+      // Some pauses are longer than the timeout of a probe, so that probes of live members fail.
       for (int i = 0; i < members; i += 10) {
         int member = i;
         for (int k = 0; k < 6; k++) {
@@ -186,7 +188,7 @@
       }
     }
     if (fault == Fault.SLOW) {
-      // Many replies arrive after the timeout of 0.3 s, when indirect probes have been sent.
+      // Many replies arrive after the probe timeout of 0.3 s, when indirect probes have been sent.
       cluster
           .faults()
           .add(new MembershipCluster.LinkFault(i -> i % 10 == 0, i -> true, 0, 600_000, 0));
--- a/emulator/src/main/java/dillcross/emulator/oracle/AnswerRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/AnswerRules.java
@@ -7,7 +7,7 @@
 
 /**
  * Rules about what a client gets: exactly one answer, within the deadline, with the endpoint's
- * content, without needless delay, and no attempt sent after it.
+ * content and without needless delay; and no attempt is sent after the answer.
  */
 final class AnswerRules {
   private static final int STATUS_OK = 200;
--- a/emulator/src/main/java/dillcross/emulator/oracle/AttemptRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/AttemptRules.java
@@ -21,7 +21,7 @@
     this.maxAttempts = maxAttempts;
   }
 
-  /** Checks the attempt that was added to the request last. */
+  /** Checks {@code attempt}, the newest attempt of the request, by the rules of this class. */
   void onAttempt(ObservedRequest request, ObservedRequest.Attempt attempt) {
     int count = request.attempts().size();
     if (count > maxAttempts) {
--- a/emulator/src/main/java/dillcross/emulator/oracle/DrainRules.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/DrainRules.java
@@ -14,8 +14,8 @@
  */
 final class DrainRules {
   /**
-   * Time in µs after which a change counts as read if the discovery service was available
-   * throughout.
+   * Time in µs within which a sidecar must have read a change of the endpoint list, if the
+   * discovery service was available throughout.
    */
   private static final long READ_WITHIN_US = 6_000_000;
 
--- a/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
+++ b/emulator/src/main/java/dillcross/emulator/oracle/ObservedRequest.java
@@ -176,7 +176,7 @@
     return clientDisconnectedUs;
   }
 
-  /** Records that no process accepted the client's connection. */
+  /** Records that no sidecar process accepted the client's connection. */
   public void markNotAccepted() {
     isExcused = true;
   }
@@ -222,7 +222,7 @@
     answerUs = atUs;
   }
 
-  /** Records that no answer is expected any more. */
+  /** Records that no answer to the request is expected any more. */
   void markOver() {
     isOver = true;
   }
@@ -247,7 +247,7 @@
     return TimeUnits.toMicros(requestClass.timeoutMs());
   }
 
-  /** Latency objective in µs. */
+  /** Latency objective of the request's class, in µs. */
   public long targetUs() {
     return TimeUnits.toMicros(requestClass.targetMs());
   }
--- a/emulator/src/main/java/dillcross/emulator/search/Crossings.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Crossings.java
@@ -22,7 +22,7 @@
  * together with the one before, one event loop iteration later, or when that one ends.
  */
 public final class Crossings {
-  /** Time in µs from the start of a run to its first arrival, to which fault times are relative. */
+  /** Time in µs from the start of a run to its first arrival, from which fault times count. */
   private static final long WARM_UP_US = 1_000_000;
 
   private static final long FAULT_DURATION_US = 300_000;
--- a/emulator/src/main/java/dillcross/emulator/search/Shrink.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Shrink.java
@@ -24,7 +24,7 @@
   private static final int ALTERNATIVE_SEEDS = 12;
 
   private final Scenario scenario;
-  private long seed; // the last one that failed; the faults are given and do not depend on it
+  private long seed; // the last seed that failed; the faults are fixed and do not depend on it
   private final Rule rule;
   private final Consumer<String> progress;
   private int runs;
@@ -83,7 +83,10 @@
         s.faults());
   }
 
-  /** Whether the rule is broken with the current seed or a following one, which is then kept. */
+  /**
+   * Whether the rule is broken with the current seed or one of the next {@link #ALTERNATIVE_SEEDS}
+   * seeds. The seed that breaks it becomes the current one.
+   */
   private boolean fails(List<Drawn> faults, double seconds) {
     Scenario shortened = withSeconds(scenario, seconds);
     if (fails(shortened, seed, faults)) {
--- a/emulator/src/main/java/dillcross/emulator/search/Sweep.java
+++ b/emulator/src/main/java/dillcross/emulator/search/Sweep.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Runs a scenario with many seeds on several threads. Results do not depend on their number. */
+/**
+ * Runs a scenario with many seeds on several threads. Results do not depend on the number of
+ * threads.
+ */
 public final class Sweep {
   /**
    * Totals over all runs.
@@ -68,7 +71,7 @@
     digest = Sha256.newDigest();
   }
 
-  /** Runs the scenario with the seeds from {@code from} to {@code to}, both included, once. */
+  /** Runs the scenario once with each seed from {@code from} to {@code to}, both included. */
   public Result run(long from, long to) throws InterruptedException {
     long startNs = System.nanoTime();
     nextSeed = from;
@@ -88,7 +91,7 @@
                               permits.release(complete(Simulation.run(scenario, s)));
                               permits.acquire();
                             }
-                            permits.release(1); // the one for a run that was not started
+                            permits.release(1); // the last permit, which was not used for a run
                             return null;
                           }))
               .toList();
--- a/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
+++ b/emulator/src/test/java/dillcross/emulator/HardCasesTest.java
@@ -32,9 +32,7 @@
       "like = \"../scenarios/calm.toml\"\nseconds = 5\n[[category]]\nname = \"file\"\neffect = \"deduplicated\"\n"
           + "key_scope = \"all\"\nttl_ms = 1500\ntarget_latency_ms = 600\nbody_bytes = 300000\nanswer_bytes = 700000\n[clients]\nper_s = 12\nretry = \"after\"\n";
 
-  /**
-   * Events of the latest run, each with its time in µs, its name, and its keys and values in turn.
-   */
+  /** Events of the latest run; each holds a time in µs, a name, and keys and values in turn. */
   private final List<Object[]> events = new ArrayList<>();
 
   private static Scenario calm() throws InvalidScenarioException {
@@ -106,7 +104,7 @@
         }
       }
       Drawn cut = fault(Kind.CUT, "a", 700_000, 900_000, "after");
-      Drawn end = fault(one, "e3", 1_600_000, 500_000, "after"); // at the end of the partition
+      Drawn end = fault(one, "e3", 1_600_000, 500_000, "after"); // starts when "cut" ends
       run(calm(), 6, cut, end);
       run(calm(), 6, end, cut);
     }
@@ -174,7 +172,8 @@
     List<Long> timesUs = times("reply");
     int truncatedCount = 0;
     for (int i = 5; i < timesUs.size(); i += timesUs.size() / 8) {
-      // 4 ms after the event, the endpoint still sends that answer or has the next request.
+      // 4 ms after the "reply" event, endpoints still send that answer or already have a next
+      // request.
       for (int e = 0; e < 8; e += 2) {
         run(largeBodies, 3, fault(Kind.DIE, "e" + e, timesUs.get(i) + 4_000, 700_000, "after"));
         truncatedCount += times("cut").size();
--- a/emulator/src/test/java/dillcross/emulator/PlantedFault.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedFault.java
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Loads all dillcross classes itself instead of from its parent, the changed ones first. */
+  /** Loads all dillcross classes itself, not from its parent; changed classes take precedence. */
   private static URLClassLoader loader(Path folder) throws MalformedURLException {
     List<URL> urls = new ArrayList<>(List.of(folder.resolve("classes").toUri().toURL()));
     for (String path : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
--- a/emulator/src/test/java/dillcross/emulator/PlantedTest.java
+++ b/emulator/src/test/java/dillcross/emulator/PlantedTest.java
@@ -180,7 +180,10 @@
     return fault(name, file, original, replacement, rules, "mixed.toml");
   }
 
-  /** A fault, the rules of which it may break one, separated by spaces, and the scenario to run. */
+  /**
+   * A fault and the scenario to run; {@code rules} names the rules that the fault may break,
+   * separated by spaces.
+   */
   private static Arguments fault(
       String name,
       String file,
--- a/emulator/src/test/java/dillcross/emulator/network/WireContractTest.java
+++ b/emulator/src/test/java/dillcross/emulator/network/WireContractTest.java
@@ -200,7 +200,10 @@
         "accepted side: all received");
   }
 
-  /** The accepting side schedules a further read although it has read everything. */
+  /**
+   * The accepting side schedules a further read although it has read everything. The handler must
+   * be called once more, but not before {@code scheduleRead} has returned.
+   */
   private static final class ScheduledRead extends TransportCase {
     private int callCount;
     private boolean isWithinCall;
--- a/emulator/src/test/java/dillcross/emulator/oracle/OracleFixture.java
+++ b/emulator/src/test/java/dillcross/emulator/oracle/OracleFixture.java
@@ -32,7 +32,7 @@
     nowUs += millis * 1_000;
   }
 
-  /** A request that its client has sent now. */
+  /** A request that its client has sent at the current time of the clock. */
   ObservedRequest sentRequest(String effect) {
     Scenario.RequestClass requestClass =
         new Scenario.RequestClass(
@@ -42,7 +42,7 @@
     return request;
   }
 
-  /** An attempt of the request that is sent and received now. */
+  /** An attempt of the request, sent and received at the current time of the clock. */
   ObservedRequest.Attempt attempt(ObservedRequest request, EndpointLocation location) {
     ObservedRequest.Attempt attempt = new ObservedRequest.Attempt(location, nowUs);
     request.addAttempt(attempt);
--- a/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/DatagramFaultProxy.java
@@ -150,7 +150,7 @@
         memberAddresses.set(from, address);
         forward(from, to, payload);
       } else {
-        send(to, to, payload); // from outside the fleet: a test sends such datagrams
+        send(to, to, payload); // from outside the fleet, as sent by a test
       }
     }
   }
--- a/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
+++ b/fleet/src/main/java/dillcross/fleet/LoadGenerator.java
@@ -29,7 +29,10 @@
   final AtomicLong rejected = new AtomicLong();
   final AtomicLong failed = new AtomicLong();
 
-  /** Requests while the sidecar was not ready, and those that failed to connect or timed out. */
+  /**
+   * Number of requests that were due while the sidecar was not ready, failed to connect or timed
+   * out.
+   */
   final AtomicLong unanswered = new AtomicLong();
 
   private final ScheduledExecutorService scheduler =
--- a/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
+++ b/fleet/src/main/java/dillcross/fleet/TcpFaultProxy.java
@@ -28,8 +28,8 @@
   private volatile boolean cutToClient; // bytes from target to client are held back
   // While true, the close of one side is not passed on: the other keeps a half-open connection.
   private volatile boolean holdBackClose;
-  private volatile long delayMs; // before each chunk is forwarded; 0: none
-  private volatile int bytesPerS; // 0: no limit
+  private volatile long delayMs; // delay before each chunk is forwarded; 0 for none
+  private volatile int bytesPerS; // limit for each direction of each connection; 0 for none
   private volatile boolean closed;
 
   /** Listens on a free loopback port at once; {@code to} is the {@code host:port} of the target. */
--- a/fleet/src/test/java/dillcross/fleet/MembersIT.java
+++ b/fleet/src/test/java/dillcross/fleet/MembersIT.java
@@ -44,7 +44,9 @@
         () -> why + ": " + members.stream().map(m -> fleet.view(m)).toList());
   }
 
-  /** The sum of one membership counter over the running members; silent members add 0. */
+  /**
+   * The sum of one membership counter over the running members; members that do not answer add 0.
+   */
   private long sum(String count) {
     return fleet.allMembers().stream()
         .filter(fleet::isRunning)
--- a/sidecar/src/test/java/dillcross/cli/AdminEndpointIT.java
+++ b/sidecar/src/test/java/dillcross/cli/AdminEndpointIT.java
@@ -24,7 +24,10 @@
     startAndAwaitReady(new TestConfig(entryOfA()).adminAddress(ANY_PORT));
   }
 
-  /** Sends a method and path, or a complete message, on a connection of its own. */
+  /**
+   * Sends {@code call}, a method and path or a complete message, on a new connection; returns the
+   * response. The sidecar must close the connection after it.
+   */
   private String callAdmin(String call) throws IOException {
     Socket socket = connect(sidecar.adminPort);
     String request = call.contains(" ") ? call + " HTTP/1.1\r\nHost: a\r\n\r\n" : call;
@@ -34,8 +37,8 @@
   }
 
   /**
-   * The oldest incomplete calls are closed to make room for new ones, and the admin paths are not
-   * served to clients.
+   * The admin endpoint closes the oldest incomplete calls to make room for new ones, and its paths
+   * are not served on the port for clients.
    */
   @Test
   void servesOnlyOperatorsCalls() throws Exception {
@@ -81,7 +84,7 @@
 
   /**
    * While the sidecar drains, health checks fail, requests are still served, and connections are
-   * closed once they are idle. Resuming ends that.
+   * closed once they are idle. A call of {@code /-/resume} ends the drain.
    */
   @Test
   void drainsAndResumes() throws Exception {
--- a/sidecar/src/test/java/dillcross/cli/BodyRelayIT.java
+++ b/sidecar/src/test/java/dillcross/cli/BodyRelayIT.java
@@ -80,7 +80,7 @@
     try {
       byte[] body = new byte[LARGE_BODY_BYTES];
       new Random(client).nextBytes(body);
-      Socket socket = connect(); // only now, as the sidecar closes connections silent for 2 s
+      Socket socket = connect(); // not earlier: closed after 2 s without a first byte
       sendLargeBody(socket, client, body);
       String head = readHead(socket.getInputStream());
       if (client == CLIENTS - 1) {
@@ -133,7 +133,8 @@
 
   /**
    * A response that is truncated after its first bytes were forwarded ends early for an HTTP/1.1
-   * client. An HTTP/1.0 client, for which an end would mean that it is complete, gets a reset.
+   * client. An HTTP/1.0 client gets a reset, because it would take the end of the connection for
+   * the end of a complete response.
    */
   @ParameterizedTest
   @ValueSource(strings = {"brokenlength", "brokenchunks"})
--- a/sidecar/src/test/java/dillcross/cli/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ClientConnectionsIT.java
@@ -94,7 +94,7 @@
     assertEquals("200", statusOfNewClient(request("/read/ok")), "other clients are still served");
   }
 
-  /** An id is refused while a request with it is open, whose client gets the only response. */
+  /** A request with the id of an open request is refused; the open request is still answered. */
   @Test
   void refusesRequestIdThatIsInUse() throws Exception {
     startWithEndpointA();
@@ -113,7 +113,10 @@
     assertEquals(2, endpointA.requestCounts.get("/read/slow"));
   }
 
-  /** Clients without a complete request, or with one request each, exceed the socket limit. */
+  /**
+   * Clients that send no complete request, or one request each, open more connections than the
+   * sidecar may have sockets; clients with several requests must still be served.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"", "G", "once"})
   void servesRegularClientsWhenConnectionsExceedTheLimit(String sent) throws Exception {
@@ -129,7 +132,7 @@
     }
 
     Socket late = connect();
-    late.setSoTimeout(8000); // before silent connections are closed
+    late.setSoTimeout(8000); // less than 20 s, after which idle connections are closed anyway
     assertEquals("200", statusOf(exchange(late, request("/read/ok"))));
     assertEquals(
         "200",
@@ -138,7 +141,7 @@
     assertTrue(sidecar.process.isAlive());
   }
 
-  /** Near the limit, a client with one request so far is asked to close its connection. */
+  /** Near the socket limit, a client with one request so far is asked to close its connection. */
   @Test
   void closesConnectionsAfterFirstResponseNearTheLimit() throws Exception {
     startWithEndpointA();
@@ -169,7 +172,7 @@
     return client;
   }
 
-  /** A silent connection is closed; an incomplete request gets an error response. */
+  /** A connection without any request is closed; an incomplete request gets an error response. */
   @Test
   void timesOutSlowClients() throws Exception {
     startWithEndpointA();
@@ -223,7 +226,7 @@
     try {
       String status = statusOf(exchange(client, "x"));
       long elapsedNs = System.nanoTime() - startNs;
-      boolean wasSlow = elapsedNs > TimeUnit.SECONDS.toNanos(2); // on a busy machine 408 is right
+      boolean wasSlow = elapsedNs > TimeUnit.SECONDS.toNanos(2); // a busy machine may cause a 408
       assertTrue(
           List.of("200", "503", "closed").contains(status) || (wasSlow && status.equals("408")),
           status);
--- a/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/DisconnectCrossingIT.java
@@ -36,7 +36,7 @@
           }
         });
 
-    assertEquals("200", statusOfNewClient(request("/read/ok"))); // its connection is the last one
+    assertEquals("200", statusOfNewClient(request("/read/ok"))); // accepted after the 20 others
     awaitConnectionReuse();
     assertEquals(List.of("/read/ok"), endpointA.requestPaths());
   }
@@ -99,7 +99,7 @@
     return request("/read/gone", REQUEST_TIMEOUT_MS) + "x".repeat(extraBytes);
   }
 
-  /** One request waits at the concurrency limit when its client disconnects. */
+  /** One request waits for a free slot under the concurrency limit when its client disconnects. */
   @ParameterizedTest
   @CsvSource({"closes,true", "closes,false", "resets,true", "half-closes,true"})
   void doesNotSendAfterDisconnectInQueue(String how, boolean cancellable) throws Exception {
@@ -137,7 +137,10 @@
     return "/read/" + client + "then";
   }
 
-  /** Reads responses on other threads; the returned set fills with the clients that have one. */
+  /**
+   * Reads responses on other threads; the returned set fills with the indexes of the clients that
+   * have received one.
+   */
   private static Set<Integer> collectAnswered(List<Socket> clients) {
     Set<Integer> answered = ConcurrentHashMap.newKeySet();
     for (int i = 0; i < clients.size(); i++) {
@@ -167,7 +170,7 @@
     awaitNoClientConnections();
     endpoint.drainQueueAndServe();
 
-    // Without endpoint A the next request goes where the retry would have gone.
+    // Without endpoint A, the next request goes to endpoint B, as the retry would have done.
     discovery.publishAndAwait(terminating("a", endpointA.address()));
     assertEquals("200", statusOfNewClient(request("/read/after", REQUEST_TIMEOUT_MS)));
     assertEquals(List.of("/read/after"), endpoint.requestPaths);
--- a/sidecar/src/test/java/dillcross/cli/DiscoveryCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/DiscoveryCrossingIT.java
@@ -27,8 +27,8 @@
   private static final int KEEP_IN_USE_INTERVAL_MS = 400;
 
   /**
-   * A second reply to one call must not be read as the reply to the next call, which tells of a
-   * drain.
+   * A second reply to one call must not be read as the reply to the next call; that reply reports
+   * that an endpoint drains, which must not be missed.
    */
   @Test
   void ignoresSecondReplyToOneCall() throws Exception {
@@ -44,7 +44,10 @@
     assertEquals(2, discovery.acceptedConnections.get(), "the next call has a new connection");
   }
 
-  /** The first list from discovery is awaited, as that in the configuration may be outdated. */
+  /**
+   * The sidecar waits for the first list from discovery before it is ready, as the list in its
+   * configuration may be outdated.
+   */
   @Test
   void awaitsFirstPushedListBeforeItIsReady() throws Exception {
     String list =
@@ -103,7 +106,10 @@
     assertEquals(1, endpointB.requestCounts.get("/read/after"));
   }
 
-  /** An indented list of 1024 endpoints, which are shared by 1024 sidecars. */
+  /**
+   * Discovery sends an indented list of 1024 endpoints, which 1024 sidecars share; the list after
+   * that is longer than permitted and must be ignored.
+   */
   @Test
   void acceptsLongListAndKeepsItWhenNextIsTooLong() throws Exception {
     String longest = response(200, "", indentedList(7, 1024, endpointB.address()));
@@ -159,7 +165,7 @@
     startWithEndpointA();
     await(() -> discovery.requests.size() >= (moves ? 1 : 2));
     if (moves) {
-      discovery.publishAndAwait(entryOfA()); // from then on its calls are watches
+      discovery.publishAndAwait(entryOfA()); // from then on the sidecar's calls are watches
       reload(discovery.address(), newDiscovery.address());
       sidecar.awaitLogLine("discovery moved to " + newDiscovery.address());
       await(() -> !newDiscovery.requests.isEmpty());
--- a/sidecar/src/test/java/dillcross/cli/EndpointConnectionsIT.java
+++ b/sidecar/src/test/java/dillcross/cli/EndpointConnectionsIT.java
@@ -95,7 +95,7 @@
       assertEquals(i + 1, endpointA.acceptedConnections.get());
     }
 
-    await(() -> countDescriptors() <= descriptorsBefore + 1); // one may be closed later
+    await(() -> countDescriptors() <= descriptorsBefore + 1); // one connection may still be open
   }
 
   private long countDescriptors() throws IOException {
--- a/sidecar/src/test/java/dillcross/cli/EndpointListCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/EndpointListCrossingIT.java
@@ -21,10 +21,13 @@
  * {@link dillcross.net.endpoint.AttemptExecutor}.
  */
 class EndpointListCrossingIT extends CrossingFixture {
-  /** The time within which data that was written has arrived over loopback. */
+  /** Time in ms allowed for written data to arrive over loopback. */
   private static final int LOOPBACK_DELAY_MS = 20;
 
-  /** The request goes to another endpoint that is in service, or is rejected. */
+  /**
+   * When its endpoint changes during the connect, a request goes to another endpoint that is in
+   * service, or is rejected if there is none.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"terminating", "terminated", "moved", "restarted"})
   void doesNotSendToEndpointThatChangedDuringConnect(String change) throws Exception {
@@ -41,7 +44,7 @@
         "",
         readMessage(connection.getInputStream()),
         "nothing is sent to the endpoint that has changed");
-    boolean hasOther = change.startsWith("term"); // no second attempt goes to endpoint a
+    boolean hasOther = change.startsWith("term"); // else only "a" is left, and is not tried again
     assertEquals(hasOther ? "200" : "503", statusOf(readResponse(client)));
     assertEquals(hasOther ? 1 : 0, endpointB.requests.size());
   }
--- a/sidecar/src/test/java/dillcross/cli/ForwardingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ForwardingIT.java
@@ -19,7 +19,7 @@
  * {@link dillcross.net.endpoint.AttemptExecutor}.
  */
 class ForwardingIT extends SidecarFixture {
-  /** The request is of a class that is deduplicated within the cell of the endpoint only. */
+  /** The requests of class "buy" are deduplicated within the cell of the endpoint only. */
   @ParameterizedTest
   @CsvSource({
     "ok,200",
--- a/sidecar/src/test/java/dillcross/cli/HttpMessages.java
+++ b/sidecar/src/test/java/dillcross/cli/HttpMessages.java
@@ -97,7 +97,7 @@
     return line.toString();
   }
 
-  /** The status code of a response; "closed" for an empty one. */
+  /** The status code of a response; "closed" for "", which stands for a closed connection. */
   static String statusOf(String response) {
     return response.isEmpty() ? "closed" : response.split(" ")[1];
   }
--- a/sidecar/src/test/java/dillcross/cli/LateEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/LateEndpoint.java
@@ -20,7 +20,7 @@
  * connection to be established.
  */
 final class LateEndpoint implements AutoCloseable {
-  private static final int FILLING_CONNECTIONS = 2; // a queue of length 1 holds two
+  private static final int FILLING_CONNECTIONS = 2; // a backlog of 1 holds two connections
   private static final int READ_TIMEOUT_MS = 20_000;
 
   /** The paths of the requests received, oldest first. */
--- a/sidecar/src/test/java/dillcross/cli/LoopbackServer.java
+++ b/sidecar/src/test/java/dillcross/cli/LoopbackServer.java
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Starts to accept connections. */
+  /** Starts to accept connections, on a daemon thread that ends when this server is closed. */
   void start() {
     BackgroundTask.start(
         () -> {
--- a/sidecar/src/test/java/dillcross/cli/ReloadIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ReloadIT.java
@@ -64,7 +64,9 @@
             .replace(discovery.address(), newDiscoveryAddress));
   }
 
-  /** Requests that are in flight during a reload get one response each, and none runs twice. */
+  /**
+   * Requests that are in flight during a reload get one response each, and none is executed twice.
+   */
   @Test
   void reloadChangesSettingsBackAndForth() throws Exception {
     String pay =
--- a/sidecar/src/test/java/dillcross/cli/ShutdownCrossingIT.java
+++ b/sidecar/src/test/java/dillcross/cli/ShutdownCrossingIT.java
@@ -48,7 +48,10 @@
     assertTrue(sidecar.exitsInTime());
   }
 
-  /** The response comes before the process would be killed, although no endpoint responds. */
+  /**
+   * A request that is completed late in the shutdown is answered before the process would be
+   * killed, although no endpoint responds.
+   */
   @Test
   void answersRequestThatIsCompletedLateInShutdown() throws Exception {
     startWithEndpointA();
@@ -68,7 +71,10 @@
     assertTrue(System.nanoTime() - startNs > TimeUnit.MILLISECONDS.toNanos(1200));
   }
 
-  /** Endpoint lists are followed during a shutdown, also after a call to discovery has failed. */
+  /**
+   * The sidecar follows changes of the endpoint list during a shutdown, also after a call to
+   * discovery has failed.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void followsEndpointListUntilLastAttempt(boolean discoveryFails) throws Exception {
--- a/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the built program with two test endpoints and a discovery service, and connects to it over
- * loopback. The timeout runs on a thread of its own, because an interrupt does not end a read of
- * the log.
+ * Starts the built program with two test endpoints and a discovery service, and connects to it
+ * over loopback. Each test runs on a thread of its own, so that its timeout takes effect: an
+ * interrupt would not end a read of the log.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class SidecarFixture {
@@ -74,7 +74,7 @@
     return inService("b", endpointB.address());
   }
 
-  /** Publishes that A drains and B is in service, and waits until the sidecar knows it. */
+  /** Publishes that A drains and B is in service, and waits until the sidecar has read this. */
   void replaceAByB(TestDiscovery from) throws InterruptedException {
     from.publishAndAwait(entryOfB(), terminating("a", endpointA.address()));
   }
@@ -185,7 +185,10 @@
     await(() -> areQueuesEmpty("/proc/net/tcp", LOCAL_ADDRESS_FIELD, RECEIVE_QUEUE_INDEX));
   }
 
-  /** Whether there are connections with the sidecar's port in that field, all with empty queues. */
+  /**
+   * Whether the table lists connections with the sidecar's port in {@code addressField}, and the
+   * queue at {@code queueIndex} of each of them is empty.
+   */
   private boolean areQueuesEmpty(String socketTable, int addressField, int queueIndex)
       throws IOException {
     String portSuffix = String.format(":%04X", sidecar.port);
@@ -207,7 +210,7 @@
     Thread.sleep(REUSE_DELAY_MS);
   }
 
-  /** Replaces a part of the configuration file, and has the sidecar reload it. */
+  /** Replaces {@code target} in the configuration file, and has the sidecar reload the file. */
   void reload(String target, String replacement) throws Exception {
     String config = Files.readString(configFile());
     Files.writeString(configFile(), config.replace(target, replacement));
--- a/sidecar/src/test/java/dillcross/cli/SidecarProcess.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarProcess.java
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Starts the program by the command of the deploy file.
+   * Starts the program by the command line that {@code deploy/balancer.toml} contains.
    *
    * @param config the configuration file
    * @param launcher a command in front of that of the program, such as {@code prlimit}; may be
--- a/sidecar/src/test/java/dillcross/cli/TestConfig.java
+++ b/sidecar/src/test/java/dillcross/cli/TestConfig.java
@@ -24,27 +24,27 @@
     return this;
   }
 
-  /** Sets the longest deadline of all request classes. */
+  /** Sets the maximum deadline of each request class, in ms. */
   TestConfig timeoutMs(int timeoutMs) {
     return replace("\"ttl_ms\":2000", "\"ttl_ms\":" + timeoutMs);
   }
 
-  /** Sets the latency objective of all request classes. */
+  /** Sets the latency objective of each request class, in ms. */
   TestConfig latencyObjectiveMs(int objectiveMs) {
     return replace("\"target_latency_ms\":400", "\"target_latency_ms\":" + objectiveMs);
   }
 
-  /** Sets the timeout of connects to endpoints. */
+  /** Sets the timeout for connecting to an endpoint, in ms. */
   TestConfig connectTimeoutMs(int timeoutMs) {
     return replace("\"connect_timeout_ms\":250", "\"connect_timeout_ms\":" + timeoutMs);
   }
 
-  /** Sets the time after which endpoints close idle connections. */
+  /** Sets the time in ms for which endpoints keep idle connections open. */
   TestConfig keepAliveMs(int keepAliveMs) {
     return replace("\"keepalive_ms\":9000", "\"keepalive_ms\":" + keepAliveMs);
   }
 
-  /** Sets whether attempts may be cancelled. */
+  /** Sets whether the sidecar may cancel attempts that are in flight. */
   TestConfig cancellable(boolean cancellable) {
     return replace("\"cancel\":true", "\"cancel\":" + cancellable);
   }
@@ -69,7 +69,7 @@
     return replace("\"categories\":[", "\"categories\":[" + json + ",");
   }
 
-  /** Replaces a part of the file, for instance by a value that is invalid. */
+  /** Replaces a part of the file, for instance to make a value invalid. */
   TestConfig replace(String target, String replacement) {
     replacements.add(target);
     replacements.add(replacement);
--- a/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
+++ b/sidecar/src/test/java/dillcross/cli/TestDiscovery.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A discovery service that holds watches open until a test publishes endpoints. */
+/** A discovery service that holds watches (long polls) open until a test publishes endpoints. */
 final class TestDiscovery extends LoopbackServer {
   /** A scripted reply that never answers the call. */
   static final String SILENCE = "silent";
@@ -21,12 +21,12 @@
   private static final String DELAY_PREFIX = "later";
   private static final long REPLY_DELAY_MS = 400;
 
-  /** HTTP responses to the next calls, one each, in place of the endpoint list. */
+  /** HTTP responses to the next calls, one for each call, sent in place of the endpoint list. */
   final List<String> scriptedReplies = Collections.synchronizedList(new ArrayList<>());
 
-  private String entries = ""; // JSON of the endpoints that changed in that version
+  private String entries = ""; // JSON of the endpoints that changed in the current version
   private int version = 1;
-  private int requestedVersion; // the version that the last watch had already
+  private int requestedVersion; // the list version that the sidecar named in its last watch
 
   /** A scripted reply that is sent after 0.4 s. */
   static String delayed(String reply) {
--- a/sidecar/src/test/java/dillcross/cli/TestEndpoint.java
+++ b/sidecar/src/test/java/dillcross/cli/TestEndpoint.java
@@ -23,7 +23,7 @@
   /** The length of the body of {@code /large}. */
   static final int LARGE_BODY_BYTES = 400_000;
 
-  /** The length of the part of its body that a truncated response has. */
+  /** The number of body bytes that are sent of a truncated response. */
   static final int BROKEN_BODY_BYTES = 80_000;
 
   private static final long SLOW_RESPONSE_MS = 700;
@@ -36,7 +36,7 @@
   /** The number of requests by path. */
   final Map<String, Integer> requestCounts = new ConcurrentHashMap<>();
 
-  /** Holds back the responses to paths that end in {@code then} until it is counted down. */
+  /** Responses to paths ending in {@code then} are held back until this latch is counted down. */
   final CountDownLatch released = new CountDownLatch(1);
 
   /** Counted down once the second response to {@code /late} was sent. */
