--- a/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
+++ b/sidecar/src/main/java/dillcross/balancer/AttemptPolicy.java
@@ -7,8 +7,8 @@
  * and what retries and hedges cost.
  *
  * <p>Inputs are the request's retry policy, its earlier attempts and whether its body can be sent
- * again; {@link DuplicateGuard} decides where a repeat can't take effect twice and
- * {@link RetryBudget} whether it is affordable. Prices are in attempts, the unit of that budget.
+ * again; {@link DuplicateGuard} decides where a repeat can't take effect twice and {@link
+ * RetryBudget} whether it is affordable. Prices are in attempts, the unit of that budget.
  */
 final class AttemptPolicy {
   private static final double RETRY_PRICE = 1;
--- a/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandCounter.java
@@ -33,8 +33,8 @@
   }
 
   /**
-   * How many of the recent requests are within the quota of {@code quotaFraction} times
-   * {@code total} requests.
+   * How many of the recent requests are within the quota of {@code quotaFraction} times {@code
+   * total} requests.
    */
   double entitled(double total) {
     return Math.min(arrived, quotaFraction * total);
--- a/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/DemandTracker.java
@@ -78,8 +78,8 @@
   /**
    * Counts the request and assigns its tenant.
    *
-   * @return the product of {@link DemandCounter#need} of the request's class and tenant: above 1
-   *     if they got less than their quotas
+   * @return the product of {@link DemandCounter#need} of the request's class and tenant: above 1 if
+   *     they got less than their quotas
    */
   double recordArrival(Request request, String tenant) {
     arrived++;
--- a/sidecar/src/main/java/dillcross/balancer/EjectionState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EjectionState.java
@@ -30,8 +30,8 @@
 
   /**
    * Whether the ejection was triggered by an attempt without a response in the expected time, and
-   * no probation since has ended with a failure. Failures counted before that attempt may have
-   * been error answers.
+   * no probation since has ended with a failure. Failures counted before that attempt may have been
+   * error answers.
    */
   boolean isEjectedBySilence() {
     return isEjectedBySilence;
--- a/sidecar/src/main/java/dillcross/balancer/EndpointState.java
+++ b/sidecar/src/main/java/dillcross/balancer/EndpointState.java
@@ -140,8 +140,8 @@
   }
 
   /**
-   * The longest time that an attempt has waited, among those that count as load and were sent
-   * after {@code sentAfterUs}; 0 if there is none.
+   * The longest time that an attempt has waited, among those that count as load and were sent after
+   * {@code sentAfterUs}; 0 if there is none.
    */
   long longestWaitUs(long sentAfterUs, long nowUs) {
     long longestUs = 0;
--- a/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
+++ b/sidecar/src/main/java/dillcross/balancer/InFlightTracker.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Marks the attempt as silent, so that it does not use up the concurrency limit of a sidecar
-   * with little traffic.
+   * Marks the attempt as silent, so that it does not use up the concurrency limit of a sidecar with
+   * little traffic.
    */
   void markSilent(Attempt attempt) {
     unresponsive += attempt.isConnectionSuspect() ? 0 : 1;
--- a/sidecar/src/main/java/dillcross/balancer/LatencyEstimate.java
+++ b/sidecar/src/main/java/dillcross/balancer/LatencyEstimate.java
@@ -35,8 +35,8 @@
   /**
    * Adds the latency of a successful answer.
    *
-   * @param baselineRise the fraction, 0 to 1, of the distance from the baseline to a higher mean
-   *     by which the baseline rises
+   * @param baselineRise the fraction, 0 to 1, of the distance from the baseline to a higher mean by
+   *     which the baseline rises
    */
   void record(double latencyUs, double baselineRise) {
     samples++;
@@ -66,9 +66,8 @@
   }
 
   /**
-   * How long after it was sent an attempt is overdue, in microseconds, at an endpoint with
-   * {@code latencyRatio}; long enough that the ordinary spread of latencies does not count as
-   * failures.
+   * How long after it was sent an attempt is overdue, in microseconds, at an endpoint with {@code
+   * latencyRatio}; long enough that the ordinary spread of latencies does not count as failures.
    */
   long overdueAfterUs(double latencyRatio) {
     return (long) (OVERDUE_FACTOR * meanUs * latencyRatio);
--- a/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
+++ b/sidecar/src/main/java/dillcross/balancer/RetryBudget.java
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Adds to the balance for a first attempt. The balance is bounded by a share of
-   * {@code recentRequests}, the count of {@link DemandTracker#recentRequests}.
+   * Adds to the balance for a first attempt. The balance is bounded by a share of {@code
+   * recentRequests}, the count of {@link DemandTracker#recentRequests}.
    */
   void earn(double recentRequests) {
     double limit = Math.max(1, Math.min(MAX_BALANCE, EARNED_PER_REQUEST * recentRequests));
--- a/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
+++ b/sidecar/src/main/java/dillcross/balancer/TrafficMeter.java
@@ -1,8 +1,8 @@
 package dillcross.balancer;
 
 /**
- * Measures this sidecar's traffic as a whole, as exponentially decaying means. Their time
- * constant, the time span, is longer if there are few requests.
+ * Measures this sidecar's traffic as a whole, as exponentially decaying means. Their time constant,
+ * the time span, is longer if there are few requests.
  */
 final class TrafficMeter {
   private final DecayingAverage baselineConcurrency = new DecayingAverage();
--- a/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
+++ b/sidecar/src/main/java/dillcross/cli/DillcrossCommand.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * The logger, created on first use only, as the simulator counts the CPU time of a run, which
-   * the initialisation of the logger would add to.
+   * The logger, created on first use only, as the simulator counts the CPU time of a run, which the
+   * initialisation of the logger would add to.
    */
   private static Logger log() {
     return Logger.getLogger(DillcrossCommand.class.getName());
--- a/sidecar/src/main/java/dillcross/config/ConfigValues.java
+++ b/sidecar/src/main/java/dillcross/config/ConfigValues.java
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Throws {@link InvalidConfigException} if the path holds a plain value instead of a list or
-   * an object; an absent value is valid.
+   * Throws {@link InvalidConfigException} if the path holds a plain value instead of a list or an
+   * object; an absent value is valid.
    */
   void checkSection(String path) {
     plainValue(path)
--- a/sidecar/src/test/java/dillcross/balancer/EndpointSubsetTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/EndpointSubsetTest.java
@@ -160,8 +160,8 @@
   }
 
   /**
-   * If an endpoint that becomes unavailable were not replaced at once, it would still be drawn,
-   * and the subset would be one endpoint short.
+   * If an endpoint that becomes unavailable were not replaced at once, it would still be drawn, and
+   * the subset would be one endpoint short.
    */
   @ParameterizedTest
   @ValueSource(strings = {"REMOVED", "DRAINING"})
--- a/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/dillcross/balancer/OutlierEjectionTest.java
@@ -31,8 +31,7 @@
     /** A timeout after more time than a response can take. */
     LATE_TIMEOUT(AttemptOutcome.TIMED_OUT, 350, 10),
     /**
-     * An overload answer, then 12 s without requests: longer than any backoff after such an
-     * answer.
+     * An overload answer, then 12 s without requests: longer than any backoff after such an answer.
      */
     OVERLOADED(AttemptOutcome.OVERLOADED, 10, 12_000);
 
--- a/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
+++ b/sidecar/src/test/java/dillcross/cli/SidecarFixture.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the built program with two test endpoints and a discovery service, and connects to it
- * over loopback. Each test runs on a thread of its own, so that its timeout takes effect: an
- * interrupt would not end a read of the log.
+ * Starts the built program with two test endpoints and a discovery service, and connects to it over
+ * loopback. Each test runs on a thread of its own, so that its timeout takes effect: an interrupt
+ * would not end a read of the log.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class SidecarFixture {
