--- a/sidecar/src/main/java/dillcross/net/connection/Connection.java
+++ b/sidecar/src/main/java/dillcross/net/connection/Connection.java
@@ -127,9 +127,7 @@
     return hasInputEnded;
   }
 
-  /**
-   * Whether the input has ended because the peer closed its output, and not because of an error.
-   */
+  /** Whether the input has ended because the peer closed its output, and not by an error. */
   boolean hasInputEndedCleanly() {
     return hasInputEnded && !wasInputReset;
   }
@@ -324,10 +322,7 @@
     resumeReading();
   }
 
-  /**
-   * As {@link #discardRest(long)}, with the limit of the last call of that method; 1 MiB if there
-   * was none.
-   */
+  /** As {@link #discardRest(long)}, with the limit of its last call; 1 MiB if there was none. */
   public void discardRest() {
     discardRest(maxDiscardedBytes);
   }
